--- a/balancer/active_request.py
+++ b/balancer/active_request.py
@@ -15,7 +15,7 @@
 from balancer.request_counters import Refusal
 from balancer.tiers import DECODE, ITSELF, PREFILL
 from balancer.upstream_call import UpstreamCall
-from balancer.wire import Staged, is_sound, read_handle
+from balancer.wire import UpstreamRequest, is_sound, read_handle
 from config.configuration import Route
 from passpost.attempt import Outgoing
 from passpost.http1 import Answer
@@ -50,7 +50,7 @@
         self._out, self._client, self._ends = out, client, ends
         route = call.route
         budget = context.budget(service)
-        self._pair = steps.Pair(route.tries, route.is_idempotent(), route.resumable, budget)
+        self._pair = steps.RequestStateMachine(route.tries, route.is_idempotent(), route.resumable, budget)
         self._run_rank = context.urgency.of_run(route, call.prompt.tokens)
         self._upstream_call = UpstreamCall(context, self.wants, self._may_leave)
         self._zone = context.settings.zone  # where the memory of the prompt is
@@ -68,16 +68,21 @@
         split = tokens > 0 and tiers.is_split(self._service)
         if split:
             now = time.monotonic()
-            reading, itself = tiers.reading(self._service, now), tiers.reading_itself(self._service, now)
+            reading, itself = (
+                tiers.prefill_wait_s(self._service, now),
+                tiers.decode_wait_s(self._service, now),
+            )
             if min(reading, itself) > _bearable(self._call.route):
                 self._follow(steps.Refuse(), Refusal.QUEUES)
                 return
             prompt = self._call.prompt
-            apart = tiers.cost(self._service, PREFILL, prompt, now)
-            split = reading < QUEUED_S or apart < tiers.cost(self._service, DECODE, prompt, now) * ITSELF
+            apart = tiers.prefill_cost(self._service, PREFILL, prompt, now)
+            split = (
+                reading < QUEUED_S or apart < tiers.prefill_cost(self._service, DECODE, prompt, now) * ITSELF
+            )
         self._follow(self._pair.first(split))
 
-    def left(self) -> None:
+    def on_client_left(self) -> None:
         """The client has gone: nobody needs what is under way."""
         if not self._finished:
             self._finish()
@@ -86,7 +91,7 @@
 
     def _finish(self) -> None:
         self._finished = True
-        self._context.ended(self._number)
+        self._context.on_request_ended(self._number)
 
     def _free(self) -> None:
         """Free memory that was read for this request and is not fetched."""
@@ -122,7 +127,7 @@
 
     def _read(self) -> None:
         now = time.monotonic()
-        peer = self._context.tiers.pick_reader(
+        peer = self._context.tiers.pick_prefill(
             self._service, self._call.prompt, self._upstream_call.avoid, now
         )
         if peer is None:
@@ -131,8 +136,8 @@
         missing = self._to_read(peer)
         rank = self._context.urgency.of_reading(self._call.route, missing)
         extra = b"Mastturn-Target-Upstream: %b\r\nMastturn-Stage: prefill\r\n%b" % (
-            peer.home,
-            self._common(rank),
+            peer.id_bytes,
+            self._common_headers(rank),
         )
         self._upstream_call.send(
             peer, self._request(extra, self._pair.has_broken), missing, None, self._read_done
@@ -142,7 +147,7 @@
         now = time.monotonic()
         prompt = self._call.prompt if handle is None else None
         avoid, repeatable = self._upstream_call.avoid, self._call.route.is_idempotent()
-        peer = self._context.tiers.pick_runner(self._service, prompt, self._zone, avoid, now, repeatable)
+        peer = self._context.tiers.pick_decode(self._service, prompt, self._zone, avoid, now, repeatable)
         if peer is None:
             self._follow(self._pair.no_runner(), self._none_left())
             return
@@ -154,7 +159,7 @@
         tokens = 0 if prompt is None else self._to_read(peer)
         urgency, route = self._context.urgency, self._call.route
         rank = urgency.of_reading(route, tokens) if tokens else self._run_rank
-        extra = b"Mastturn-Target-Upstream: %b\r\n%b%b" % (peer.home, kv, self._common(rank))
+        extra = b"Mastturn-Target-Upstream: %b\r\n%b%b" % (peer.id_bytes, kv, self._common_headers(rank))
         self._relay.begin_anew()
         self._fetching = handle
         request = self._request(extra, self._pair.has_broken or not repeatable)
@@ -168,21 +173,27 @@
         prompt, context = self._call.prompt, self._context
         tokens = context.tiers.missing(peer, prompt)
         context.counters.reads(tokens, self._was_read)
-        if prompt.shared and tokens == prompt.tokens and context.tiers.kept.holders(prompt.subject):
-            context.counters.shared_again += prompt.shared
+        if (
+            prompt.shared_tokens
+            and tokens == prompt.tokens
+            and context.tiers.prefix_index.holders(prompt.prefix)
+        ):
+            context.counters.shared_tokens_reread += prompt.shared_tokens
         self._was_read = True
         return tokens
 
-    def _common(self, rank: int) -> bytes:
+    def _common_headers(self, rank: int) -> bytes:
         """Header lines of every stage: the rank, and the last event that the client has."""
         prio = b"Priority: %d\r\n" % rank
-        last = self._relay.last
+        last = self._relay.last_event_id
         if last is None:
             return prio if self._call.after is None else b"%bLast-Event-Id: %b\r\n" % (prio, self._call.after)
         return b"%bLast-Event-Id: %d\r\n" % (prio, last)
 
-    def _request(self, extra: bytes, is_careful: bool) -> Staged:
-        return Staged(self._out.head, self._out.body, None, self._ends, self._call.txn, extra, is_careful)
+    def _request(self, extra: bytes, needs_fresh_connection: bool) -> UpstreamRequest:
+        return UpstreamRequest(
+            self._out.head, self._out.body, None, self._ends, self._call.txn, extra, needs_fresh_connection
+        )
 
     def _may_leave(self, quiet: float, most: float) -> bool:
         return quiet >= RUN_LEFT * most and self._pair.may_repeat()
@@ -204,8 +215,8 @@
         if handle is None:
             self._upstream_call.avoid.add(peer.entry.id)
         else:
-            peer.read(self._upstream_call.age(), self._upstream_call.booked)
-            self._context.kept(peer, self._call.prompt)
+            peer.on_prompt_read(self._upstream_call.age(), self._upstream_call.booked)
+            self._context.on_prompt_cached(peer, self._call.prompt)
             self._zone = peer.entry.zone
             self._upstream_call.avoid.clear()
         end = steps.End.TAKEN if handle else _end(outcome)
@@ -221,7 +232,7 @@
     def heard(self) -> None:
         """Something has come from the upstream."""
         if self._upstream_call.peer is not None:
-            self._upstream_call.peer.heard(time.monotonic())
+            self._upstream_call.peer.on_data_received(time.monotonic())
 
     def spoilt(self) -> None:
         """The stream is broken: nothing more of this upstream is wanted."""
@@ -240,13 +251,13 @@
         if not self._relay.begun:
             self._context.counters.first_event(time.monotonic() - self._taken_at)
         if not self._relay.begun and self._upstream_call.peer is not None:
-            self._context.kept(self._upstream_call.peer, self._call.prompt)
+            self._context.on_prompt_cached(self._upstream_call.peer, self._call.prompt)
 
     def _fetched(self, well: bool) -> None:
         handle, self._fetching = self._fetching, None
         holder = self._context.tiers.peer(handle.holder) if handle is not None else None
         if holder is not None:
-            holder.fetched(time.monotonic(), well)
+            holder.on_fetch_ended(time.monotonic(), well)
         if well:
             self._pair.handle = None  # there is nothing to be freed
 
--- a/balancer/answer_log.py
+++ b/balancer/answer_log.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from balancer.wire import Staged
+from balancer.wire import UpstreamRequest
 from passpost.answer_end import AnswerEnd, Misuse
 from passpost.attempt import Outgoing
 from passpost.http1 import EndKind, Framing
@@ -30,7 +30,7 @@
 
     def ended(self, upstream: str, request: Outgoing, end: AnswerEnd) -> None:
         """An answer, or the wait for one, is over; those to calls of our own are not counted."""
-        if not isinstance(request, Staged):
+        if not isinstance(request, UpstreamRequest):
             return
         self.ends[end.framing, end.kind] += 1
         if end.framing is Framing.CLOSE and end.status == HTTPStatus.OK:
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -21,7 +21,7 @@
 from balancer.prompt import Prompt
 from balancer.request_counters import Refusal, RequestCounters
 from balancer.routes import RouteTable, draw_service
-from balancer.standing import Standing
+from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
 from balancer.upstream_call import ANSWER_GRACE_S
 from balancer.urgency import Urgency
@@ -95,18 +95,18 @@
         files = max(settings.limits.max_fds - RESERVED_FILES, 64)
         to_upstreams = max(int(files * UPSTREAM_SHARE), 16)
         self.upstreams = Upstreams(CONNECT_S, IDLE_S * 2, to_upstreams, options.upstream_options())
-        self.answers = AnswerLog()
-        self.upstreams.watch_answers = self.answers.ended
-        self.upstreams.watch_misuse = self.answers.misused
+        self.answer_log = AnswerLog()
+        self.upstreams.watch_answers = self.answer_log.ended
+        self.upstreams.watch_misuse = self.answer_log.misused
         self._chance = random.Random(seed)
         self.load_changed: Callable[[], None] = _nothing
         self._tell_kept: Callable[[bytes, str], None] | None = None
-        self.other_calls: readiness.Other | None = None  # at the address of readiness
+        self.request_handler: readiness.Other | None = None  # at the address of readiness
         self._cold_share = ColdShare(settings.node, settings.bounds)
         self.tiers = Tiers(
             self._chance, self.upstreams.has_place, settings.zone, self.upstreams.has_idle, self._cold_share
         )
-        self.standing = Standing(self.tiers, self.upstreams)
+        self.health = UpstreamHealth(self.tiers, self.upstreams)
         self._max_open = files - to_upstreams
         self._server: Server | None = None
         self._readyz: asyncio.Server | None = None
@@ -125,7 +125,7 @@
         listen = self.settings.listen
         if listen.readyz is not None:
             self._readyz = await readiness.listen(
-                parse_address(listen.readyz), self.is_ready, self.other_calls
+                parse_address(listen.readyz), self.is_ready, self.request_handler
             )
         if listen.http is not None:
             address = parse_address(listen.http)
@@ -153,7 +153,7 @@
         self._table = RouteTable(configuration)
         self._cold_share.configure(configuration)
         self.urgency.keep_only({r.name for r in configuration.routes})
-        self.tiers.want_versions(wanted_versions(configuration), time.monotonic())
+        self.tiers.set_wanted_versions(wanted_versions(configuration), time.monotonic())
         if self._server is not None:
             self._server.treat(self._client_options())
         self._limit_connections()
@@ -162,7 +162,7 @@
 
     def list_upstreams(self, entries: tuple[Upstream, ...]) -> None:
         """The whole list as it is now; the same as before costs little."""
-        if self.tiers.take(entries, time.monotonic()):
+        if self.tiers.update(entries, time.monotonic()):
             self.upstreams.route({name: parse_address(address) for name, address in self.tiers.addresses()})
         if self._configuration is not None:
             self._open_door()
@@ -171,13 +171,13 @@
         """So many balancers live: our parts of what all of them share follow."""
         if n != self._balancers:
             self._balancers = n
-            self.tiers.trust.balancers = max(n, 1)
+            self.tiers.outliers.balancers = max(n, 1)
             self._cold_share.count_balancers(n)
             for budget in self._budgets.values():
                 budget.retries.count_balancers(n)
             self._limit_connections()
 
-    def stand_among(self, place: Place | None) -> None:
+    def set_place(self, place: Place | None) -> None:
         """Our place among the balancers that are present; None while we are not among them."""
         self._cold_share.stand(place)
 
@@ -194,40 +194,40 @@
         """Our calls and outstanding prompt tokens, by upstream; those with none are left out."""
         return self.tiers.loads()
 
-    def heed_others(self, load: Callable[[str], tuple[int, int]]) -> None:
+    def set_other_loads(self, load: Callable[[str], tuple[int, int]]) -> None:
         """From now on `load` tells the other balancers' calls and prompt tokens at an upstream."""
-        self.tiers.others = load
+        self.tiers.other_loads = load
 
-    def tell_load(self, changed: Callable[[], None]) -> None:
+    def watch_loads(self, changed: Callable[[], None]) -> None:
         """`changed` is called whenever `loads` would tell something new."""
         self.load_changed = changed
 
     def tell_doubts(self, changed: Callable[[], None]) -> None:
         """`changed` is called whenever `doubts` would tell something new."""
-        self.standing.changed = changed
+        self.health.changed = changed
 
     def doubts(self) -> Doubts:
         """Failures that our calls saw, by upstream and our zone, each as of one balancer."""
-        return self.tiers.trust.seen(time.monotonic())
+        return self.tiers.outliers.seen(time.monotonic())
 
     def heed_doubts(self, told: Doubts) -> None:
         """What all balancers together hold against upstreams, ourselves among them."""
-        self.tiers.trust.heed(told, self.tiers.peer, time.monotonic())
+        self.tiers.outliers.heed(told, self.tiers.peer, time.monotonic())
 
-    def tell_kept(self, tell: Callable[[bytes, str], None]) -> None:
+    def watch_cached_prefixes(self, tell: Callable[[bytes, str], None]) -> None:
         """`tell` hears of each subject whose shared parts an upstream has newly read or fetched for us."""
         self._tell_kept = tell
 
-    def heed_kept(self, subject: bytes, upstream: str) -> None:
+    def add_cached_prefix(self, subject: bytes, upstream: str) -> None:
         """Another balancer has seen that an upstream has the shared parts of a subject."""
         if self.tiers.peer(upstream) is not None:
-            self.tiers.kept.add(subject, upstream)
+            self.tiers.prefix_index.add(subject, upstream)
 
-    def kept(self, peer: Peer, prompt: Prompt) -> None:
+    def on_prompt_cached(self, peer: Peer, prompt: Prompt) -> None:
         """An upstream has read or fetched a prompt for us."""
-        is_new = self.tiers.kept.add(prompt.subject, peer.entry.id)
-        if is_new and prompt.shared >= TOLD_TOKENS and self._tell_kept is not None:
-            self._tell_kept(prompt.subject, peer.entry.id)
+        is_new = self.tiers.prefix_index.add(prompt.prefix, peer.entry.id)
+        if is_new and prompt.shared_tokens >= TOLD_TOKENS and self._tell_kept is not None:
+            self._tell_kept(prompt.prefix, peer.entry.id)
 
     async def drain(self) -> None:
         """Not ready from now on; returns when all is answered, or shortly before `bounds.grace_s` ends."""
@@ -247,7 +247,7 @@
             self._server.stop()
         self.upstreams.stop()
 
-    def figures(self) -> dict[str, Any]:
+    def counts(self) -> dict[str, Any]:
         """What has been served and what is in flight, for a status call."""
         ends = {final.value: count for final, count in self.counters.ends.items()}
         out, version = self.tiers.in_flight(), self._table.version
@@ -325,8 +325,8 @@
         """The client has gone."""
         passage = self._requests.get(number)
         if passage is not None:
-            passage.left()
+            passage.on_client_left()
 
-    def ended(self, number: int) -> None:
+    def on_request_ended(self, number: int) -> None:
         """A request has its answer."""
         self._requests.pop(number, None)
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -8,7 +8,7 @@
 from balancer.peer import Peer
 from balancer.prompt import Prompt
 from balancer.request_counters import RequestCounters
-from balancer.standing import Standing
+from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
 from balancer.urgency import Urgency
 from config.settings import Settings
@@ -31,7 +31,7 @@
         """The upstreams by part, and the choice among them."""
 
     @property
-    def standing(self) -> Standing:
+    def health(self) -> UpstreamHealth:
         """What the ends of calls say of upstreams."""
 
     @property
@@ -48,11 +48,11 @@
     def load_changed(self) -> None:
         """A call was sent, or has ended."""
 
-    def kept(self, peer: Peer, prompt: Prompt) -> None:
+    def on_prompt_cached(self, peer: Peer, prompt: Prompt) -> None:
         """An upstream has read or fetched a prompt for us."""
 
     def free(self, handle: Handle) -> None:
         """Free memory that nobody will fetch."""
 
-    def ended(self, number: int) -> None:
+    def on_request_ended(self, number: int) -> None:
         """A request has its answer."""
--- a/balancer/kept.py
+++ b/balancer/kept.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Collection
 
-MOST_PAIRS = 24_576  # of a subject and an upstream: what all balancers tell each other of is no more
+MAX_PAIRS = 24_576  # of a subject and an upstream: what all balancers tell each other of is no more
 _NOBODY: dict[str, None] = {}
 
 
-class KeptParts:
+class PrefixIndex:
     """The table of one balancer, by subject."""
 
-    def __init__(self, most: int = MOST_PAIRS) -> None:
+    def __init__(self, most: int = MAX_PAIRS) -> None:
         self._most, self._pairs = most, 0
         self._holders: dict[bytes, dict[str, None]] = {}  # the subject heard of last is the last
 
--- a/balancer/pair.py
+++ b/balancer/pair.py
@@ -79,7 +79,7 @@
         """It did not arrive after all."""
 
 
-class Pair:
+class RequestStateMachine:
     """The steps of one request."""
 
     def __init__(self, tries: int, idempotent: bool, resumable: bool, budget: Budget) -> None:
--- a/balancer/patience.py
+++ b/balancer/patience.py
@@ -24,7 +24,7 @@
     if not tokens:
         return RUN_PATIENCE_S
     # Nothing comes before all is read; what came later but is more urgent may be read first.
-    pace = max(peer.pace, PACE_S) if reads else PACE_S * ITSELF
+    pace = max(peer.prefill_s_per_token, PACE_S) if reads else PACE_S * ITSELF
     return READ_PATIENCE_S + min(READ_PATIENCE * pace * max(outstanding, LEAST_TOKENS), READ_PATIENCE_MOST_S)
 
 
@@ -53,7 +53,7 @@
 
     def _look(self, due: float, peer: Peer, allowed: Callable[[], float]) -> None:
         most = allowed()
-        quiet = time.monotonic() - max(self._sent, peer.heard_at)
+        quiet = time.monotonic() - max(self._sent, peer.last_received_at)
         if asyncio.get_running_loop().time() - due > STOPPED_S:  # we stood still: what has come lies unread
             self._look_in(most, peer, allowed)
         elif quiet < most:
--- a/balancer/peer.py
+++ b/balancer/peer.py
@@ -19,53 +19,60 @@
         "cold_since",
         "cold_until",
         "entry",
-        "heard_at",
-        "home",
-        "pace",
+        "failed_fetches",
+        "id_bytes",
+        "is_silent",
+        "last_received_at",
+        "pending_tokens",
+        "prefill_s_per_token",
         "server",
-        "silent",
-        "spoilt",
-        "tokens",
     )
 
     def __init__(self, entry: Upstream, now: float, rank: float) -> None:
         self.entry = entry
         self.server = Server(face.Member(entry.id, zone=entry.zone), now * 1000, rank)
-        self.tokens = 0  # of prompts that are being read there for us
+        self.pending_tokens = 0  # of prompts that are being read there for us
         self.blocked_until = 0.0
         self.cold_since, self.cold_until = 0.0, 0.0  # it is slow yet, as the list says
-        self.heard_at, self.silent = now, False  # silent: it owes us a word for too long, or can't be reached
-        self.spoilt = 0  # handles from here that could not be fetched, since the last one that was
-        self.pace = 0.0  # seconds for each of our outstanding tokens that a prefill call has taken, smoothed
-        self.home = entry.id.encode()
+        self.last_received_at, self.is_silent = (
+            now,
+            False,
+        )  # silent: it owes us a word for too long, or can't be reached
+        self.failed_fetches = 0  # handles from here that could not be fetched, since the last one that was
+        self.prefill_s_per_token = (
+            0.0  # seconds for each of our outstanding tokens that a prefill call has taken, smoothed
+        )
+        self.id_bytes = entry.id.encode()
 
-    def sent(self, now: float, tokens: int) -> None:
+    def on_call_sent(self, now: float, tokens: int) -> None:
         """A call goes out to it."""
         self.server.catch_up(now * 1000)
         self.server.in_flight += 1
         self.server.last_sent = now * 1000
-        self.tokens += tokens
+        self.pending_tokens += tokens
 
-    def read(self, seconds: float, tokens: int) -> None:
+    def on_prompt_read(self, seconds: float, tokens: int) -> None:
         """A prompt was read, with so many tokens outstanding when it was sent."""
         pace = seconds / max(tokens, LEAST_TOKENS)
-        self.pace += (pace - self.pace) * (PACE_SHARE if self.pace else 1.0)
+        self.prefill_s_per_token += (pace - self.prefill_s_per_token) * (
+            PACE_SHARE if self.prefill_s_per_token else 1.0
+        )
 
-    def fetched(self, now: float, well: bool) -> None:
+    def on_fetch_ended(self, now: float, well: bool) -> None:
         """Memory from here was fetched, or could not be: if that goes on nothing is read here for a while."""
-        self.spoilt = 0 if well else self.spoilt + 1
-        if self.spoilt >= SPOILT:
-            self.avoid(now, SPOILT_S)
+        self.failed_fetches = 0 if well else self.failed_fetches + 1
+        if self.failed_fetches >= SPOILT:
+            self.block(now, SPOILT_S)
 
-    def ended(self, now: float, tokens: int, served: bool) -> None:
+    def on_call_ended(self, now: float, tokens: int, served: bool) -> None:
         """A call there is over; one that did not run adds nothing to its rate."""
         self.server.catch_up(now * 1000)
         self.server.in_flight -= 1
-        self.tokens -= tokens
+        self.pending_tokens -= tokens
         if served:
             self.server.served += 1
 
-    def told_cold(self, now: float, left_ms: float) -> None:
+    def set_cold(self, now: float, left_ms: float) -> None:
         """The list has a new word on how long it is cold yet; 0: it is not."""
         self.cold_since, self.cold_until = now, now + left_ms / 1000 if left_ms else 0.0
 
@@ -73,10 +80,10 @@
         """Whether it is slow yet, and bears few requests."""
         return now < self.cold_until
 
-    def heard(self, now: float) -> None:
+    def on_data_received(self, now: float) -> None:
         """Something has come from it."""
-        self.heard_at, self.silent = now, False
+        self.last_received_at, self.is_silent = now, False
 
-    def avoid(self, now: float, span: float) -> None:
+    def block(self, now: float, span: float) -> None:
         """Send nothing there for so long."""
         self.blocked_until = max(self.blocked_until, now + span)
--- a/balancer/prompt.py
+++ b/balancer/prompt.py
@@ -14,8 +14,8 @@
     """`tokens` to be read, `shared` of them in parts that others have too; `subject`: the last of those."""
 
     tokens: int = 0
-    shared: int = 0
-    subject: bytes = b""
+    shared_tokens: int = 0
+    prefix: bytes = b""
 
 
 def read_prompt(prefix: bytes | None, count: bytes | None) -> Prompt:
--- a/balancer/readiness.py
+++ b/balancer/readiness.py
@@ -8,15 +8,17 @@
 
 from config.settings import Address
 
-MOST = 4096  # bytes of one question
-MOST_OPEN = 64  # connections at once: the platform needs one or two; beyond that the oldest goes
+MAX_REQUEST_BYTES = 4096  # bytes of one question
+MAX_CONNECTIONS = 64  # connections at once: the platform needs one or two; beyond that the oldest goes
 Other = Callable[[bytes, asyncio.Transport], bool]  # answers a question that is none of readiness
 
 
-class _Asked(asyncio.Protocol):
+class _ReadinessConnection(asyncio.Protocol):
     """One connection of the platform."""
 
-    def __init__(self, is_ready: Callable[[], bool], other: Other | None, opened: dict[_Asked, None]) -> None:
+    def __init__(
+        self, is_ready: Callable[[], bool], other: Other | None, opened: dict[_ReadinessConnection, None]
+    ) -> None:
         self._is_ready, self._other, self._held = is_ready, other, b""
         self._opened = opened  # all connections, the oldest first
         self._transport: asyncio.Transport | None = None
@@ -25,7 +27,7 @@
         """The platform has connected."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's do not derive from it
         self._opened[self] = None
-        if len(self._opened) > MOST_OPEN:
+        if len(self._opened) > MAX_CONNECTIONS:
             next(iter(self._opened)).give_way()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -60,7 +62,7 @@
             if last:
                 transport.close()
                 return
-        if len(self._held) > MOST:
+        if len(self._held) > MAX_REQUEST_BYTES:
             transport.abort()
 
 
@@ -68,6 +70,6 @@
     address: Address, is_ready: Callable[[], bool], other: Other | None = None
 ) -> asyncio.Server:
     """Answer `GET /api/readyz` at this address; raises OSError where it can't be bound."""
-    opened: dict[_Asked, None] = {}
+    opened: dict[_ReadinessConnection, None] = {}
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: _Asked(is_ready, other, opened), *address)
+    return await loop.create_server(lambda: _ReadinessConnection(is_ready, other, opened), *address)
--- a/balancer/relay.py
+++ b/balancer/relay.py
@@ -47,9 +47,9 @@
         self.bad = False  # the run was broken by what it brought
 
     @property
-    def last(self) -> int | None:
+    def last_event_id(self) -> int | None:
         """The last event that the client has."""
-        return self._events.last
+        return self._events.last_event_id
 
     def begin_anew(self) -> None:
         """Another run goes on from the last event."""
--- a/balancer/request_counters.py
+++ b/balancer/request_counters.py
@@ -34,8 +34,8 @@
         self.in_flight = 0
         self.ends = dict.fromkeys(Final, 0)
         self.refusals = dict.fromkeys(Refusal, 0)
-        self.tokens_read, self.tokens_read_again = 0, 0
-        self.shared_again = 0  # tokens of shared parts, read by one upstream while another has them
+        self.tokens_read, self.tokens_reread = 0, 0
+        self.shared_tokens_reread = 0  # tokens of shared parts, read by one upstream while another has them
         self.calls_to_cold = dict.fromkeys(Try, 0)
         self.first_events = [0] * (len(FIRST_EVENT_S) + 1)  # by how long they took; the last one: longer
         self.first_events_s = 0.0  # in all
@@ -56,7 +56,7 @@
     def reads(self, tokens: int, again: bool) -> None:
         """An upstream is sent so many tokens to read; `again`: another was sent the same request before."""
         if again:
-            self.tokens_read_again += tokens
+            self.tokens_reread += tokens
         else:
             self.tokens_read += tokens
 
--- a/balancer/standing.py
+++ b/balancer/standing.py
@@ -22,7 +22,7 @@
     """Nobody wants to be told."""
 
 
-class Standing:
+class UpstreamHealth:
     """Keeps it for one balancer."""
 
     def __init__(self, tiers: Tiers, upstreams: Upstreams) -> None:
@@ -31,7 +31,7 @@
 
     def ended(self, peer: Peer, outcome: Outcome, answer: Answer | None, good: bool) -> None:
         """A call of ours has ended there; `good`: nothing of its answer was spoilt."""
-        self._tiers.trust.ended(peer, time.monotonic())
+        self._tiers.outliers.ended(peer, time.monotonic())
         if is_failure(outcome, answer, good):
             self._failed(peer, HARD)
 
@@ -44,26 +44,26 @@
 
         `each`: what a call that is out there counts.
         """
-        if not peer.silent:
-            peer.silent = True
+        if not peer.is_silent:
+            peer.is_silent = True
             logger.warning("event=silent upstream={}", peer.entry.id)
             self._failed(peer, each * max(peer.server.in_flight, 1))  # each call that is out there is owed
             self._upstreams.drop_idle(peer.entry.id)
             asyncio.get_running_loop().call_later(PROBE_S, self._probe, peer)
 
     def _failed(self, peer: Peer, count: int) -> None:
-        self._tiers.trust.failed(peer, time.monotonic(), count)
+        self._tiers.outliers.failed(peer, time.monotonic(), count)
         self.changed()
         asyncio.get_running_loop().call_later(WINDOW_S, lambda: self.changed())  # it is out of date by then
 
     def _probe(self, peer: Peer) -> None:
         name = peer.entry.id
-        if not peer.silent or self._tiers.peer(name) is not peer:
+        if not peer.is_silent or self._tiers.peer(name) is not peer:
             return
 
         def found(reached: bool) -> None:
             if reached:
-                peer.heard(time.monotonic())
+                peer.on_data_received(time.monotonic())
                 logger.info("event=reached_again upstream={}", name)
             else:
                 asyncio.get_running_loop().call_later(PROBE_S, self._probe, peer)
--- a/balancer/streams.py
+++ b/balancer/streams.py
@@ -7,7 +7,7 @@
 _END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _ID = re.compile(rb"(?:^|[\r\n])id:[ \t]*([0-9]{1,18})[ \t]*(?=[\r\n])")
 
-MOST_HELD = 1024 * 1024  # bytes of one event; a longer one is no event
+MAX_EVENT_BYTES = 1024 * 1024  # bytes of one event; a longer one is no event
 
 
 class BadStreamError(Exception):
@@ -22,7 +22,7 @@
     """Splits what comes into whole events and checks their ids, which rise by one from `after` on."""
 
     def __init__(self, after: int | None = None) -> None:
-        self.last = after  # id of the last event that was given out; None: none had one yet
+        self.last_event_id = after  # id of the last event that was given out; None: none had one yet
         self.events = 0
         self._held = b""
 
@@ -43,7 +43,7 @@
                 raise BadStreamError(data[:start])
             start = end.end()
         self._held = data[start:]
-        if len(self._held) > MOST_HELD:
+        if len(self._held) > MAX_EVENT_BYTES:
             raise BadStreamError(data[:start])
         return data[:start]
 
@@ -52,8 +52,8 @@
         if found is None:
             return True
         number = int(found[1])
-        if self.last is not None and number != self.last + 1:
+        if self.last_event_id is not None and number != self.last_event_id + 1:
             return False
-        self.last = number
+        self.last_event_id = number
         self.events += 1
         return True
--- a/balancer/tiers.py
+++ b/balancer/tiers.py
@@ -12,14 +12,14 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 
 from balancer.cold_share import ColdShare
-from balancer.kept import KeptParts
+from balancer.kept import PrefixIndex
 from balancer.peer import Peer
 from balancer.prompt import Prompt
-from balancer.trust import Trust
+from balancer.trust import OutlierDetector
 from balancer.versions import Wanted, with_wanted
 from config.configuration import Upstream
 from umberworks import interface as face
-from umberworks.choice import Choice
+from umberworks.choice import ServerSelector
 
 PREFILL, DECODE = "prefill", "decode"
 PACE_S = 0.000025  # seconds for each token of a prompt, until it is learned
@@ -36,14 +36,14 @@
     """The ready upstreams of one service and part."""
 
     def __init__(self, chance: random.Random) -> None:
-        self.choice = Choice(_RULE, chance)
+        self.selector = ServerSelector(_RULE, chance)
         self.peers: list[Peer] = []
 
-    def take(self, peers: list[Peer], now: float) -> None:
+    def update(self, peers: list[Peer], now: float) -> None:
         """Take over which they are."""
         if [p.entry.id for p in peers] != [p.entry.id for p in self.peers]:
             self.peers = peers
-            self.choice.take([p.server for p in peers], now * 1000)
+            self.selector.take([p.server for p in peers], now * 1000)
 
 
 class Tiers:
@@ -63,16 +63,18 @@
         """
         self._chance, self._has_place = chance, has_place
         self._has_idle = has_idle or has_place
-        self.trust = Trust(zone, self._size)
+        self.outliers = OutlierDetector(zone, self._size)
         self._cold_share = cold_share
-        self.others: Callable[[str], tuple[int, int]] = _unknown  # others' calls and tokens at an upstream
+        self.other_loads: Callable[[str], tuple[int, int]] = (
+            _unknown  # others' calls and tokens at an upstream
+        )
         self._peers: dict[str, Peer] = {}
         self._groups: dict[tuple[str, str], Group] = {}
         self._entries: tuple[Upstream, ...] | None = None
         self._versions: Mapping[str, Wanted] = {}  # of models' weights, by service
-        self.kept = KeptParts()
+        self.prefix_index = PrefixIndex()
 
-    def take(self, entries: tuple[Upstream, ...], now: float) -> bool:
+    def update(self, entries: tuple[Upstream, ...], now: float) -> bool:
         """Take over the whole list; whether it has changed. Draining and missing ones get nothing new."""
         if entries == self._entries:
             return False
@@ -91,16 +93,16 @@
             else:
                 emptied.discard(entry.id)
             if peer is not known.get(entry.id) or peer.entry.cold_left_ms != entry.cold_left_ms:
-                peer.told_cold(now, entry.cold_left_ms)
+                peer.set_cold(now, entry.cold_left_ms)
             peer.entry = entry
             self._peers[entry.id] = peer
         self._regroup(now)
-        self.kept.forget(emptied)
-        self.trust.keep_only(self._peers)
-        self.trust.zones = len({entry.zone for entry in entries})
+        self.prefix_index.forget(emptied)
+        self.outliers.keep_only(self._peers)
+        self.outliers.zones = len({entry.zone for entry in entries})
         return True
 
-    def want_versions(self, versions: Mapping[str, Wanted], now: float) -> None:
+    def set_wanted_versions(self, versions: Mapping[str, Wanted], now: float) -> None:
         """The versions of models' weights that services are to run, where upstreams hold them."""
         if versions != self._versions:
             self._versions = versions
@@ -116,7 +118,7 @@
         for key in self._groups.keys() | ready.keys():
             if key not in self._groups:
                 self._groups[key] = Group(self._chance)
-            self._groups[key].take(sorted(ready.get(key, []), key=lambda p: p.entry.id), now)
+            self._groups[key].update(sorted(ready.get(key, []), key=lambda p: p.entry.id), now)
 
     def _size(self, part: tuple[str, str]) -> int:
         group = self._groups.get(part)
@@ -132,8 +134,8 @@
 
     def missing(self, peer: Peer, prompt: Prompt) -> int:
         """How many tokens of a prompt an upstream would have to read."""
-        has = peer.entry.id in self.kept.holders(prompt.subject)
-        return prompt.tokens - prompt.shared if has else prompt.tokens
+        has = peer.entry.id in self.prefix_index.holders(prompt.prefix)
+        return prompt.tokens - prompt.shared_tokens if has else prompt.tokens
 
     def has_any(self) -> bool:
         """Whether any upstream is ready."""
@@ -147,15 +149,15 @@
         group = self._groups.get((service, part))
         return group is not None and bool(group.peers)
 
-    def pick_reader(self, service: str, prompt: Prompt, avoid: Collection[str], now: float) -> Peer | None:
+    def pick_prefill(self, service: str, prompt: Prompt, avoid: Collection[str], now: float) -> Peer | None:
         """The prefill upstream that reads a prompt: where that takes least, the subject's home first."""
         group = self._groups.get((service, PREFILL))
-        able = self._able(group, avoid, now)
+        able = self._eligible(group, avoid, now)
         if group is None or not able:
             return None
         return self._draw(group, self._near(group, self._readers(able, prompt)), now)
 
-    def pick_runner(
+    def pick_decode(
         self,
         service: str,
         prompt: Prompt | None,
@@ -171,14 +173,14 @@
         group = self._groups.get((service, DECODE))
         if group is None or not group.peers:
             group, prompt = self._groups.get((service, "")), None
-        able = self._able(group, avoid, now, repeatable)
+        able = self._eligible(group, avoid, now, repeatable)
         if group is None or not able:
             return None
         if prompt is not None and prompt.tokens:
             return self._draw(group, self._readers(able, prompt), now)
         tokens = [self.outstanding(p) for p in able]  # what is read there goes between the tokens of runs
         able = [p for p, held in zip(able, tokens, strict=True) if held <= min(tokens) + SPARE_TOKENS]
-        calls = [p.server.in_flight + self.others(p.entry.id)[0] for p in able]
+        calls = [p.server.in_flight + self.other_loads(p.entry.id)[0] for p in able]
         most = min(calls) * BUSIER + SPARE_CALLS
         able = [p for p, held in zip(able, calls, strict=True) if held <= most]
         able = [p for p in able if p.entry.zone == zone] or able
@@ -208,38 +210,38 @@
 
         A subject that nobody has read has its home where rendezvous hashing puts it: all read it there.
         """
-        home, holders = None, self.kept.holders(prompt.subject)
-        if prompt.subject and able and not any(p.entry.id in holders for p in able):
-            home = max(able, key=lambda p: _weight(prompt.subject, p.home))
-        own = prompt.tokens - prompt.shared
+        home, holders = None, self.prefix_index.holders(prompt.prefix)
+        if prompt.prefix and able and not any(p.entry.id in holders for p in able):
+            home = max(able, key=lambda p: _rendezvous_weight(prompt.prefix, p.id_bytes))
+        own = prompt.tokens - prompt.shared_tokens
         costs = []
         for peer in able:
-            shared = 0 if peer.entry.id in holders else prompt.shared * (1 if peer is home else AGAIN)
+            shared = 0 if peer.entry.id in holders else prompt.shared_tokens * (1 if peer is home else AGAIN)
             costs.append(float(self.outstanding(peer) + own + shared))
         return costs, home
 
-    def cost(self, service: str, part: str, prompt: Prompt, now: float) -> float:
+    def prefill_cost(self, service: str, part: str, prompt: Prompt, now: float) -> float:
         """The least of those costs in a tier, in tokens; infinite where nobody is there."""
-        able = self._able(self._groups.get((service, part)), (), now)
+        able = self._eligible(self._groups.get((service, part)), (), now)
         return min(self._costs(able, prompt)[0], default=math.inf)
 
     # ---- what it would take
 
     def outstanding(self, peer: Peer) -> int:
         """Prompt tokens that all balancers together wait for there, as far as we know."""
-        return peer.tokens + self.others(peer.entry.id)[1]
+        return peer.pending_tokens + self.other_loads(peer.entry.id)[1]
 
-    def reading(self, service: str, now: float) -> float:
+    def prefill_wait_s(self, service: str, now: float) -> float:
         """Seconds until a prefill upstream begins to read what comes now; infinite where there is none."""
-        able = self._able(self._groups.get((service, PREFILL)), (), now)
-        return min((self.outstanding(p) * (p.pace or PACE_S) for p in able), default=math.inf)
+        able = self._eligible(self._groups.get((service, PREFILL)), (), now)
+        return min((self.outstanding(p) * (p.prefill_s_per_token or PACE_S) for p in able), default=math.inf)
 
-    def reading_itself(self, service: str, now: float) -> float:
+    def decode_wait_s(self, service: str, now: float) -> float:
         """Seconds until a decode upstream begins to read what comes now without its memory."""
-        able = self._able(self._groups.get((service, DECODE)), (), now)
+        able = self._eligible(self._groups.get((service, DECODE)), (), now)
         return min((self.outstanding(p) for p in able), default=math.inf) * PACE_S * ITSELF
 
-    def _able(
+    def _eligible(
         self, group: Group | None, avoid: Collection[str], now: float, repeatable: bool = True
     ) -> list[Peer]:
         """Those of its ready ones that are trusted, not avoided or blocked; blocked ones rather than none.
@@ -252,25 +254,25 @@
         able = [p for p in group.peers if p.entry.id not in avoid and self._has_place(p.entry.id)]
         if (share := self._cold_share) is not None:
             able = [p for p in able if now >= p.cold_until or share.allows(p, now)]
-        heard = [p for p in able if not p.silent]
+        heard = [p for p in able if not p.is_silent]
         if not heard:
             return able
-        heard = self.trust.narrow(heard, repeatable, now)
+        heard = self.outliers.narrow(heard, repeatable, now)
         return [p for p in heard if p.blocked_until <= now] or heard
 
     def _draw(self, group: Group, able: list[Peer], now: float) -> Peer:
         if len(able) == 1:
             return able[0]
-        median = group.choice.bring_up(now * 1000)
-        chosen = group.choice.pick([p.server for p in able], median, now * 1000)
+        median = group.selector.bring_up(now * 1000)
+        chosen = group.selector.pick([p.server for p in able], median, now * 1000)
         return next(p for p in able if p.server is chosen)
 
     def loads(self) -> dict[str, tuple[int, int]]:
         """Our calls and outstanding prompt tokens, by upstream; those with none are left out."""
         return {
-            p.entry.id: (p.server.in_flight, p.tokens)
+            p.entry.id: (p.server.in_flight, p.pending_tokens)
             for p in self._peers.values()
-            if p.server.in_flight > 0 or p.tokens > 0
+            if p.server.in_flight > 0 or p.pending_tokens > 0
         }
 
     def in_flight(self) -> int:
@@ -282,6 +284,6 @@
     return 0, 0
 
 
-def _weight(subject: bytes, upstream: bytes) -> bytes:
+def _rendezvous_weight(subject: bytes, upstream: bytes) -> bytes:
     """Rendezvous hashing: a subject's home is the upstream of the highest weight, whoever else is there."""
     return hashlib.blake2b(subject + b"@" + upstream, digest_size=8).digest()
--- a/balancer/trust.py
+++ b/balancer/trust.py
@@ -55,7 +55,7 @@
     return outcome is Outcome.BROKEN or not good
 
 
-class Trust:
+class OutlierDetector:
     """What one balancer thinks of the upstreams. Times in seconds on the steady clock."""
 
     def __init__(self, zone: str, size: Callable[[tuple[str, str]], int]) -> None:
@@ -135,13 +135,13 @@
         """Those upstreams, by name."""
         return sorted(self._distrusted)
 
-    def standing(self, name: str, now: float) -> str:
+    def state(self, name: str, now: float) -> str:
         """For a report: "distrusted", "wary" (it gets what may be repeated), or empty."""
         if name in self._distrusted:
             return "distrusted"
         return "wary" if self._wary.get(name, 0.0) > now else ""
 
-    def failures(self, name: str) -> int:
+    def failure_count(self, name: str) -> int:
         """For a report: calls that failed there in the last seconds, as all balancers have seen them."""
         return self._held_against(name) // HARD
 
--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -9,7 +9,7 @@
 from balancer.context import RequestContext
 from balancer.patience import Watch, patience
 from balancer.peer import Peer
-from balancer.wire import Staged
+from balancer.wire import UpstreamRequest
 from passpost.attempt import Attempt, Done, Sink
 from passpost.http1 import Answer
 from umberworks.interface import Outcome
@@ -40,17 +40,17 @@
         self.booked = 0  # all that was outstanding there once it was booked
         self.left = False  # it was given up, as its upstream is silent
 
-    def send(self, peer: Peer, request: Staged, tokens: int, sink: Sink | None, done: Done) -> None:
+    def send(self, peer: Peer, request: UpstreamRequest, tokens: int, sink: Sink | None, done: Done) -> None:
         """Send a request; without a sink it is a prefill call. `done` calls `ended` first."""
         now = time.monotonic()
         self.peer, self.tokens, self._sent = peer, tokens, now
         self.left, self.reads = False, sink is None
-        peer.sent(now, tokens)
+        peer.on_call_sent(now, tokens)
         if peer.is_cold(now):
             self._context.counters.to_cold(bool(self.avoid))
         self.booked = self._context.tiers.outstanding(peer)
         self._context.load_changed()
-        left = max(request.ends - now, 0.0)
+        left = max(request.deadline - now, 0.0)
         attempt = self._context.upstreams.send(
             peer.entry.id,
             request,
@@ -80,23 +80,23 @@
         self._attempt, self.peer = None, None
         self._watch.end()
         if answer is not None:
-            peer.heard(now)
-        peer.ended(now, self.tokens, good and outcome is Outcome.SERVED)
-        self._context.standing.ended(peer, outcome, answer, good)
+            peer.on_data_received(now)
+        peer.on_call_ended(now, self.tokens, good and outcome is Outcome.SERVED)
+        self._context.health.ended(peer, outcome, answer, good)
         self._context.load_changed()
         if outcome is Outcome.TURNED_AWAY and answer is not None:
-            peer.avoid(now, MISPLACED_S if answer.status == 421 else FULL_S)
+            peer.block(now, MISPLACED_S if answer.status == 421 else FULL_S)
             self.avoid.add(peer.entry.id)
         elif outcome in (Outcome.UNREACHED, Outcome.BROKEN, Outcome.TIMED_OUT):
             if outcome is Outcome.UNREACHED:
-                self._context.standing.unreached(peer)
+                self._context.health.unreached(peer)
             self.avoid.add(peer.entry.id)
         return peer
 
     def prompt_is_read(self) -> None:
         """Its upstream has read the prompt: nothing is outstanding there for it."""
         if self.peer is not None:
-            self.peer.tokens -= self.tokens
+            self.peer.pending_tokens -= self.tokens
             self.tokens = 0
 
     def _patience(self) -> float:
@@ -108,7 +108,7 @@
 
     def _silent(self, peer: Peer, quiet: float, most: float) -> None:
         """The upstream is silent; what may be sent again moves on."""
-        self._context.standing.silent(peer)
+        self._context.health.silent(peer)
         if self.reads or self._may_leave(quiet, most):
             self.left = True
             self.cancel()
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -43,31 +43,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Staged(Outgoing):
+class UpstreamRequest(Outgoing):
     """A request on its way to one upstream; `ends`: when its client stops waiting, on the steady clock."""
 
-    ends: float = 0.0
+    deadline: float = 0.0
     request_id: bytes = b""
     extra: bytes = b""  # header lines of this stage
-    is_careful: bool = False  # it may run once, or a call of its request has broken off already
+    needs_fresh_connection: bool = False  # it may run once, or a call of its request has broken off already
 
     def write(self, remaining: float) -> bytes:
         """The bytes for the wire, with the milliseconds that are left now."""
-        left = max(self.ends - time.monotonic(), 0.0) * 1000
+        left = max(self.deadline - time.monotonic(), 0.0) * 1000
         return b"%bMastturn-Deadline-Ms: %d\r\n%b\r\n%b" % (self.head, left, self.extra, self.body)
 
     @property
     def needs_unused(self) -> bool:
         """What crosses an upstream's stray bytes and its close is never read, and nobody can tell."""
-        return self.is_careful
+        return self.needs_fresh_connection
 
     @property
     def is_due(self) -> IsDue:
         """By its id; see `is_ours`."""
-        return lambda status, headers: is_ours(status, headers, self.request_id)
+        return lambda status, headers: belongs_to_request(status, headers, self.request_id)
 
 
-def is_ours(status: int, headers: Headers, request_id: bytes) -> bool:
+def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
     """Whether an answer belongs to this request.
 
     Every answer carries its request's id; only one that says that nothing was run may lack it (PROTOCOL,
--- a/mastturn/capacity/choices.py
+++ b/mastturn/capacity/choices.py
@@ -38,7 +38,7 @@
 
     def __init__(self, count: int, shape: Shape, seed: int) -> None:
         self._tiers, self._shape = Tiers(random.Random(seed), lambda name: True), shape
-        self._tiers.take(_entries(count), 0.0)
+        self._tiers.update(_entries(count), 0.0)
         self._chance = random.Random(seed + 1)
         self._rate = shape.requests_s * count / shape.upstreams
         self._subjects = [b"%08x" % i for i in range(SUBJECTS * count)]
@@ -52,13 +52,13 @@
             self.now += self._chance.expovariate(self._rate)
             while self._ends and self._ends[0][0] <= self.now:
                 at, _, peer, tokens = heapq.heappop(self._ends)
-                peer.ended(at, tokens, True)
+                peer.on_call_ended(at, tokens, True)
                 if tokens:
                     self._run(at, peer)
             self._read()
 
     def _out(self, peer: Peer, at: float, mean_s: float, tokens: int) -> None:
-        peer.sent(at, tokens)
+        peer.on_call_sent(at, tokens)
         self._count += 1
         end = at + self._chance.expovariate(1 / mean_s)
         heapq.heappush(self._ends, (end, self._count, peer, tokens))
@@ -68,19 +68,19 @@
         prompt = Prompt(tokens, tokens // 2, self._chance.choice(self._subjects))
         began = time.process_time_ns()
         self._tiers.is_split(SERVICE)
-        self._tiers.reading(SERVICE, self.now)
-        self._tiers.reading_itself(SERVICE, self.now)
-        self._tiers.cost(SERVICE, PREFILL, prompt, self.now)
-        self._tiers.cost(SERVICE, DECODE, prompt, self.now)
-        peer = self._tiers.pick_reader(SERVICE, prompt, (), self.now)
+        self._tiers.prefill_wait_s(SERVICE, self.now)
+        self._tiers.decode_wait_s(SERVICE, self.now)
+        self._tiers.prefill_cost(SERVICE, PREFILL, prompt, self.now)
+        self._tiers.prefill_cost(SERVICE, DECODE, prompt, self.now)
+        peer = self._tiers.pick_prefill(SERVICE, prompt, (), self.now)
         self.spent += (time.process_time_ns() - began) / 1e9
         assert peer is not None
         self._out(peer, self.now, self._shape.read_s, tokens)
-        self._tiers.kept.add(prompt.subject, peer.entry.id)
+        self._tiers.prefix_index.add(prompt.prefix, peer.entry.id)
 
     def _run(self, at: float, reader: Peer) -> None:
         began = time.process_time_ns()
-        peer = self._tiers.pick_runner(SERVICE, None, reader.entry.zone, (), at)
+        peer = self._tiers.pick_decode(SERVICE, None, reader.entry.zone, (), at)
         self.spent += (time.process_time_ns() - began) / 1e9
         assert peer is not None
         self.moved += 1
--- a/mastturn/capacity/memory.py
+++ b/mastturn/capacity/memory.py
@@ -12,7 +12,7 @@
 import uvloop
 from loguru import logger
 
-from balancer.kept import MOST_PAIRS
+from balancer.kept import MAX_PAIRS
 from config.settings import CloudApi, Limits, Settings
 from control.platform import pack
 from dissemination.holdings import MOST_HOLDERS, MOST_SUBJECTS
@@ -110,7 +110,7 @@
 def _full(shape: Shape) -> int:
     """After so many of those news the table of what upstreams have read has been filled twice."""
     told = MOST_SUBJECTS * MOST_HOLDERS * shape.upstreams / TARGET.upstreams
-    return math.ceil(2 * MOST_PAIRS / told)
+    return math.ceil(2 * MAX_PAIRS / told)
 
 
 def measured() -> dict[str, Any]:
--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -75,7 +75,7 @@
         dataclasses.replace(u, state="draining") if i == entries // 2 else u for i, u in enumerate(parsed)
     )
     tiers = Tiers(random.Random(1), lambda name: True)
-    tiers.take(parsed, 0.0)
+    tiers.update(parsed, 0.0)
     takes = iter([other, parsed] * repeats)
     drains = [e | {"state": "draining"} if i == entries // 2 else e for i, e in enumerate(raw)]
     later = UpstreamNews(1, 2, pack(drains))
@@ -90,7 +90,7 @@
         "decode_s": cost_s(lambda: KINDS.decode(103, frame[HEAD:]), repeats),
         "parse_s": cost_s(lambda: parse_upstreams(page), repeats),
         "first_take_s": cost_s(lambda: Tiers(random.Random(1), lambda name: True).take(parsed, 0.0), repeats),
-        "take_s": cost_s(lambda: tiers.take(next(takes), 1.0), repeats),
+        "take_s": cost_s(lambda: tiers.update(next(takes), 1.0), repeats),
         "change_bytes": len(KINDS.encode(change)),
         "change_s": cost_s(lambda: changed(news, change), repeats),
         "change_tell_s": cost_s(lambda: change_of(news, later), repeats),
--- a/mastturn/capacity/traffic.py
+++ b/mastturn/capacity/traffic.py
@@ -70,14 +70,14 @@
         plane = self._fleet.plane(machine)
         peer = plane.tiers.peer(self._chance.choice(names))
         if peer is not None:
-            peer.sent(self._fleet.loop.time(), tokens)
+            peer.on_call_sent(self._fleet.loop.time(), tokens)
             self._out[peer.entry.id] += 1
             machine.program.context.copy().run(plane.load_changed)
         return peer
 
     def _ended(self, machine: Machine, peer: Peer, tokens: int) -> None:
         if not machine.program.is_dead:
-            peer.ended(self._fleet.loop.time(), tokens, True)
+            peer.on_call_ended(self._fleet.loop.time(), tokens, True)
             self._out[peer.entry.id] -= 1
             machine.program.context.copy().run(self._fleet.plane(machine).load_changed)
 
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -10,9 +10,9 @@
 from balancer.balancer import Balancer
 from balancer.ingress import RoutedCall
 from balancer.prompt import Prompt
-from balancer.standing import Standing
+from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
-from balancer.wire import Staged
+from balancer.wire import UpstreamRequest
 from config.configuration import Configuration, Upstream
 from config.settings import Bounds, CloudApi, Limits, Settings
 from dissemination.holdings import Holdings
@@ -46,7 +46,7 @@
         super().__init__(settings, seed)
         self.upstreams = upstreams
         self.tiers = tiers(self._chance, upstreams.has_place)
-        self.standing = Standing(self.tiers, upstreams)
+        self.health = UpstreamHealth(self.tiers, upstreams)
 
 
 class Node:
@@ -95,9 +95,9 @@
         self._others = OthersLoad()
         self.loads = LoadSum(self._own, self._loaded)
         self._reported: Loads = {}
-        self.plane.heed_others(self._others.of)
-        self.plane.tell_load(self.loads.touch)
-        self.plane.tell_kept(self._kept)
+        self.plane.set_other_loads(self._others.of)
+        self.plane.watch_loads(self.loads.touch)
+        self.plane.watch_cached_prefixes(self._kept)
         self.holdings = Holdings()
         self._unsaid: list[Holding] = []
 
@@ -125,7 +125,7 @@
             Prompt(asked.tokens, shared, subject),
             str(after).encode() if after is not None else None,
         )
-        outgoing = Staged(b"", b"", None, 0.0, name)
+        outgoing = UpstreamRequest(b"", b"", None, 0.0, name)
         self._clients[name] = client
         return self.plane.take_up(call, min(left, route.deadline_ms / 1000), outgoing, client, 0.0)
 
@@ -146,7 +146,7 @@
         if self.up:
             self.plane.left(number)
 
-    def _job(self, request: Staged, caller: Any, now: float) -> Job:
+    def _job(self, request: UpstreamRequest, caller: Any, now: float) -> Job:
         lines = extra(request)
         asked = self._asked[request.request_id]
         handle, source = "", None
@@ -160,7 +160,7 @@
             asked.own,
             asked.pieces,
             int(lines.get(b"Priority", b"5")),
-            request.ends,
+            request.deadline,
             b"Mastturn-Stage" in lines,
             after=int(lines.get(b"Last-Event-Id", b"0")),
             handle=handle,
@@ -169,7 +169,7 @@
 
     def _size_of(self, request: Outgoing) -> float:
         """Bytes of a request."""
-        asked = self._asked.get(request.request_id) if isinstance(request, Staged) else None
+        asked = self._asked.get(request.request_id) if isinstance(request, UpstreamRequest) else None
         return HEAD_BYTES + (asked.kind.req_bytes.mean if asked is not None else 0.0)
 
     # ---- the control side
@@ -201,7 +201,7 @@
         passages = list(self.plane._requests.values())
         clients, self._clients = self._clients, {}
         for passage in passages:
-            passage.left()
+            passage.on_client_left()
         for client in clients.values():
             client.break_off()
         if self.parent is not None:
@@ -273,7 +273,7 @@
     def _hold(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
         new = self.holdings.add(holdings)
         for holding in new:
-            self.plane.heed_kept(holding.subject, holding.upstream)
+            self.plane.add_cached_prefix(holding.subject, holding.upstream)
         if new:
             self._tell(HoldingNews(new))
         return new
--- a/mastturn/engines/choosers.py
+++ b/mastturn/engines/choosers.py
@@ -11,7 +11,7 @@
 
 from balancer.peer import Peer
 from balancer.prompt import Prompt
-from balancer.tiers import DECODE, PREFILL, Group, Tiers, _weight
+from balancer.tiers import DECODE, PREFILL, Group, Tiers, _rendezvous_weight
 
 
 class _Plain(Tiers):
@@ -21,13 +21,13 @@
         super().__init__(chance, has_place)
         self._turns = count()
 
-    def pick_reader(self, service: str, prompt: Prompt, avoid: Collection[str], now: float) -> Peer | None:
+    def pick_prefill(self, service: str, prompt: Prompt, avoid: Collection[str], now: float) -> Peer | None:
         """The prefill upstream that reads a prompt."""
         group = self._groups.get((service, PREFILL))
-        able = self._able(group, avoid, now)
+        able = self._eligible(group, avoid, now)
         return self._pick(group, able, prompt, now) if group is not None and able else None
 
-    def pick_runner(
+    def pick_decode(
         self,
         service: str,
         prompt: Prompt | None,
@@ -40,7 +40,7 @@
         group = self._groups.get((service, DECODE))
         if group is None or not group.peers:
             group = self._groups.get((service, ""))
-        able = self._able(group, avoid, now)
+        able = self._eligible(group, avoid, now)
         return self._pick(group, able, prompt, now) if group is not None and able else None
 
     def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
@@ -80,12 +80,12 @@
     """Where the subject's shared parts are, or else where hashing puts them; runs by two choices."""
 
     def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        if prompt is None or not prompt.subject:
+        if prompt is None or not prompt.prefix:
             drawn = [self._chance.choice(able), self._chance.choice(able)]
             return min(drawn, key=lambda p: p.server.in_flight)
-        holders = self.kept.holders(prompt.subject)
+        holders = self.prefix_index.holders(prompt.prefix)
         keepers = [p for p in able if p.entry.id in holders]
-        return max(keepers or able, key=lambda p: _weight(prompt.subject, p.home))
+        return max(keepers or able, key=lambda p: _rendezvous_weight(prompt.prefix, p.id_bytes))
 
 
 CHOOSERS: dict[str, Callable[..., Tiers]] = {
--- a/mastturn/engines/wire.py
+++ b/mastturn/engines/wire.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from balancer import options
-from balancer.wire import Staged
+from balancer.wire import UpstreamRequest
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import MISPLACED, Figures, Job
 from passpost.attempt import Done, Outgoing, Sink
@@ -102,7 +102,7 @@
             else:
                 self._back(self.end, Outcome.BROKEN)
             return
-        if not isinstance(self._request, Staged):
+        if not isinstance(self._request, UpstreamRequest):
             found = _FREED.match(self._request.head)
             if found is not None:
                 engine.handover.free(found[1].decode())
@@ -158,7 +158,7 @@
         if not self._flowing:
             self._flowing = True
             request = self._request
-            assert isinstance(request, Staged)
+            assert isinstance(request, UpstreamRequest)
             headers = [*_EVENTS, (b"Mastturn-Request-Id", request.request_id)]
             if not self._sink.start(Start(headers, None), Flowing()):
                 self.end(Outcome.BROKEN)
@@ -302,6 +302,6 @@
 _NOWHERE: Any = _Nowhere()
 
 
-def extra(request: Staged) -> dict[bytes, bytes]:
+def extra(request: UpstreamRequest) -> dict[bytes, bytes]:
     """The header lines of a stage."""
     return {name: value for name, value in _EXTRA.findall(request.extra)}
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -22,17 +22,17 @@
 def _stale_error_taken() -> None:
     from balancer import wire
 
-    def is_ours(status: int, headers: Headers, request_id: bytes) -> bool:
+    def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
         told = wire.header(headers, wire.REQUEST_ID)
         return told == request_id if told is not None else status >= 300
 
-    wire.is_ours = is_ours
+    wire.belongs_to_request = belongs_to_request
 
 
 def _id_not_looked_at() -> None:
     from balancer import wire
 
-    wire.is_ours = lambda status, headers, request_id: True
+    wire.belongs_to_request = lambda status, headers, request_id: True
 
 
 def _fin_taken_as_end() -> None:
@@ -80,14 +80,16 @@
 
 
 def _repeated_after_reset() -> None:
-    from balancer.pair import Budget, Pair
+    from balancer.pair import Budget, RequestStateMachine
 
-    made = Pair.__init__
+    made = RequestStateMachine.__init__
 
-    def make(self: Pair, tries: int, idempotent: bool, resumable: bool, budget: Budget) -> None:
+    def make(
+        self: RequestStateMachine, tries: int, idempotent: bool, resumable: bool, budget: Budget
+    ) -> None:
         made(self, tries, True, resumable, budget)
 
-    _replace(Pair, "__init__", make)
+    _replace(RequestStateMachine, "__init__", make)
 
 
 def _dropped_at_sigterm() -> None:
@@ -100,10 +102,10 @@
     from balancer.active_request import ActiveRequest
     from balancer.streams import EventReader
 
-    common = ActiveRequest._common
+    common = ActiveRequest._common_headers
 
     def skip_one(self: ActiveRequest, rank: int) -> bytes:
-        last = self._relay.last
+        last = self._relay.last_event_id
         told = common(self, rank)
         return told if last is None else told.replace(b"Event-Id: %d" % last, b"Event-Id: %d" % (last + 1))
 
@@ -112,7 +114,7 @@
     def accept(self: EventReader, data: bytes, start: int, end: int) -> bool:
         is_next = check(self, data, start, end)
         if not is_next:
-            self.last = None
+            self.last_event_id = None
             check(self, data, start, end)
         return True
 
@@ -142,15 +144,15 @@
 
 
 def _body_altered() -> None:
-    from balancer.wire import Staged
+    from balancer.wire import UpstreamRequest
 
-    write = Staged.write
+    write = UpstreamRequest.write
 
-    def alter(self: Staged, remaining: float) -> bytes:
+    def alter(self: UpstreamRequest, remaining: float) -> bytes:
         data = write(self, remaining)
         return data[:-BYTES_ALTERED] + bytes(BYTES_ALTERED) if len(self.body) > BYTES_LONG else data
 
-    _replace(Staged, "write", alter)
+    _replace(UpstreamRequest, "write", alter)
 
 
 def _replace(where: type, name: str, method: Any) -> None:
--- a/mastturnd/balancer_figures.py
+++ b/mastturnd/balancer_figures.py
@@ -20,7 +20,7 @@
     return [
         *_standing(told),
         *_requests(told, role.balancer.counters),
-        *_answers(role.balancer.answers),
+        *_answers(role.balancer.answer_log),
         *_news(told),
         *_upstreams(told),
         gauge("process_resident_memory_bytes", "Memory in use.", told["memory_kb"] * 1024),
@@ -63,12 +63,12 @@
             "counter",
             "Prompt tokens sent to be read; again: of a request that was sent to be read before.",
             "read",
-            {"first": read, "again": counters.tokens_read_again},
+            {"first": read, "again": counters.tokens_reread},
         ),
         counter(
             "station_shared_tokens_again_total",
             "Tokens of shared parts sent to be read while another upstream has them.",
-            counters.shared_again,
+            counters.shared_tokens_reread,
         ),
     ]
 
--- a/mastturnd/balancer_report.py
+++ b/mastturnd/balancer_report.py
@@ -21,7 +21,7 @@
 def status(role: ReportedRole) -> dict[str, Any]:
     """All that an operator may want of one balancer."""
     settings, balancer = role.settings, role.balancer
-    figures = balancer.figures()
+    figures = balancer.counts()
     now = time.monotonic()
     return {
         "role": BALANCER,
@@ -45,12 +45,12 @@
                 "part": peer.entry.phase,
                 "state": peer.entry.state,
                 "calls": peer.server.in_flight,
-                "tokens": peer.tokens,
-                "silent": peer.silent,
+                "tokens": peer.pending_tokens,
+                "silent": peer.is_silent,
                 "cold_ms": round(max(peer.cold_until - now, 0.0) * 1000),
                 "blocked_ms": round(max(peer.blocked_until - now, 0.0) * 1000),
-                "trust": balancer.tiers.trust.standing(peer.entry.id, now),
-                "failures": balancer.tiers.trust.failures(peer.entry.id),
+                "trust": balancer.tiers.outliers.state(peer.entry.id, now),
+                "failures": balancer.tiers.outliers.failure_count(peer.entry.id),
             }
             for peer in _peers(role)
         ],
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -73,11 +73,11 @@
         self._feed = Feed(self._bulletin, KINDS, lambda: None)
         self._loads = LoadExchange(self.balancer.loads, self._bulletin, self._feed, lambda: self._follower)
         self._others = self._loads.others
-        self.balancer.heed_others(self._others.of)
-        self.balancer.tell_load(self._loads.sum.touch)
+        self.balancer.set_other_loads(self._others.of)
+        self.balancer.watch_loads(self._loads.sum.touch)
         self._holdings = Holdings()
         self._unsaid: list[Holding] = []  # seen here or below, and not reported yet
-        self.balancer.tell_kept(self._kept)
+        self.balancer.watch_cached_prefixes(self._kept)
         me = Present(settings.node, settings.ip, settings.zone)
         self._follower = Follower(
             me,
@@ -107,7 +107,7 @@
         self._headcount = Headcount()
         self._drained = False  # the configuration has us take no new clients
         self._tap: Any = None  # while every step of a request is logged
-        self.balancer.other_calls = self._asked
+        self.balancer.request_handler = self._asked
 
     async def start(self) -> None:
         """Listen, and hear the news from now on; raises OSError where an address can't be had."""
@@ -211,7 +211,7 @@
         """Take others' news; what is new goes on to whoever hears it from us."""
         new = self._holdings.add(holdings)
         for holding in new:
-            self.balancer.heed_kept(holding.subject, holding.upstream)
+            self.balancer.add_cached_prefix(holding.subject, holding.upstream)
         if new:
             self._feed.tell(HoldingNews(new))
         return new
@@ -251,7 +251,7 @@
             case MemberNews(balancers=present):
                 self._feed.tell(message)
                 nodes = sorted(one.node for one in present)
-                self.balancer.stand_among(Place.among(self.settings.node, nodes))
+                self.balancer.set_place(Place.among(self.settings.node, nodes))
             case Pulse():
                 self._feed.tell(message)
                 self._doubts.pulsed(message)
--- a/mastturnd/explaining.py
+++ b/mastturnd/explaining.py
@@ -15,7 +15,7 @@
 from balancer.peer import Peer
 from balancer.tiers import Group, Tiers
 from mastturnd.tap import listen
-from umberworks.choice import DRAWS, Choice
+from umberworks.choice import DRAWS, ServerSelector
 
 MOST_CHOICES = 20  # that are recorded for one question
 RECORD_S = 3.0  # it is answered after this, with what there is
@@ -80,12 +80,12 @@
 
 def _rows(tiers: Tiers, group: Group, able: list[Peer], now: float) -> list[dict[str, Any]]:
     """One row for each of `able`, with the chance that it is drawn once, and that it is chosen in the end."""
-    choice = group.choice
+    choice = group.selector
     capacities = [_capacity(choice, peer, now) for peer in able]
     whole = sum(capacities)
     rows: list[dict[str, Any]] = []
     for peer, capacity in zip(able, capacities, strict=True):
-        calls, tokens = tiers.others(peer.entry.id)
+        calls, tokens = tiers.other_loads(peer.entry.id)
         rows.append(
             {
                 "id": peer.entry.id,
@@ -93,12 +93,12 @@
                 "capacity_per_s": round(capacity * 1000, 3),
                 "in_flight": peer.server.in_flight,
                 "others": calls,
-                "tokens": peer.tokens + tokens,
+                "tokens": peer.pending_tokens + tokens,
                 "load": round((peer.server.in_flight + 1) / (capacity * 1000), 4),
                 "drawn": round(capacity / whole, 4),
-                "silent": peer.silent,
+                "silent": peer.is_silent,
                 "blocked_ms": round(max(peer.blocked_until - now, 0.0) * 1000),
-                "trust": tiers.trust.standing(peer.entry.id, now),
+                "trust": tiers.outliers.state(peer.entry.id, now),
             }
         )
     loads = [((p.server.in_flight + 1) / c, -c) for p, c in zip(able, capacities, strict=True)]
@@ -107,10 +107,10 @@
     return rows
 
 
-def _capacity(choice: Choice, peer: Peer, now: float) -> float:
+def _capacity(choice: ServerSelector, peer: Peer, now: float) -> float:
     """The estimate that the rule would draw by now, in calls for each millisecond in flight."""
     server = copy.copy(peer.server)
-    server.owed = copy.copy(server.owed)
+    server.unanswered = copy.copy(server.unanswered)
     return choice._capacity(server, choice.median or 1.0, now * 1000)
 
 
--- a/mastturnd/tap.py
+++ b/mastturnd/tap.py
@@ -49,7 +49,7 @@
         self._laid: list[tuple[Any, str]] = []
         tiers = balancer.tiers
         self._lay(balancer, "take_up", self._take_up(balancer.take_up))
-        self._lay(balancer, "ended", self._ended(balancer.ended))
+        self._lay(balancer, "on_request_ended", self._ended(balancer.on_request_ended))
         self._lay(tiers, "_draw", self._draw(tiers._draw))
         self._lay(balancer.upstreams, "send", self._send(balancer.upstreams.send))
 
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -119,7 +119,7 @@
 
     def excluded(self) -> int:
         """How many listed upstreams the module avoids now."""
-        return len(self._balancer.avoided())
+        return len(self._balancer.excluded())
 
     def cordoned(self) -> frozenset[str]:
         """The upstreams that operators hold out, listed or not."""
--- a/tests/fabric_callers.py
+++ b/tests/fabric_callers.py
@@ -250,7 +250,7 @@
         self.changed: Callable[[], None] = lambda: None
         self.kept: Callable[[bytes, str], None] = lambda subject, upstream: None
         self.keeps: list[tuple[bytes, str]] = []  # what others have seen kept, in the order in which we heard
-        self.other_calls: Any = None
+        self.request_handler: Any = None
         self.held_against: dict[tuple[str, str], tuple[int, int]] = {}
         self.told_doubts: dict[tuple[str, str], tuple[int, int]] = {}
         self.doubts_changed: Callable[[], None] = lambda: None
@@ -280,7 +280,7 @@
     def count_balancers(self, n: int) -> None:
         self.counted.append((self._now(), n))
 
-    def stand_among(self, place: Place | None) -> None:
+    def set_place(self, place: Place | None) -> None:
         self.place = place
 
     def allow_ready(self, allowed: bool) -> None:
@@ -289,10 +289,10 @@
     def loads(self) -> dict[str, tuple[int, int]]:
         return dict(self.work)
 
-    def heed_others(self, load: Callable[[str], tuple[int, int]]) -> None:
+    def set_other_loads(self, load: Callable[[str], tuple[int, int]]) -> None:
         self.others = load
 
-    def tell_load(self, changed: Callable[[], None]) -> None:
+    def watch_loads(self, changed: Callable[[], None]) -> None:
         self.changed = changed
 
     def tell_doubts(self, changed: Callable[[], None]) -> None:
@@ -304,13 +304,13 @@
     def heed_doubts(self, told: dict[tuple[str, str], tuple[int, int]]) -> None:
         self.told_doubts = told
 
-    def tell_kept(self, tell: Callable[[bytes, str], None]) -> None:
+    def watch_cached_prefixes(self, tell: Callable[[bytes, str], None]) -> None:
         self.kept = tell
 
-    def heed_kept(self, subject: bytes, upstream: str) -> None:
+    def add_cached_prefix(self, subject: bytes, upstream: str) -> None:
         self.keeps.append((subject, upstream))
 
-    def figures(self) -> dict[str, Any]:
+    def counts(self) -> dict[str, Any]:
         return {}
 
     def put_load(self, **work: tuple[int, int]) -> None:
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -5,7 +5,7 @@
 import pytest
 from loguru import logger
 
-from balancer.wire import is_ours
+from balancer.wire import belongs_to_request
 from passpost.answer_end import Misuse
 from passpost.http1 import AnswerReader, EndKind, Framing, Headers
 from tests.balancer_stage import (
@@ -49,7 +49,7 @@
     async def test() -> None:
         async with playing(stage, config=UNSAFE) as play:
             await play.ask()
-            assert play.balancer.answers.ends == {(framing, kind): 1}
+            assert play.balancer.answer_log.ends == {(framing, kind): 1}
 
     run(test())
 
@@ -141,13 +141,13 @@
             assert (reply.status, reply.body, reply.headers["mastturn-request-id"]) == (200, b"own", "r2")
             assert (await play.ask("r3")).body == b"third"
             assert stage.connections == 2  # nobody knows how many more there are
-            assert play.balancer.answers.misuses[Misuse.STALE_ANSWER] == stale.count("HTTP/1.1")
+            assert play.balancer.answer_log.misuses[Misuse.STALE_ANSWER] == stale.count("HTTP/1.1")
 
     run(test())
 
 
 def is_due_to_r2(status: int, headers: Headers) -> bool:
-    return is_ours(status, headers, b"r2")
+    return belongs_to_request(status, headers, b"r2")
 
 
 @pytest.mark.parametrize("stale", list(STALE.values()), ids=list(STALE))
@@ -172,6 +172,6 @@
         rejection = text(None, "", "503 Full", sealed=False, extra="Mastturn-Not-Run: 1\r\n")
         async with playing(Stage("u1", "", says(rejection)), config=UNSAFE) as play:
             assert (await play.ask("r1")).status == 503
-            assert not play.balancer.answers.misuses
+            assert not play.balancer.answer_log.misuses
 
     run(test())
--- a/tests/test_answer_log.py
+++ b/tests/test_answer_log.py
@@ -7,11 +7,11 @@
 
 from balancer import answer_log
 from balancer.answer_log import AnswerLog
-from balancer.wire import Staged
+from balancer.wire import UpstreamRequest
 from passpost.answer_end import AnswerEnd
 from passpost.http1 import EndKind, Framing
 
-REQUEST = Staged(b"GET / HTTP/1.1\r\n", b"", request_id=b"r1")
+REQUEST = UpstreamRequest(b"GET / HTTP/1.1\r\n", b"", request_id=b"r1")
 UNFRAMED = AnswerEnd(EndKind.FIN, Framing.CLOSE, 200, 10)
 
 
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -186,7 +186,7 @@
             assert (await play.ask(path="/new/1")).status == 200
             play.balancer.configure(configuration(3, route()))
             assert (await play.ask(path=PATH)).status == 404
-            assert play.balancer.figures()["config_ver"] == 7
+            assert play.balancer.counts()["config_ver"] == 7
 
     run(test())
 
@@ -243,11 +243,11 @@
     async def test() -> None:
         p, d = Stage("p", "prefill"), Stage("d", "decode")
         async with playing(p, d) as play:
-            play.balancer.heed_others(lambda upstream: (50, 1_000_000))
+            play.balancer.set_other_loads(lambda upstream: (50, 1_000_000))
             reply = await play.ask(headers=PROMPT)
             assert reply.status == 503 and "retry-after" in reply.headers
             assert p.got == d.got == []
-            play.balancer.heed_others(lambda upstream: (0, 0))
+            play.balancer.set_other_loads(lambda upstream: (0, 0))
             assert (await play.ask(headers=PROMPT)).status == 200
 
     run(test())
--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from balancer.kept import MOST_PAIRS, KeptParts
+from balancer.kept import MAX_PAIRS, PrefixIndex
 from balancer.peer import SPOILT, SPOILT_S, Peer
 from balancer.prompt import Prompt
 from balancer.tiers import AGAIN, DECODE, MANY, PREFILL, SPARE_CALLS, SPARE_TOKENS, Tiers
@@ -27,7 +27,7 @@
 
 def tiers(*entries: Upstream, seed: int = 1, full: tuple[str, ...] = ()) -> Tiers:
     made = Tiers(random.Random(seed), lambda name: name not in full)
-    made.take(entries, 0.0)
+    made.update(entries, 0.0)
     return made
 
 
@@ -42,7 +42,7 @@
 
 
 def runner(made: Tiers, now: float = 0.0, zone: str = "a", avoid: tuple[str, ...] = ()) -> str:
-    return known(made.pick_runner(SVC, None, zone, avoid, now)).entry.id
+    return known(made.pick_decode(SVC, None, zone, avoid, now)).entry.id
 
 
 # ---- the rule
@@ -110,12 +110,12 @@
 def test_a_call_that_did_not_run_adds_nothing_and_one_that_was_served_does() -> None:
     made = tiers(entry("x"))
     peer = known(made.peer("x"))
-    peer.sent(1.0, 300)
-    assert (peer.server.in_flight, peer.tokens) == (1, 300)
-    peer.ended(1.5, 300, served=False)
-    assert (peer.server.in_flight, peer.tokens, peer.server.served) == (0, 0, 0.0)
-    peer.sent(2.0, 0)
-    peer.ended(2.5, 0, served=True)
+    peer.on_call_sent(1.0, 300)
+    assert (peer.server.in_flight, peer.pending_tokens) == (1, 300)
+    peer.on_call_ended(1.5, 300, served=False)
+    assert (peer.server.in_flight, peer.pending_tokens, peer.server.served) == (0, 0, 0.0)
+    peer.on_call_sent(2.0, 0)
+    peer.on_call_ended(2.5, 0, served=True)
     assert peer.server.served == 1.0 and peer.server.busy > 0
 
 
@@ -123,8 +123,8 @@
     made = tiers(*(entry(n) for n in "xyz"))
     for name, rate in (("x", 1.0), ("y", 4.0), ("z", 9.0)):
         learn(known(made.peer(name)), rate)
-    made.take((*(entry(n) for n in "xyz"), entry("new")), 0.0)
-    choice = made._groups[SVC, DECODE].choice
+    made.update((*(entry(n) for n in "xyz"), entry("new")), 0.0)
+    choice = made._groups[SVC, DECODE].selector
     median = choice.bring_up(0.0)
     assert choice._capacity(known(made.peer("new")).server, median, 0.0) == pytest.approx(median)
     fallen = known(made.peer("z")).server
@@ -139,22 +139,22 @@
 
 def test_draining_gone_and_misplaced_upstreams_get_nothing_new_at_once() -> None:
     made = tiers(entry("x"), entry("y"))
-    assert made.take((entry("x", state="draining"), entry("y")), 1.0)
+    assert made.update((entry("x", state="draining"), entry("y")), 1.0)
     assert {runner(made) for _ in range(20)} == {"y"}
     assert dict(made.addresses()).keys() == {"x", "y"}  # what is in flight there goes on
-    made.take((entry("x", phase=PREFILL), entry("y")), 2.0)
+    made.update((entry("x", phase=PREFILL), entry("y")), 2.0)
     assert {runner(made) for _ in range(20)} == {"y"}
-    made.take((entry("x", svc="other"),), 3.0)
-    assert made.pick_runner(SVC, None, "a", (), 3.0) is None
+    made.update((entry("x", svc="other"),), 3.0)
+    assert made.pick_decode(SVC, None, "a", (), 3.0) is None
 
 
 def test_the_same_list_again_changes_nothing_and_the_same_address_with_another_id_is_another() -> None:
     made = tiers(entry("x", addr="10.0.0.1:80"))
-    assert not made.take((entry("x", addr="10.0.0.1:80"),), 1.0)
+    assert not made.update((entry("x", addr="10.0.0.1:80"),), 1.0)
     peer = known(made.peer("x"))
-    assert made.take((entry("x", addr="10.0.0.1:80"), entry("y", addr="10.0.0.2:80")), 1.0)
+    assert made.update((entry("x", addr="10.0.0.1:80"), entry("y", addr="10.0.0.2:80")), 1.0)
     assert made.peer("x") is peer
-    assert made.take((entry("z", addr="10.0.0.1:80"),), 2.0)
+    assert made.update((entry("z", addr="10.0.0.1:80"),), 2.0)
     assert made.peer("x") is None and made.peer("z") is not peer
 
 
@@ -168,24 +168,24 @@
     assert {runner(made) for _ in range(50)} == {"x", "y"}
     known(made.peer("x")).heard(1.0)
     assert {runner(made, now=1.0) for _ in range(20)} == {"x"}
-    assert made.pick_runner(SVC, None, "a", ("x", "y"), 1.0) is None
+    assert made.pick_decode(SVC, None, "a", ("x", "y"), 1.0) is None
 
 
 def test_a_prefill_upstream_whose_handles_are_lost_again_and_again_is_avoided_for_a_while() -> None:
     made = tiers(entry("x", PREFILL), entry("y", PREFILL))
     peer, prompt = known(made.peer("x")), Prompt(100)
     for _ in range(SPOILT):
-        peer.fetched(0.0, well=False)
-    assert {known(made.pick_reader(SVC, prompt, (), 0.1)).entry.id for _ in range(20)} == {"y"}
+        peer.on_fetch_ended(0.0, well=False)
+    assert {known(made.pick_prefill(SVC, prompt, (), 0.1)).entry.id for _ in range(20)} == {"y"}
     later = SPOILT_S + 0.1
-    assert {known(made.pick_reader(SVC, prompt, (), later)).entry.id for _ in range(50)} == {"x", "y"}
+    assert {known(made.pick_prefill(SVC, prompt, (), later)).entry.id for _ in range(50)} == {"x", "y"}
 
 
 # ---- homes
 
 
 def home(made: Tiers, subject: bytes, shared: int = 4000) -> str:
-    return known(made.pick_reader(SVC, Prompt(shared + 500, shared, subject), (), 0.0)).entry.id
+    return known(made.pick_prefill(SVC, Prompt(shared + 500, shared, subject), (), 0.0)).entry.id
 
 
 def test_a_subject_has_one_home_that_stays_when_others_come_and_go() -> None:
@@ -195,7 +195,7 @@
     homes = {s: home(made, s) for s in subjects}
     assert set(homes.values()) == set(names)
     assert all(home(made, s) == homes[s] for s in subjects)
-    made.take(tuple(entry(n, PREFILL) for n in names if n != "p3"), 1.0)
+    made.update(tuple(entry(n, PREFILL) for n in names if n != "p3"), 1.0)
     moved = {s for s in subjects if home(made, s) != homes[s]}
     assert moved == {s for s in subjects if homes[s] == "p3"}
 
@@ -205,9 +205,9 @@
     subject = b"5c1e07a2"
     first = home(made, subject, shared=200)
     peer = known(made.peer(first))
-    peer.tokens = 200 * AGAIN + SPARE_TOKENS - 200
+    peer.pending_tokens = 200 * AGAIN + SPARE_TOKENS - 200
     assert home(made, subject, shared=200) == first
-    peer.tokens = 200 * AGAIN + 2 * SPARE_TOKENS
+    peer.pending_tokens = 200 * AGAIN + 2 * SPARE_TOKENS
     assert home(made, subject, shared=200) != first
     assert home(made, subject, shared=8000) == first  # to read so much again costs more than to wait
 
@@ -216,26 +216,26 @@
     made = tiers(*(entry(n, PREFILL) for n in "wxyz"))
     subject = b"91bd3f06"
     other = next(n for n in "wxyz" if n != home(made, subject))
-    assert made.kept.add(subject, other) and not made.kept.add(subject, other)
+    assert made.prefix_index.add(subject, other) and not made.prefix_index.add(subject, other)
     assert {home(made, subject) for _ in range(20)} == {other}
-    for i in range(MOST_PAIRS):
-        made.kept.add(b"%d" % i, other)
-    assert other not in made.kept.holders(subject)
-    assert not made.kept.add(b"", other)
+    for i in range(MAX_PAIRS):
+        made.prefix_index.add(b"%d" % i, other)
+    assert other not in made.prefix_index.holders(subject)
+    assert not made.prefix_index.add(b"", other)
 
 
 def test_what_an_upstream_had_is_forgotten_with_its_part_or_its_place_on_the_list() -> None:
     made = tiers(*(entry(n, PREFILL) for n in "xyz"))
     for name in "xyz":
-        made.kept.add(b"5c1e07a2", name)
-    made.take((entry("x", PREFILL), entry("y", DECODE), entry("v", PREFILL)), 1.0)
-    assert list(made.kept.holders(b"5c1e07a2")) == ["x"]
-    made.take((entry("x", PREFILL, addr="10.9.9.9:80"), entry("y", DECODE)), 2.0)
-    assert not made.kept.holders(b"5c1e07a2")
+        made.prefix_index.add(b"5c1e07a2", name)
+    made.update((entry("x", PREFILL), entry("y", DECODE), entry("v", PREFILL)), 1.0)
+    assert list(made.prefix_index.holders(b"5c1e07a2")) == ["x"]
+    made.update((entry("x", PREFILL, addr="10.9.9.9:80"), entry("y", DECODE)), 2.0)
+    assert not made.prefix_index.holders(b"5c1e07a2")
 
 
 def test_the_table_of_what_was_read_is_bounded_as_a_whole() -> None:
-    table = KeptParts(10)
+    table = PrefixIndex(10)
     for number in range(100):
         table.add(b"%d" % (number // 3), f"u{number % 3}")
     left = [s for s in range(34) if table.holders(b"%d" % s)]
@@ -250,8 +250,8 @@
 
 def test_what_others_have_out_counts() -> None:
     made = tiers(entry("x", PREFILL), entry("y", PREFILL))
-    made.others = lambda name: (0, 50_000 if name == "x" else 0)
-    assert {known(made.pick_reader(SVC, Prompt(900), (), 0.0)).entry.id for _ in range(20)} == {"y"}
+    made.other_loads = lambda name: (0, 50_000 if name == "x" else 0)
+    assert {known(made.pick_prefill(SVC, Prompt(900), (), 0.0)).entry.id for _ in range(20)} == {"y"}
     assert made.outstanding(known(made.peer("x"))) == 50_000
 
 
@@ -278,13 +278,13 @@
     names = [f"u{n:02}" for n in range(20)]
     idle = {"u03", "u07"}
     made = Tiers(random.Random(1), lambda name: True, "a", lambda name: name in idle)
-    made.take(tuple(entry(name, DECODE) for name in names), 0.0)
+    made.update(tuple(entry(name, DECODE) for name in names), 0.0)
     assert {runner(made) for _ in range(100)} == idle
-    made.others = lambda name: (9, 0) if name == "u03" else (0, 0)
+    made.other_loads = lambda name: (9, 0) if name == "u03" else (0, 0)
     assert {runner(made) for _ in range(100)} == {"u07"}
-    made.others = lambda name: (9, 0) if name in idle else (0, 0)
+    made.other_loads = lambda name: (9, 0) if name in idle else (0, 0)
     assert len({runner(made) for _ in range(300)}) == 18  # they are busier: to the others
-    made.others = lambda name: (0, 0)
+    made.other_loads = lambda name: (0, 0)
     idle.clear()
     assert len({runner(made) for _ in range(300)}) == 20
 
@@ -293,7 +293,7 @@
     """Found on the small sites: fc-kitchen-line's scale-1 fell from 0.83 to 0.72."""
     names = [f"u{n:02}" for n in range(MANY)]
     made = Tiers(random.Random(1), lambda name: True, "a", lambda name: name == "u03")
-    made.take(tuple(entry(name, DECODE) for name in names), 0.0)
+    made.update(tuple(entry(name, DECODE) for name in names), 0.0)
     assert len({runner(made) for _ in range(300)}) == MANY
 
 
@@ -309,5 +309,5 @@
     """With a subject that nobody has read: its home was sought among none, and the client got a 500."""
     made = tiers(entry("a", PREFILL), entry("b", DECODE), full=("a" if part == PREFILL else "b",))
     told = Prompt(2_000, 1_500, b"subject")
-    assert made.cost(SVC, part, told, 0.0) == math.inf
-    assert made.cost(SVC, DECODE if part == PREFILL else PREFILL, told, 0.0) == 2_000
+    assert made.prefill_cost(SVC, part, told, 0.0) == math.inf
+    assert made.prefill_cost(SVC, DECODE if part == PREFILL else PREFILL, told, 0.0) == 2_000
--- a/tests/test_balancer_draw_properties.py
+++ b/tests/test_balancer_draw_properties.py
@@ -17,7 +17,9 @@
 
 def tiers(names: str, seed: int) -> Tiers:
     made = Tiers(random.Random(seed), lambda name: True)
-    made.take(tuple(Upstream(n, SVC, f"10.0.0.{i}:80", "a", phase=DECODE) for i, n in enumerate(names)), 0.0)
+    made.update(
+        tuple(Upstream(n, SVC, f"10.0.0.{i}:80", "a", phase=DECODE) for i, n in enumerate(names)), 0.0
+    )
     return made
 
 
@@ -118,14 +120,14 @@
     for name in "xy":
         learn(known(made, name), 4.0)
     group = made._groups[SVC, DECODE]
-    median = group.choice.bring_up(0.0)
+    median = group.selector.bring_up(0.0)
     peer = known(made, "z")
     for _ in range(calls):
-        peer.sent(0.0, 0)
+        peer.on_call_sent(0.0, 0)
     for _ in range(calls):
-        peer.ended(silent_s, 0, served=False)
+        peer.on_call_ended(silent_s, 0, served=False)
     found = [
-        group.choice._capacity(peer.server, median, 1000 * (silent_s + s)) / median for s in range(0, 61, 2)
+        group.selector._capacity(peer.server, median, 1000 * (silent_s + s)) / median for s in range(0, 61, 2)
     ]
     assert found == sorted(found) and found[-1] > 0.9
     assert max(found) <= 1.0 + 1e-9
--- a/tests/test_balancer_pair.py
+++ b/tests/test_balancer_pair.py
@@ -6,7 +6,18 @@
 
 import pytest
 
-from balancer.pair import UNSENT_MOST, BreakOff, End, Fail, Handle, Pair, Read, Refuse, Run, Step
+from balancer.pair import (
+    UNSENT_MOST,
+    BreakOff,
+    End,
+    Fail,
+    Handle,
+    Read,
+    Refuse,
+    RequestStateMachine,
+    Run,
+    Step,
+)
 
 KV = Handle("p", "10.0.0.1:80", "h1", 0.0)
 
@@ -29,8 +40,8 @@
 
 def pair(
     tries: int = 2, idempotent: bool = False, resumable: bool = False, wallet: Wallet | None = None
-) -> Pair:
-    return Pair(tries, idempotent, resumable, wallet or Wallet())
+) -> RequestStateMachine:
+    return RequestStateMachine(tries, idempotent, resumable, wallet or Wallet())
 
 
 def test_the_ordinary_path_reads_then_runs_and_costs_nothing() -> None:
--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -13,7 +13,7 @@
 from balancer.ingress import RoutedCall, read_head
 from balancer.prompt import Prompt, read_prompt
 from balancer.routes import RouteTable, draw_service
-from balancer.streams import MOST_HELD, BadStreamError, EventReader
+from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from config.configuration import ClientLimits, Configuration, Route, Service, Split
 from passpost.validation import BadRequestError
 from tests.balancer_stage import event, route
@@ -153,14 +153,14 @@
             got = reader.feed(text[start : start + size])
             assert got == b"" or got.endswith(b"\n\n")
             out += got
-        assert out == text and reader.last == 5 and reader.is_between()
+        assert out == text and reader.last_event_id == 5 and reader.is_between()
 
 
 def test_versions_and_other_line_ends_are_passed_and_ids_are_still_seen() -> None:
     reader = EventReader(4)
     text = b"versions: 3\nid: 5\ndata: a\n\n: still here\n\n" + b"id:6\r\ndata: b\r\n\r\n"
     assert reader.feed(text) == text
-    assert reader.last == 6
+    assert reader.last_event_id == 6
 
 
 @pytest.mark.parametrize("wrong", [1, 2, 4, 40])
@@ -169,7 +169,7 @@
     good = (event(1) + event(2)).encode()
     with pytest.raises(BadStreamError) as caught:
         reader.feed(good + event(wrong).encode() + event(3).encode())
-    assert caught.value.good == good and reader.last == 2
+    assert caught.value.good == good and reader.last_event_id == 2
 
 
 def test_a_run_that_goes_on_begins_behind_the_last_event_and_drops_half_of_one() -> None:
@@ -185,7 +185,7 @@
 def test_an_event_without_end_is_no_event() -> None:
     reader = EventReader()
     with pytest.raises(BadStreamError):
-        reader.feed(b"id: 1\ndata: " + b"x" * MOST_HELD)
+        reader.feed(b"id: 1\ndata: " + b"x" * MAX_EVENT_BYTES)
 
 
 # ---- budget
--- a/tests/test_balancer_readiness.py
+++ b/tests/test_balancer_readiness.py
@@ -13,7 +13,7 @@
         server = await readiness.listen(("127.0.0.1", 0), lambda: True)
         port = server.sockets[0].getsockname()[1]
         opened = []
-        for _ in range(readiness.MOST_OPEN + 3):
+        for _ in range(readiness.MAX_CONNECTIONS + 3):
             opened.append(await asyncio.open_connection("127.0.0.1", port))
             opened[-1][1].write(b"GET /api/readyz HTTP/1.1\r\n\r\n")
             assert (await opened[-1][0].readline()).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -29,7 +29,7 @@
 def tiers(count: int = 10, zones: int = 1, seed: int = 1) -> Tiers:
     made = Tiers(random.Random(seed), lambda name: True, "z0")
     entries = (Upstream(f"i-{n}", "pool", f"10.0.0.{n}:80", f"z{n % zones}") for n in range(count))
-    made.take(tuple(entries), 0.0)
+    made.update(tuple(entries), 0.0)
     return made
 
 
@@ -42,21 +42,21 @@
 def served(made: Tiers, calls: int, now: float = 0.0) -> None:
     """So many calls of ours have gone well, spread over all."""
     for n in range(calls):
-        made.trust.ended(peer(made, f"i-{n % 10}"), now)
+        made.outliers.ended(peer(made, f"i-{n % 10}"), now)
 
 
 def able(made: Tiers, now: float, repeatable: bool = True) -> set[str]:
     """Where requests may go: whoever is drawn in many draws."""
     found = set()
     for _ in range(300):
-        one = made.pick_runner("pool", None, "z0", (), now, repeatable)
+        one = made.pick_decode("pool", None, "z0", (), now, repeatable)
         assert one is not None
         found.add(one.entry.id)
     return found
 
 
 def heed(made: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
-    made.trust.heed(told, made.peer, now)
+    made.outliers.heed(told, made.peer, now)
 
 
 # ---- what counts as a failure
@@ -91,44 +91,47 @@
     served(few, 10)
     served(many, 400)
     for made in (few, many):
-        made.trust.failed(peer(made), 0.0)
-        made.trust.failed(peer(made), 0.0)
+        made.outliers.failed(peer(made), 0.0)
+        made.outliers.failed(peer(made), 0.0)
     assert "i-0" not in able(few, 0.1)
     assert "i-0" in able(many, 0.1)
-    many.trust.failed(peer(many), 0.2, 5 * HARD)
+    many.outliers.failed(peer(many), 0.2, 5 * HARD)
     assert "i-0" not in able(many, 0.3)
 
 
 def test_silence_counts_half_as_it_may_be_load() -> None:
     """Found on a small site's days: two pauses under load took an upstream from all for 4 s."""
     made = tiers()
-    made.trust.failed(peer(made), 0.0, 3 * SILENT)
+    made.outliers.failed(peer(made), 0.0, 3 * SILENT)
     assert "i-0" in able(made, 0.1)
-    made.trust.failed(peer(made), 0.2, SILENT)
+    made.outliers.failed(peer(made), 0.2, SILENT)
     assert "i-0" not in able(made, 0.3)
 
 
 def test_trust_returns_by_requests_that_may_be_repeated_and_a_relapse_costs_little() -> None:
     made = tiers()
-    made.trust.failed(peer(made), 0.0, 2 * HARD)
+    made.outliers.failed(peer(made), 0.0, 2 * HARD)
     assert "i-0" not in able(made, WINDOW_S - 0.1)
-    assert (made.trust.standing("i-0", WINDOW_S - 0.1), made.trust.failures("i-0")) == ("distrusted", 2)
+    assert (made.outliers.state("i-0", WINDOW_S - 0.1), made.outliers.failure_count("i-0")) == (
+        "distrusted",
+        2,
+    )
     back = WINDOW_S + 0.1
     assert "i-0" in able(made, back)
-    assert (made.trust.standing("i-0", back), made.trust.failures("i-0")) == ("wary", 0)
+    assert (made.outliers.state("i-0", back), made.outliers.failure_count("i-0")) == ("wary", 0)
     assert "i-0" not in able(made, back, repeatable=False)
-    made.trust.failed(peer(made), back + 1)  # one is enough now
+    made.outliers.failed(peer(made), back + 1)  # one is enough now
     assert "i-0" not in able(made, back + 1.1)
     calm = back + 1 + WINDOW_S + WARY_S + 0.2
     able(made, back + 1 + WINDOW_S + 0.1)  # its failure is forgotten
     assert "i-0" in able(made, calm, repeatable=False)
-    assert made.trust.standing("i-0", calm) == ""
+    assert made.outliers.state("i-0", calm) == ""
 
 
 def test_nine_in_ten_bad_at_once_leave_most_in_use_those_least_doubted() -> None:
     made = tiers()
     for n in range(9):
-        made.trust.failed(peer(made, f"i-{n}"), 0.0, 20 - n)
+        made.outliers.failed(peer(made, f"i-{n}"), 0.0, 20 - n)
     used = able(made, 0.1)
     assert used == {f"i-{n}" for n in range(2, 10)} and len(used) == math.ceil(KEPT * 10)
 
@@ -138,15 +141,15 @@
     """Found on the small site: of two that run, the one left bore all for 4 s after the other paused."""
     made = tiers(count)
     for n in range(count // 2 + 1):
-        made.trust.failed(peer(made, f"i-{n}"), 0.0, 20)
+        made.outliers.failed(peer(made, f"i-{n}"), 0.0, 20)
     assert len(able(made, 0.1)) == left
 
 
 def test_one_that_left_the_list_is_forgotten() -> None:
     made = tiers()
-    made.trust.failed(peer(made), 0.0, 5)
-    made.take(tuple(peer(made, f"i-{n}").entry for n in range(1, 10)), 0.1)
-    assert made.trust.distrusted() == [] and made.trust.seen(0.2) == {}
+    made.outliers.failed(peer(made), 0.0, 5)
+    made.update(tuple(peer(made, f"i-{n}").entry for n in range(1, 10)), 0.1)
+    assert made.outliers.distrusted() == [] and made.outliers.seen(0.2) == {}
 
 
 # ---- what others saw
@@ -154,14 +157,14 @@
 
 def test_one_balancers_bad_link_condemns_nothing() -> None:
     made = tiers(zones=2)
-    made.trust.balancers = 80
+    made.outliers.balancers = 80
     heed(made, {("i-0", "z0"): (1, 50)}, 0.0)
     assert "i-0" in able(made, 0.1)
 
 
 def test_two_balancers_of_our_zone_are_enough_and_those_of_one_other_zone_are_not() -> None:
     made = tiers(zones=2)
-    made.trust.balancers = 80
+    made.outliers.balancers = 80
     heed(made, {("i-0", "z0"): (2, 2 * HARD), ("i-2", "z1"): (9, 50)}, 0.0)
     used = able(made, 0.1)
     assert "i-0" not in used and "i-2" in used
@@ -169,7 +172,7 @@
 
 def test_balancers_of_two_zones_are_enough_and_what_they_take_back_is_over() -> None:
     made = tiers(zones=2)
-    made.trust.balancers = 80
+    made.outliers.balancers = 80
     heed(made, {("i-0", "z1"): (1, HARD), ("i-0", "z2"): (2, HARD)}, 0.0)
     assert "i-0" not in able(made, 0.1)
     heed(made, {}, 0.2)
--- a/tests/test_balancer_versions.py
+++ b/tests/test_balancer_versions.py
@@ -34,15 +34,15 @@
 
 def drawn(tiers: Tiers) -> tuple[set[str], set[str]]:
     """Who reads and who runs, of many draws."""
-    readers = [tiers.pick_reader("pool", PROMPT, (), 0.0) for _ in range(60)]
-    runners = [tiers.pick_runner("pool", None, "a", (), 0.0) for _ in range(60)]
+    readers = [tiers.pick_prefill("pool", PROMPT, (), 0.0) for _ in range(60)]
+    runners = [tiers.pick_decode("pool", None, "a", (), 0.0) for _ in range(60)]
     return {p.entry.id for p in readers if p is not None}, {p.entry.id for p in runners if p is not None}
 
 
 def tiers_of(entries: Iterable[Upstream], ver: int) -> Tiers:
     tiers = Tiers(random.Random(1), lambda name: True)
-    tiers.take(tuple(entries), 0.0)
-    tiers.want_versions(wanted_versions(check(body(ver)).configuration), 0.0)
+    tiers.update(tuple(entries), 0.0)
+    tiers.set_wanted_versions(wanted_versions(check(body(ver)).configuration), 0.0)
     return tiers
 
 
@@ -67,7 +67,7 @@
 def test_the_list_decides_anew_as_upstreams_come() -> None:
     tiers = tiers_of(OLD, 2)
     assert drawn(tiers) == ({"r1", "r2"}, {"d1", "d2"})
-    tiers.take(tuple(OLD + NEW), 1.0)
+    tiers.update(tuple(OLD + NEW), 1.0)
     assert drawn(tiers) == ({"r3"}, {"d3", "d4"})
 
 
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -67,7 +67,7 @@
             for i in range(cold)
         ]
         for balancer in self.balancers:
-            balancer.tiers.take(tuple(entries), now + self.chance.uniform(0.0, self.learned_s))
+            balancer.tiers.update(tuple(entries), now + self.chance.uniform(0.0, self.learned_s))
 
     def play(self, begins: float, ends: float, per_s: float) -> None:
         """So many requests a second of all together, each at a balancer drawn by lot."""
@@ -81,12 +81,12 @@
     def _take(self, number: int, now: float) -> None:
         tokens = round(self.chance.lognormvariate(7.9, 0.8))
         tiers = self.balancers[number].tiers
-        peer = tiers.pick_reader(SVC, Prompt(tokens, 0, b""), (), now)
+        peer = tiers.pick_prefill(SVC, Prompt(tokens, 0, b""), (), now)
         if peer is None:
             self.refused += 1
             return
         name = peer.entry.id
-        peer.sent(now, tokens)
+        peer.on_call_sent(now, tokens)
         self.free_at[name] = max(self.free_at.get(name, 0.0), now) + tokens / TOKENS_S
         heapq.heappush(self.out, (self.free_at[name], number, name, tokens))
         self.arrivals.setdefault(name, []).append(now)
@@ -96,7 +96,7 @@
             ended, number, name, tokens = heapq.heappop(self.out)
             peer = self.balancers[number].tiers.peer(name)
             if peer is not None:
-                peer.ended(ended, tokens, True)
+                peer.on_call_ended(ended, tokens, True)
 
     def _tell_loads(self, now: float) -> None:
         self.told_at = now
@@ -112,7 +112,7 @@
                 mine = own.get(name, (0, 0))
                 return max(calls - mine[0], 0), max(tokens - mine[1], 0)
 
-            balancer.heed_others(others)
+            balancer.set_other_loads(others)
 
     def most_in_a_second(self, name: str) -> int:
         """The most arrivals in any second."""
@@ -143,7 +143,7 @@
     """These balancers hear of each other and of nobody else."""
     for place, number in enumerate(numbers):
         fleet.balancers[number].count_balancers(len(numbers))
-        fleet.balancers[number].stand_among(Place(place, len(numbers)))
+        fleet.balancers[number].set_place(Place(place, len(numbers)))
 
 
 def windows(fleet: Fleet, ends: float) -> list[float]:
@@ -154,7 +154,7 @@
         assert peer is not None
         while now < ends:
             if balancer._cold_share.allows(peer, now):
-                peer.sent(now, 0)
+                peer.on_call_sent(now, 0)
                 found.append(now)
             now += 0.02
     return sorted(found)
--- a/tests/test_days_found_late.py
+++ b/tests/test_days_found_late.py
@@ -46,6 +46,6 @@
             assert sum(len(s.got) for s in stages) == 1
             assert sum(s.connections for s in stages) == 1
             peers = [play.balancer.tiers.peer(s.name) for s in stages]
-            assert not any(p.silent for p in peers if p is not None)
+            assert not any(p.is_silent for p in peers if p is not None)
 
     run(scene())
--- a/tests/test_dead_upstreams.py
+++ b/tests/test_dead_upstreams.py
@@ -66,7 +66,7 @@
 def test_a_request_that_may_be_repeated_is_answered_by_another_upstream() -> None:
     async def test() -> None:
         async with playing(DyingStage(), Stage("standing"), config=SAFE) as play:
-            ends = play.balancer.answers.ends
+            ends = play.balancer.answer_log.ends
             number = 0
             while not ends[Framing.CLOSE, EndKind.GONE]:  # until it is drawn
                 number += 1
@@ -80,7 +80,7 @@
     async def test() -> None:
         stages = DyingStage(is_stream=True), Stage("standing", "", decode)
         async with playing(*stages, config=RESUMABLE) as play:
-            ends = play.balancer.answers.ends
+            ends = play.balancer.answer_log.ends
             number = 0
             while not ends[Framing.CLOSE, EndKind.GONE]:  # until it is drawn
                 number += 1
@@ -107,7 +107,7 @@
         async with playing(DyingStage(), config=UNSAFE) as play:
             with log_lines() as lines:
                 await play.ask("r7")
-            assert play.balancer.answers.ends == {(Framing.CLOSE, EndKind.GONE): 1}
+            assert play.balancer.answer_log.ends == {(Framing.CLOSE, EndKind.GONE): 1}
         said = "event=answer_cut upstream=dying request=r7 end=gone framing=close status=200 bytes=4\n"
         assert said in lines
 
@@ -125,7 +125,7 @@
         async with playing(stage, config=UNSAFE) as play:
             reply = await play.ask("r1")
             assert (reply.whole, reply.body) == (True, b"whole")
-            assert play.balancer.answers.ends == {(Framing.CLOSE, EndKind.FIN): 1}
+            assert play.balancer.answer_log.ends == {(Framing.CLOSE, EndKind.FIN): 1}
             assert (await play.ask("r2")).body == b"next"
             assert (stage.connections, stage.reports) == (2, ["u1"])
 
@@ -138,7 +138,7 @@
         stage.report = b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
         async with playing(stage, config=UNSAFE) as play:
             assert (await play.ask()).status == 502
-            assert play.balancer.answers.ends == {(Framing.CLOSE, EndKind.GONE): 1}
+            assert play.balancer.answer_log.ends == {(Framing.CLOSE, EndKind.GONE): 1}
 
     run(test())
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -23,9 +23,9 @@
 
 from balancer.ingress import read_head
 from balancer.prompt import read_prompt
-from balancer.readiness import MOST, _Asked
+from balancer.readiness import MAX_REQUEST_BYTES, _ReadinessConnection
 from balancer.routes import RouteTable
-from balancer.streams import MOST_HELD, BadStreamError, EventReader
+from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from balancer.tiers import Tiers
 from balancer.wire import free_handle, read_handle
 from config.checking import ConfigurationReader, check, digest, parse_configuration, parse_upstreams
@@ -305,13 +305,13 @@
     import random
 
     tiers = Tiers(random.Random(1), lambda name: True)
-    tiers.take(entries, 0.0)
+    tiers.update(entries, 0.0)
     for entry in entries:
         # Header lines of ours hold its id and address: nothing in them may end a line, or be no line.
         head = free_handle(entry.addr, entry.id, "h").head
         assert head.count(b"\r\n") == 5 and head.isascii() and head.count(b"\n") == 5
         peer = tiers.peer(entry.id)
-        assert peer is not None and b"\n" not in peer.home
+        assert peer is not None and b"\n" not in peer.id_bytes
 
 
 @LIMITS
@@ -371,7 +371,7 @@
                 out += reader.feed(piece)
             except BadStreamError as error:
                 return out + error.good, True, reader.last
-            assert len(reader._held) <= MOST_HELD
+            assert len(reader._held) <= MAX_EVENT_BYTES
         return out, False, reader.last
 
     whole, bad, _ = play([data])
@@ -493,12 +493,12 @@
 def test_readiness_answers_any_bytes_or_ends_the_connection(raw: bytes, places: list[int]) -> None:
     count("readiness")
     transport, opened = Transport(), dict[Any, None]()
-    asked = _Asked(lambda: True, lambda head, transport: False, opened)
+    asked = _ReadinessConnection(lambda: True, lambda head, transport: False, opened)
     asked.connection_made(transport)  # type: ignore[arg-type]
     for piece in cut(raw, places):
         if not transport.ended:
             asked.data_received(piece)
-    assert len(asked._held) <= MOST or transport.ended
+    assert len(asked._held) <= MAX_REQUEST_BYTES or transport.ended
     asked.connection_lost(None)
     assert not opened
 
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -123,8 +123,8 @@
 
 
 async def _queues(play: Play) -> None:
-    play.balancer.tiers.reading = lambda service, now: 1e6  # type: ignore[method-assign]
-    play.balancer.tiers.reading_itself = lambda service, now: 1e6  # type: ignore[method-assign]
+    play.balancer.tiers.prefill_wait_s = lambda service, now: 1e6  # type: ignore[method-assign]
+    play.balancer.tiers.decode_wait_s = lambda service, now: 1e6  # type: ignore[method-assign]
     await play.ask(headers=SPLIT)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,7 +37,7 @@
     Tenant,
     TimerDue,
 )
-from umberworks.room import Room
+from umberworks.room import ConcurrencyLimit
 from umberworks.rules import Balancer
 
 
@@ -299,7 +299,7 @@
 
 def refused_by_chance(per_s: float, calls: int = 6_000) -> float:
     """The share without room where calls of two kinds take their time, however many are out."""
-    chance, room, now = random.Random(1), Room(balancers=2), 0.0
+    chance, room, now = random.Random(1), ConcurrencyLimit(balancers=2), 0.0
     ends: list[tuple[float, float]] = []
     refused = 0
     for _ in range(calls):
@@ -342,7 +342,7 @@
     for _ in range(2_000):
         desk.now += 60_000
         desk.show(*members(2))
-    assert desk.balancer._room.base <= 1.0
+    assert desk.balancer._concurrency.baseline <= 1.0
 
 
 def test_inner_tiers_hardly_hold_back_what_others_have_worked_on() -> None:
@@ -453,15 +453,15 @@
     desk = Desk(3)
     for _ in range(2):
         desk.tell(Cordon("s1", True))
-    assert desk.balancer.avoided() == desk.balancer.cordoned() == {"s1"}
+    assert desk.balancer.excluded() == desk.balancer.cordoned() == {"s1"}
     assert set(draws(desk)) == {"s0", "s2"}
     gone = Member("s1", readiness=Readiness.GONE)
     desk.show(gone, kind=ListKind.CHANGES)
-    assert desk.balancer.avoided() == frozenset() and desk.balancer.cordoned() == {"s1"}
+    assert desk.balancer.excluded() == frozenset() and desk.balancer.cordoned() == {"s1"}
     desk.show(*members(3), kind=kind)
     assert set(draws(desk)) == {"s0", "s2"}
     desk.tell(Cordon("s1", False))
-    assert desk.balancer.avoided() == desk.balancer.cordoned() == frozenset()
+    assert desk.balancer.excluded() == desk.balancer.cordoned() == frozenset()
     assert set(draws(desk)) == {"s0", "s1", "s2"}
 
 
@@ -482,7 +482,9 @@
     desk.show(Member("s1", up_since_ms=desk.now), kind=ListKind.CHANGES)
     desk.tell(Cordon("s1", False))
     server = desk.balancer._servers["s1"]
-    assert server.served == 0 and desk.balancer._choice._warmth(server, desk.now) == pytest.approx(0.2)
+    assert server.served == 0 and desk.balancer._selector._warm_fraction(server, desk.now) == pytest.approx(
+        0.2
+    )
     assert draws(desk, 300)["s1"] > 0
 
 
@@ -497,9 +499,9 @@
 def test_draining_servers_are_listed_and_avoided() -> None:
     desk = Desk(3)
     desk.show(Member("s2", readiness=Readiness.DRAINING), kind=ListKind.CHANGES)
-    assert desk.balancer.avoided() == {"s2"}
+    assert desk.balancer.excluded() == {"s2"}
     desk.show(*members(2))
-    assert desk.balancer.avoided() == frozenset()
+    assert desk.balancer.excluded() == frozenset()
 
 
 # ---- settings, determinism ----------------------------------------------------------------------
@@ -629,7 +631,7 @@
     desk = Desk(2)
     capacity = {"s0": 2.0, "s1": 1.0}
     monkeypatch.setattr(
-        desk.balancer._choice, "_capacity", lambda s, _median, _now: capacity[s.member.server]
+        desk.balancer._selector, "_capacity", lambda s, _median, _now: capacity[s.member.server]
     )
     desk.balancer._servers["s0"].in_flight = 1  # (1 + 1) / 2 ties with (0 + 1) / 1
     request, _ = desk.ask()
@@ -786,14 +788,16 @@
     for _ in range(120):
         old.serve(takes=takes)
     learned = old.balancer.learned()
-    assert learned.lowest == old.balancer._room.base > 0
+    assert learned.lowest == old.balancer._concurrency.baseline > 0
     new = Desk(4)
     new.now = old.now
     new.tell(learned)
-    assert new.balancer._room.base == learned.lowest
+    assert new.balancer._concurrency.baseline == learned.lowest
     shares = Counter(new.serve(takes=takes) for _ in range(60))
     assert shares["s3"] < 10
-    assert new.balancer._room.base <= learned.lowest  # measured among the calls of both it would be higher
+    assert (
+        new.balancer._concurrency.baseline <= learned.lowest
+    )  # measured among the calls of both it would be higher
 
 
 def test_what_was_learned_of_a_server_that_has_restarted_says_nothing() -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -124,12 +124,12 @@
 def test_a_silent_server_counts_as_avoided_and_is_said_once() -> None:
     made = desk()
     _, server = hang(made, PAY)
-    assert server not in made.balancer.avoided()
+    assert server not in made.balancer.excluded()
     logs = [of_kind(silence(made, server), Log) for _ in range(3)]
     assert logs == [[Log(f"{server} gives no answers: left out")], [], []]
-    assert server in made.balancer.avoided()
+    assert server in made.balancer.excluded()
     assert of_kind(made.tell(Probed(server, True)), Log) == [Log(f"{server} answers again")]
-    assert server not in made.balancer.avoided()
+    assert server not in made.balancer.excluded()
 
 
 def test_calls_that_hung_take_up_no_room_when_their_server_answers_others_again() -> None:
@@ -138,15 +138,15 @@
     hung = [hang(made, PAY) for _ in range(6)]
     server = hung[0][1]
     pass_time(made, 250.0)
-    before = made.balancer._room.out
+    before = made.balancer._concurrency.out
     silence(made, server)
     left = sum(at != server for _, at in hung)
-    assert made.balancer._room.out == left < before
+    assert made.balancer._concurrency.out == left < before
     made.tell(Probed(server, True))
-    assert made.balancer._room.out == left
+    assert made.balancer._concurrency.out == left
     for request, at in hung:
         made.end(request, 0, at, Outcome.TIMED_OUT)
-    assert made.balancer._room.out == 0
+    assert made.balancer._concurrency.out == 0
 
 
 def test_a_late_answer_brings_a_server_back() -> None:
--- a/umberworks/choice.py
+++ b/umberworks/choice.py
@@ -22,7 +22,7 @@
 COLD_SAFETY = 0.8  # the part of a cold server's budget that we use: other balancers and heavy calls count too
 
 
-class Choice:
+class ServerSelector:
     """The servers that may be sent to, and what is known of them together."""
 
     def __init__(self, settings: Settings, chance: random.Random) -> None:
@@ -51,7 +51,7 @@
         self.fit = self.ready[: max(LEAST_KEPT, round(calls / CALLS_EACH))]
         self.counted = len(self.ready) >= self._settings.balancers
         self._sliver = self._settings.sizes_exact and calls < CALLS_EACH * len(self.ready)
-        warm = [s.served for s in self.fit if self._warmth(s, now) >= 1]
+        warm = [s.served for s in self.fit if self._warm_fraction(s, now) >= 1]
         self._usual_rate = sum(warm) / len(warm) / MEMORY_MS if warm else self._usual_rate
 
     def bring_up(self, now: float) -> float:
@@ -90,10 +90,10 @@
         usual = median * server.size
         estimate = (server.served + PRIOR_CALLS) / (server.busy + PRIOR_CALLS / usual)
         # One put back by hand starts at the median, like a new id: cold, it would lose to each idle one.
-        warmth = self._warmth(server, now) if now < self._cold_until and not server.back else 1.0
+        warmth = self._warm_fraction(server, now) if now < self._cold_until and not server.back else 1.0
         return min(estimate, usual * warmth) if warmth < 1 else estimate
 
-    def _warmth(self, server: Server, now: float) -> float:
+    def _warm_fraction(self, server: Server, now: float) -> float:
         """The share of its capacity that a server has at the least, by its age."""
         age = now - server.member.up_since_ms
         if server.member.up_since_ms <= 0 or age >= self._settings.cold_ms:
@@ -103,7 +103,7 @@
 
     def _cold_room(self, server: Server, now: float) -> bool:
         """Whether a cold server can take a call: evenly spaced, as bursts and roundings of many add up."""
-        warmth = self._warmth(server, now)
+        warmth = self._warm_fraction(server, now)
         rate = COLD_SAFETY * self._settings.cold_overload_factor * warmth * self._usual_rate
         gap = now - server.last_sent
         return warmth >= 1 or gap * rate >= 1 or (not rate and gap >= self._settings.cold_window_ms)
--- a/umberworks/members.py
+++ b/umberworks/members.py
@@ -52,7 +52,7 @@
         self.back = False  # put back by hand, and not sent to since
         self.in_flight = 0  # m of the design, held slots of failures included
         self.last_sent = -math.inf
-        self.owed = Owed()
+        self.unanswered = Owed()
         self.forget(now)
 
     def forget(self, now: float) -> None:
@@ -62,7 +62,7 @@
     def rate(self, usual: float, now: float) -> float:
         """Answers for each millisecond of a call, as far as it gave any; at most the usual."""
         self.catch_up(now)
-        heard = max(self.busy - self.owed.waited(now), 0.0)
+        heard = max(self.busy - self.unanswered.waited(now), 0.0)
         return min(usual, (self.served + PRIOR_CALLS) / (heard + PRIOR_CALLS / usual))
 
     def catch_up(self, now: float) -> None:
@@ -149,6 +149,6 @@
         able = [s for s in servers if s.fit and s.member.server not in self.cordoned]
         return sorted(able, key=lambda s: s.rank)
 
-    def avoided(self, kept_to: Iterable[Server]) -> frozenset[str]:
+    def excluded(self, kept_to: Iterable[Server]) -> frozenset[str]:
         """The listed servers that get no calls now: cordoned, draining, or not among those kept to."""
         return frozenset(self.listed) - {s.member.server for s in kept_to}
--- a/umberworks/room.py
+++ b/umberworks/room.py
@@ -32,18 +32,21 @@
 LOAD_PRIOR = 2.0  # calls' worth of belief that all is well, so that a few slow calls do not refuse others
 
 
-class Room:
+class ConcurrencyLimit:
     """Counts the calls out and measures how long they take, in aims of their classes."""
 
     def __init__(self, balancers: int) -> None:
         self._balancers = balancers
-        self.out, self.beside = 0, 0  # calls out, ours and those of the other process of an upgrade
+        self.out, self.other_process_calls = (
+            0,
+            0,
+        )  # calls out, ours and those of the other process of an upgrade
         # In memory: aims of served calls, time in flight; of the block measured: calls, aims, time, start.
         self._aims, self._spent, self._seen = 0.0, 0.0, 0.0
         self.reports, self.spoilt_until = Reports(), -math.inf
         self._earlier = 0.0  # mean calls out, about as old as what is reported of them
         self._calls, self._block_aims, self._times, self._block_from = 0, 0.0, 0.0, 0.0
-        self.mean, self.base = 0.0, 0.0  # time in service, last and lowest, in aims; 0: not measured yet
+        self.mean, self.baseline = 0.0, 0.0  # time in service, last and lowest, in aims; 0: not measured yet
 
     def catch_up(self, now: float) -> None:
         """Bring the measure to `now`: calls that are still out add time, and all of it fades."""
@@ -54,7 +57,9 @@
             self._spent = self._spent * fade + self.out * RATE_MEMORY_MS * (1 - fade)
             self._times += self.out * gap
             self._earlier += (self._spent / RATE_MEMORY_MS - self._earlier) * (1 - fade)
-            self.base = min(self.base * math.exp(min(gap / BASE_DRIFT_MS, 1.0)), 1.0)  # idle for hours
+            self.baseline = min(
+                self.baseline * math.exp(min(gap / BASE_DRIFT_MS, 1.0)), 1.0
+            )  # idle for hours
             self._seen = now
 
     def served(self, aim_ms: float, now: float) -> None:
@@ -62,9 +67,9 @@
         self._calls += 1
         self._aims += aim_ms
         self._block_aims += aim_ms
-        if self._calls >= BASE_CALLS and (not self.base or now - self._block_from >= RATE_MEMORY_MS):
+        if self._calls >= BASE_CALLS and (not self.baseline or now - self._block_from >= RATE_MEMORY_MS):
             self.mean = self._times / self._block_aims
-            self.base = min(self.base or math.inf, self.mean)
+            self.baseline = min(self.baseline or math.inf, self.mean)
             self._calls, self._block_aims, self._times, self._block_from = 0, 0.0, 0.0, now
 
     def spoilt(self, now: float) -> None:
@@ -73,16 +78,16 @@
 
     def learned(self) -> tuple[float, float, float]:
         """The lowest time in service and the memory, for a process that takes our place."""
-        return self.base, self._aims, self._spent
+        return self.baseline, self._aims, self._spent
 
     def told(self, event: Learned) -> None:
         """Begin with what the process before us has learned: a measure among its calls would mislead."""
-        self.mean = self.base = event.lowest
+        self.mean = self.baseline = event.lowest
         self._aims, self._spent = event.aims_ms, event.spent_ms
 
     def is_full(self, ready: int) -> bool:
         """Whether no more calls may go out."""
-        return self.out + self.beside >= self.size(ready)
+        return self.out + self.other_process_calls >= self.size(ready)
 
     def load(self, aim_ms: float) -> float:
         """The mean time in service as a class with this aim sees it."""
@@ -92,8 +97,8 @@
         """How many calls may be out: past its capacity a server only queues, a crowded one slows down."""
         ours = ready / self._balancers
         # A factor in place of the sum would let the room shrink away once calls take longer than it allows.
-        queued = ours + LOWEST_BY_CHANCE * self.base * self._aims / RATE_MEMORY_MS
-        lowest = self.base * self._aims
+        queued = ours + LOWEST_BY_CHANCE * self.baseline * self._aims / RATE_MEMORY_MS
+        lowest = self.baseline * self._aims
         slower = self._spent / lowest if lowest else 1.0
         calm = min(max((LEAST_NONE - slower) / (LEAST_NONE - LEAST_FULL), 0.0), 1.0)
         away = FREE_PER_SERVER * ready / max(self._balancers - 1, 1)
@@ -102,4 +107,4 @@
         idle = calm * self._earlier * USE_FULL / max(use, LEAST_USE) if use is not None else 0.0
         room = max(FREE_PER_SERVER * ours, queued, least, idle)
         # A burst may pass, a standing crowd does harm: the room bounds the mean once it has been measured.
-        return 2 * room - min(self._spent / RATE_MEMORY_MS, room) if self.base else room
+        return 2 * room - min(self._spent / RATE_MEMORY_MS, room) if self.baseline else room
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -11,11 +11,11 @@
 from heapq import heapify, heappop, heappush
 
 from umberworks import interface as face
-from umberworks.choice import Choice
+from umberworks.choice import ServerSelector
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
 from umberworks.members import MEMORY_MS, HeldSlots, Members, Server, evidence
 from umberworks.requests import Attempt, Request
-from umberworks.room import Room
+from umberworks.room import ConcurrencyLimit
 from umberworks.shares import Shares
 from umberworks.silence import DOUBT_BESIDE, Silence
 from umberworks.tries import Tries
@@ -47,13 +47,13 @@
         self._classes = {c.name: c for c in settings.classes}
         self._random = random.Random(seed)
         self._servers: dict[str, Server] = {}
-        self._choice = Choice(settings, self._random)
+        self._selector = ServerSelector(settings, self._random)
         self._members = Members()
         self._requests: dict[int, Request] = {}
         self._waiting: list[tuple[bool, float, int]] = []
         self._held = HeldSlots()
         self._retries, self._now = RETRY_BURST, 0.0
-        self._room = Room(settings.balancers)
+        self._concurrency = ConcurrencyLimit(settings.balancers)
         self._tries = Tries(settings.classes)
         self._silence, self._looking = Silence(), False
         self._shares = Shares(settings.tenants, settings.balancers)
@@ -68,7 +68,7 @@
             self._asked = True
             self._actions.append(face.Subscribe())
         self._held.release(now)
-        self._room.catch_up(now)
+        self._concurrency.catch_up(now)
         self._now = max(self._now, now)
         match event:
             case face.AttemptEnded():
@@ -87,11 +87,11 @@
                 self._members.cordon(event, self._servers.get(event.server))
                 self._take_ready()
             case face.CallsBeside():
-                self._room.beside = event.out
+                self._concurrency.other_process_calls = event.out
             case face.Learned():
-                self._room.told(event)
+                self._concurrency.told(event)
                 self._members.told(event, self._servers.values(), now)
-                self._choice.measure_anew()
+                self._selector.measure_anew()
             case face.AnswerStarted():
                 self._started(event, now)
             case face.RequestWhole():
@@ -103,9 +103,9 @@
         self._pump(now)
         return self._actions
 
-    def avoided(self) -> frozenset[str]:
+    def excluded(self) -> frozenset[str]:
         """The listed servers that get no calls now, by hand or by choice."""
-        return self._members.avoided(self._silence.answering(self._choice.fit))
+        return self._members.excluded(self._silence.answering(self._selector.fit))
 
     def cordoned(self) -> frozenset[str]:
         """The servers that operators hold out, listed or not."""
@@ -113,7 +113,9 @@
 
     def learned(self) -> face.Learned:
         """What a process that takes our place begins with."""
-        return face.Learned(*self._room.learned(), tuple(evidence(s, self._now) for s in self._choice.ready))
+        return face.Learned(
+            *self._concurrency.learned(), tuple(evidence(s, self._now) for s in self._selector.ready)
+        )
 
     def _listed(self, event: face.ListUpdate, now: float) -> None:
         if event.kind is ListKind.FAILED:
@@ -145,8 +147,8 @@
         self._take_ready()
 
     def _take_ready(self) -> None:
-        self._choice.take(self._members.usable(self._servers.values()), self._now)
-        self._silence.forget({s.member.server for s in self._choice.ready})
+        self._selector.take(self._members.usable(self._servers.values()), self._now)
+        self._silence.forget({s.member.server for s in self._selector.ready})
 
     # ---- a request's path -----------------------------------------------------------------------
 
@@ -162,7 +164,7 @@
         self._requests[request.id] = request
         self._retries = min(RETRY_BURST, self._retries + RETRY_SHARE)
         # With all servers held out, none comes back while a request waits.
-        held_out = bool(self._members.cordoned) and not self._choice.ready
+        held_out = bool(self._members.cordoned) and not self._selector.ready
         if held_out or event.free_connections < min(KEPT_FREE, len(self._requests) // KEPT_FOR):
             self._give_up(request)
             return
@@ -202,7 +204,7 @@
 
     def _refuse_for_room(self, request: Request, now: float) -> None:
         if now > self._refusing_until:
-            self._actions.append(face.Log(f"no room: refusing; {self._room.out} calls out"))
+            self._actions.append(face.Log(f"no room: refusing; {self._concurrency.out} calls out"))
         self._refusing_until = now + MEMORY_MS
         self._give_up(request)
 
@@ -222,18 +224,18 @@
 
     def _crowded(self, request: Request) -> bool:
         """Whether to refuse by the mean time in service; calls still out are in it: a stall shows at once."""
-        if self._choice.counted or self._settings.calling_tier > 0:
+        if self._selector.counted or self._settings.calling_tier > 0:
             return False
-        load = self._room.load(request.cls.aim_ms)
+        load = self._concurrency.load(request.cls.aim_ms)
         chance = (LOAD_FULL - load - LOAD_OVER_SHARE * request.over_share) / (LOAD_FULL - LOAD_FREE)
         return self._random.random() >= max(chance, LEAST_ADMITTED)
 
     def _has_room(self) -> bool:
         if self._settings.calling_tier > 0:
             return True  # inner tiers let all in: a refusal there wastes what the tiers above have done
-        if not self._choice.counted and not self._room.base:
+        if not self._selector.counted and not self._concurrency.baseline:
             return True  # a sliver of the fleet has no room to count by until its time in service is known
-        return not self._room.is_full(len(self._silence.answering(self._choice.ready)))
+        return not self._concurrency.is_full(len(self._silence.answering(self._selector.ready)))
 
     def _try_send(self, request: Request, now: float) -> bool:
         timeout = request.time_left(now)
@@ -248,13 +250,13 @@
         server.in_flight, server.last_sent, server.back = server.in_flight + 1, now, False
         attempt = Attempt(server, now, timeout)
         attempt.apart = self._silence.suspects(server)
-        self._room.out += not attempt.apart
+        self._concurrency.out += not attempt.apart
         request.attempts.append(attempt)
         if request.whole:
             self._owe(attempt, now)
         self._actions.append(face.Send(request.id, server.member.server, timeout, repeat_ends))
-        if self._room.mean and self._settings.may_duplicate and request.cls.effect is not Effect.ONCE:
-            patience = PATIENCE * self._room.mean * request.cls.aim_ms
+        if self._concurrency.mean and self._settings.may_duplicate and request.cls.effect is not Effect.ONCE:
+            patience = PATIENCE * self._concurrency.mean * request.cls.aim_ms
             self._actions.append(face.SetTimer(now + patience, f"copy:{request.id}"))
         return True
 
@@ -270,7 +272,7 @@
             return
         attempt.out, attempt.ran = False, event.outcome not in face.NEVER_RAN
         if event.report is not None:
-            self._room.reports.told(event.report, now)
+            self._concurrency.reports.told(event.report, now)
         self._book(attempt, event.outcome, request.cls, now)
         if event.answered:
             request.owed = False
@@ -288,8 +290,8 @@
             self._settle(attempt, now)
             request.streaming = attempt.started = True
             self._heard(attempt.server, now)
-            self._room.out -= not attempt.apart
-            self._room.served(request.cls.aim_ms, now)
+            self._concurrency.out -= not attempt.apart
+            self._concurrency.served(request.cls.aim_ms, now)
 
     def _try_again(self, request: Request, now: float, keep: float = 0.0) -> bool:
         """Make a further attempt out of the savings, of which `keep` stay for others."""
@@ -314,16 +316,16 @@
             self._silence.ended(attempt.server, now)
 
     def _look_later(self, now: float) -> None:
-        if not self._looking and self._choice.median and self._settings.may_probe:
+        if not self._looking and self._selector.median and self._settings.may_probe:
             self._looking = True
-            wait = max(LOOK_CALLS / self._choice.median, self._settings.tick_ms)
+            wait = max(LOOK_CALLS / self._selector.median, self._settings.tick_ms)
             self._actions.append(face.SetTimer(now + wait, "look"))
 
     def _look(self, now: float) -> None:
         """Have the servers probed that owe too much."""
         self._looking = False
-        if self._choice.median and self._settings.may_probe:
-            doubted = self._silence.doubts(self._choice.median, now)
+        if self._selector.median and self._settings.may_probe:
+            doubted = self._silence.doubts(self._selector.median, now)
             self._actions.extend(face.Probe(s.member.server) for s in doubted)
             if self._silence.any():
                 self._look_later(now)
@@ -336,11 +338,11 @@
         """It is silent: its calls take up no room, and are made elsewhere if they may."""
         if self._silence.silent(server):
             self._actions.append(face.Log(f"{server.member.server} gives no answers: left out"))
-        self._room.spoilt(now)
+        self._concurrency.spoilt(now)
         for request in list(self._requests.values()):
             for number, attempt in enumerate(request.attempts):
                 if attempt.server is server and attempt.out and not attempt.started:
-                    self._room.out -= not attempt.apart
+                    self._concurrency.out -= not attempt.apart
                     attempt.apart = True
                     self._call_off(request, number, attempt, now)
 
@@ -354,7 +356,7 @@
             or attempt.paid
             or self._retries < 1
             or len(request.attempts) >= self._settings.max_attempts
-            or attempt.server.owed.waited(now) * self._choice.median < DOUBT_BESIDE
+            or attempt.server.unanswered.waited(now) * self._selector.median < DOUBT_BESIDE
         ):
             return
         attempt.paid = True
@@ -396,11 +398,11 @@
         if request.is_out() and not self._settings.may_duplicate:
             return []
         if ran is None or cls.effect is Effect.REPEATABLE:
-            return self._choice.fit
+            return self._selector.fit
         if cls.effect is Effect.ONCE or now >= self._repeat_ends(request, ran):
             return []
         # A server that restarted since may have forgotten what it saw: not asked again.
-        able = [s for s in self._choice.ready if s.member.up_since_ms <= ran.sent]
+        able = [s for s in self._selector.ready if s.member.up_since_ms <= ran.sent]
         if cls.repeat_group is RepeatGroup.ALL:
             return able
         place = "zone" if cls.repeat_group is RepeatGroup.ZONE else "cell"
@@ -416,7 +418,7 @@
 
     def _pick(self, request: Request, now: float) -> Server | None:
         """The ordinary path, among the servers to which an attempt can do no harm, and which answer."""
-        choice = self._choice
+        choice = self._selector
         median = choice.bring_up(now)
         able = self._silence.answering(choice.spare_cold(self._harmless(request, now), now))
         if request.attempts:
@@ -428,7 +430,7 @@
         """Count a served call; hold a failure's slot to its full time-out: it must not look idle."""
         server = attempt.server
         server.catch_up(now)
-        self._room.out -= not attempt.started and not attempt.apart
+        self._concurrency.out -= not attempt.started and not attempt.apart
         self._settle(attempt, now)
         if outcome in ANSWERS:
             self._heard(server, now)
@@ -439,7 +441,7 @@
             server.served += 1
             server.heard = now
             if not attempt.started:
-                self._room.served(cls.aim_ms, now)
+                self._concurrency.served(cls.aim_ms, now)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.ends > now:
             self._held.hold(server, attempt.ends)
             return
--- a/umberworks/silence.py
+++ b/umberworks/silence.py
@@ -31,20 +31,20 @@
 
     def sent(self, server: Server, now: float) -> None:
         """A call goes out."""
-        server.owed.sent(now)
+        server.unanswered.sent(now)
         self._zone(server).sent(now)
         self._watched[server.member.server] = server
 
     def ended(self, server: Server, now: float) -> None:
         """A call is over, whichever way."""
-        server.owed.ended(now)
+        server.unanswered.ended(now)
         self._zone(server).ended(now)
-        if not server.owed.out:
+        if not server.unanswered.out:
             self._watched.pop(server.member.server, None)
 
     def heard(self, server: Server, now: float) -> bool:
         """A server has answered, or a connection to it has come up; true if it was suspected."""
-        server.owed.heard(now)
+        server.unanswered.heard(now)
         self._zone(server).heard(now)
         self._asked.discard(server.member.server)
         self._probed.pop(server.member.server, None)
@@ -76,7 +76,7 @@
         for name, server in self._watched.items():
             if name in self._suspects:
                 continue
-            owed = server.owed.waited(now) * server.rate(usual, now)
+            owed = server.unanswered.waited(now) * server.rate(usual, now)
             if owed >= enough or (server.member.zone in zones and owed >= DOUBT_BESIDE):
                 found.append(server)
         wait = PROBE_CALLS / usual
