--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings of their own, and a small host that carries out actions."""
+"""Shared by the tests of the decisions: settings, and a harness that drives one balancer."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 ORDER = RequestClass("order", 1_000, 3_000, Effect.KEYED, RepeatGroup.CELL, 2_000)
 ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Effect.KEYED, RepeatGroup.ALL, 2_000)
 ZONAL = RequestClass("zonal", 1_000, 3_000, Effect.KEYED, RepeatGroup.ZONE, 2_000)
-# A window says nothing for a class that must not run twice, but settings may give one.
+# The window has no meaning for a class that must not run twice, but settings may contain one.
 PAY = RequestClass("pay", 1_000, 3_000, Effect.ONCE, repeat_window_ms=2_000)
 CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
 
@@ -46,36 +46,36 @@
     return tuple(Member(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
-class Desk:
-    """A balancer with a list, and the time and request numbers kept for it."""
+class Harness:
+    """A balancer with a server list, a clock and a counter of request numbers."""
 
     def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 1_000.0
         self.log: list[Action] = []
-        self.show(*members(count))
+        self.update_list(*members(count))
         self._next = 0
 
-    def tell(self, event: Any) -> list[Action]:
+    def handle(self, event: Any) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
         self.log.extend(actions)
         return actions
 
-    def show(self, *entries: Member, kind: ListKind = ListKind.WHOLE) -> list[Action]:
-        return self.tell(ListUpdate(kind, entries))
+    def update_list(self, *entries: Member, kind: ListKind = ListKind.WHOLE) -> list[Action]:
+        return self.handle(ListUpdate(kind, entries))
 
-    def ask(
+    def arrive(
         self, cls: RequestClass = READ, remaining: float = 3_000, **more: Any
     ) -> tuple[int, list[Action]]:
         self._next += 1
-        return self._next, self.tell(RequestArrived(self._next, cls.name, remaining, **more))
+        return self._next, self.handle(RequestArrived(self._next, cls.name, remaining, **more))
 
     def end(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
-        return self.tell(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
+        return self.handle(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
 
     def serve(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
-        """One request, served by whichever server it is sent to; each may take its own time."""
-        request, actions = self.ask(cls)
+        """Have one request served, after its server's own service time; return the server."""
+        request, actions = self.arrive(cls)
         server = sent(actions)[0].server
         self.now += takes[server] if isinstance(takes, dict) else takes
         self.end(request, 0, server, Outcome.SERVED)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -40,7 +40,7 @@
     balancer = started._balancer
     for age, wanted in ((0.0, 0.25), (12_000.0, 0.625), (24_000.0, 1.0)):
         fresh = type("Server", (), {"member": Member("a", up_since_ms=now - age)})
-        assert balancer._selector._warm_fraction(fresh, now) == pytest.approx(wanted)  # type: ignore[arg-type]
+        assert balancer._selector._warm_share(fresh, now) == pytest.approx(wanted)  # type: ignore[arg-type]
 
 
 def test_settings_are_read_by_the_simulators_names() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -232,13 +232,13 @@
             client.send()
             await until(lambda: len(upstream.got) == 1)
             module = old.node.engine._balancer
-            module._concurrency.baseline, module._servers["s0"].served = 0.25, 7.0
+            module._limit.baseline, module._servers["s0"].served = 0.25, 7.0
             new = await start()
-            await until(lambda: new.node.engine._balancer._concurrency.baseline >= 0.25)
+            await until(lambda: new.node.engine._balancer._limit.baseline >= 0.25)
             assert new.node.engine._balancer._servers["s0"].served == pytest.approx(7.0, rel=0.1)
-            await until(lambda: new.node.engine._balancer._concurrency.other_process_calls == 1)
+            await until(lambda: new.node.engine._balancer._limit.other_process_calls == 1)
             upstream.writers[0].write(OK)
-            await until(lambda: new.node.engine._balancer._concurrency.other_process_calls == 0)
+            await until(lambda: new.node.engine._balancer._limit.other_process_calls == 0)
 
     run(test())
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the host, on lines of our own."""
+"""The simulator's line protocol: codec, host, and the adapter as a process."""
 
 from __future__ import annotations
 
@@ -83,13 +83,13 @@
     ("bad", "reason"),
     [
         ("knock who=1 corr=9 grade=read", "'remaining' is missing"),
-        ("knock who=1 corr=x remaining=9 grade=read", "no whole number"),
-        ("knock who=1 corr=9 remaining=soon grade=read", "no number"),
+        ("knock who=1 corr=x remaining=9 grade=read", "not a whole number"),
+        ("knock who=1 corr=9 remaining=soon grade=read", "not a number"),
         ("knock who=5 corr=9 remaining=9.0 grade=read", "instance '5' is unknown"),
         ("membership who=1 generation=2 mode=2 list=9", "ledger 9 was never sent"),
-        ("knock who=1 corr=9 remaining=nan grade=read", "no finite number"),
+        ("knock who=1 corr=9 remaining=nan grade=read", "not a finite number"),
         ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
-        ("ledger list=1 membersList=1\nm upstream=u1 readiness=1 nominal=0", "no size above 0"),
+        ("ledger list=1 membersList=1\nm upstream=u1 readiness=1 nominal=0", "not a size above 0"),
         ("ledger list=1 membersList=1\nm upstream=u1 readiness=9", "'readiness' holds '9'"),
         ("knock who=1 corr", "not name=value"),
         (up(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"), "aim_ms"),
@@ -117,7 +117,7 @@
 
 
 def adapter(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """The adapter as a process of its own, fed this text."""
+    """Run the adapter as a process on this input."""
     return subprocess.run(
         [sys.executable, "-m", "umberworks.simhost"],
         input=text,
@@ -129,7 +129,7 @@
 
 
 def drive(instances: list[int], hash_seed: str) -> str:
-    """The replies of a process that hosts these instances, apart from the batch lines."""
+    """The replies of one process that hosts these instances."""
     text = "".join(["sync time=100.0 batch=1\n", LEDGER, *(up(i, 11 + i) for i in instances)])
     text += "".join(f"membership who={i} generation=1 mode=0 list=3\n" for i in instances) + "eob\n"
     for n in range(40):
@@ -162,7 +162,9 @@
     done = adapter(f"{start()}sync time=110.0 batch=2\n{bad}\neob\n")
     assert done.returncode == 1
     assert reason in done.stderr and "batch 2" in done.stderr and done.stderr.count("\n") == 1
-    assert bad.split("\n")[-1].split(" ")[0] in done.stderr or "eob" in done.stderr  # the line it stopped at
+    assert (
+        bad.split("\n")[-1].split(" ")[0] in done.stderr or "eob" in done.stderr
+    )  # the line that it stopped at
     assert all(line.split(" ")[0] in ("yield", "follow", "remind") for line in done.stdout.splitlines())
 
 
--- a/umberworks/__init__.py
+++ b/umberworks/__init__.py
@@ -1,4 +1,4 @@
-"""umberworks: the decisions of a load balancer for services that call services."""
+"""Load-balancing decisions for services that call other services, free of I/O."""
 
 from umberworks.interface import Settings
 from umberworks.rules import Balancer
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -1,15 +1,20 @@
-"""What a balancer is told and what it may do: settings, members, events and actions.
-
-The contract. The caller owns the clock: all times and spans are milliseconds on one clock that may stand
-still but never goes backwards. It calls `Balancer.handle` with one event at a time, in the order in which
-they happened, carries out the returned actions in order, and delivers in turn: for each `Send` exactly one
-`AttemptEnded`, for each `Probe` one `Probed`, for each `SetTimer` one `TimerDue` at or after its moment, for
-each `Subscribe` the list and then its changes. A served attempt ends its request; every other request ends
-with the one `Refuse` or `Fail` that the balancer returns. A balancer is single-threaded and shares nothing;
-its only chance comes from its seed. Settings out of range and impossible events (an unknown class, a request
-seen twice, an attempt never made) raise `ValueError`.
-
-Every type is a frozen value; the decisions are in `umberworks.rules`.
+"""The interface of the balancer's decisions: settings, list members, events and actions.
+
+The contract with the caller:
+
+- The caller owns the clock. All times and durations are milliseconds on one clock that may stand still but
+  never goes backwards.
+- It calls `Balancer.handle` with one event at a time, in the order in which they happened, and carries out
+  the returned actions in order.
+- It answers each `Send` with exactly one `AttemptEnded`, each `Probe` with one `Probed`, each `SetTimer` with
+  one `TimerDue` at or after its time, and each `Subscribe` with the list and then its changes.
+- A served attempt ends its request; every other request ends with the one `Refuse` or `Fail` that the
+  balancer returns.
+- A balancer is single-threaded, shares no state, and takes its randomness from its seed alone.
+- Settings out of range and impossible events (an unknown class, a request seen twice, an attempt that was
+  never made) raise `ValueError`.
+
+Every type is an immutable value; the decisions are in `umberworks.rules`.
 """
 
 from __future__ import annotations
@@ -28,7 +33,7 @@
 
 
 class RepeatGroup(enum.Enum):
-    """Which servers drop repeats of a keyed request."""
+    """Which servers recognize and drop a repeat of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,7 +41,7 @@
 
 
 class Readiness(enum.Enum):
-    """What the list says of a server's process."""
+    """State of a server's process according to the list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -44,7 +49,7 @@
 
 
 class ListKind(enum.Enum):
-    """What a list event carries."""
+    """Kind of a list event: changes, the whole list, a saved copy of it, or a failure to get it."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -67,17 +72,17 @@
 
 
 NEVER_RAN = frozenset({Outcome.TURNED_AWAY, Outcome.UNREACHED, Outcome.NOT_SENT})
-"""The outcomes that prove that the attempt had no effect."""
+"""Outcomes that prove that the attempt had no effect."""
 
 
-def _require(condition: bool, name: str, wanted: str) -> None:
+def _require(condition: bool, name: str, requirement: str) -> None:
     if not condition:
-        raise ValueError(f"{name}: {wanted}")
+        raise ValueError(f"{name}: {requirement}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests and what its callers want."""
+    """A class of requests: target latency (the aim), deadline, and how requests may be repeated."""
 
     name: str
     aim_ms: float
@@ -101,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer and the requests a second it may expect, over all balancers."""
+    """A customer and its quota of requests per second, over all balancers."""
 
     name: str
     quota_per_s: float
@@ -113,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one balancer instance is told when it starts."""
+    """Settings of one balancer instance, fixed when it starts."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -123,10 +128,10 @@
     ask_within_ms: float = 10_000.0
     max_attempts: int = 3
     may_cancel: bool = False
-    may_probe: bool = False  # `Probe` permitted
+    may_probe: bool = False  # whether `Probe` may be returned
     may_duplicate: bool = False
-    max_retry_after_ms: float = 0.0  # the longest that clients stay away when told to; 0: they are not told
-    sizes_exact: bool = False  # a member's size is the one it was registered with, neither rough nor made up
+    max_retry_after_ms: float = 0.0  # longest retry-after that clients honour; 0: they are given none
+    sizes_exact: bool = False  # member sizes are the registered ones, not estimates or placeholders
     cold_ms: float = 0.0
     cold_from: float = 1.0
     cold_overload_factor: float = 1.0
@@ -151,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One server as the list shows it; `up_since_ms` is 0 when it started long ago."""
+    """One server as listed; `up_since_ms` is 0 if it started long ago."""
 
     server: str
     readiness: Readiness = Readiness.READY
@@ -169,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """News of the server list; FAILED carries no members and leaves the old list standing."""
+    """An update of the server list; FAILED carries no members and leaves the old list in force."""
 
     kind: ListKind
     members: tuple[Member, ...] = ()
@@ -177,11 +182,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; exactly one final answer is owed within `remaining_ms`.
+    """A client's request, to be answered exactly once within `remaining_ms`.
 
-    `free_connections`: those left to the callers while they can open no more, as in a drain.
-    `whole`: false for one whose body is passed on as it comes. Its time, and the time-out of its attempts,
-    run from `RequestWhole` on.
+    `free_connections`: connections left to clients while they cannot open new ones, as in a drain.
+    `whole`: false for a request whose body is forwarded as it arrives. Its deadline, and the time-outs of its
+    attempts, run from `RequestWhole` on.
     """
 
     request: int
@@ -194,14 +199,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestWhole:
-    """The last byte of a request that arrived unfinished is there."""
+    """The last byte of a request that was incomplete on arrival has come."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """The answer of a streamed request has begun; its deadline no longer runs."""
+    """The answer to a streamed request has begun; its deadline no longer applies."""
 
     request: int
     attempt: int
@@ -209,7 +214,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server says of itself, late and noisy: share of its cores in use, time without waiting."""
+    """A server's report of its own load, late and noisy: share of its cores in use, and service time."""
 
     util: float
     latency_ms: float | None = None
@@ -222,10 +227,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over; `answered` says that the request has its final answer.
+    """An attempt has ended; `answered`: whether the request has its final answer.
 
-    `repeatable`: false if no further attempt can be made, as part of the body is gone. `report`: what the
-    server's answer said of its load, if anything.
+    `repeatable`: false if no further attempt can be made, as part of the body is no longer held. `report`:
+    the load that the server reported in its answer, if any.
     """
 
     request: int
@@ -239,21 +244,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The client has gone; nothing more is owed for the request."""
+    """The client has disconnected; its request needs no answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer set by `SetTimer` has come due."""
+    """A timer set by `SetTimer` has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """What a `Probe` found: whether a connection to the server came up in time."""
+    """The result of a `Probe`: whether a connection to the server was established in time."""
 
     server: str
     reached: bool
@@ -261,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cordon:
-    """Operators hold a server out, whatever the list says of it, until the same with `out` false."""
+    """Operators cordon a server, whatever its state on the list, or uncordon it with `out` false."""
 
     server: str
     out: bool
@@ -269,7 +274,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What a balancer knows of one server: our calls served, the time in flight, and since the last send."""
+    """Evidence on one server's capacity: calls served, time in flight, and time since the last send."""
 
     server: str
     up_since_ms: float
@@ -285,10 +290,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Learned:
-    """What the process whose place we take has learned: the two are one balancer.
+    """What the process that this one replaces has learned; the two are one balancer.
 
-    `lowest`: the lowest time in service, in aims; `aims_ms` and `spent_ms`: aims of calls served and time in
-    flight, as they are in memory.
+    `lowest`: the lowest service time, in aims; `aims_ms` and `spent_ms`: the decaying sums of the aims of
+    served calls and of time in flight.
     """
 
     lowest: float
@@ -303,7 +308,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallsBeside:
-    """How many calls the other process of an upgrade has out."""
+    """How many calls the other process of an upgrade has in flight."""
 
     out: int
 
@@ -331,9 +336,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Make the next attempt of a request; attempts count from 0.
+    """Make the next attempt of a request; attempts are numbered from 0.
 
-    `write_by_ms`, a time of the module's clock: what is not wholly written by then may not be any more.
+    `write_by_ms`, a time on the caller's clock: a request not completely written by then must not be sent.
     """
 
     request: int
@@ -344,7 +349,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call off an attempt that is still out."""
+    """Cancel an attempt that is in flight."""
 
     request: int
     attempt: int
@@ -352,14 +357,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """See whether a connection to a server comes up, which may then serve calls; `Probed` answers it."""
+    """Try to connect to a server; the connection may then serve calls. `Probed` gives the result."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless, best after `retry_after_ms` (0: no advice)."""
+    """Final answer: not executed and safe to retry, best after `retry_after_ms` (0: no advice)."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -367,14 +372,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; promises nothing of what happened."""
+    """Final answer: failed; the request may or may not have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerDue` at a moment of the clock; tokens hold no spaces."""
+    """Request a `TimerDue` at a time of the clock; tokens contain no spaces."""
 
     at_ms: float
     token: str
@@ -382,12 +387,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open the standing subscription to the server list."""
+    """Subscribe to the server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """A log line for operators."""
 
     text: str
 
--- a/umberworks/members.py
+++ b/umberworks/members.py
@@ -1,4 +1,4 @@
-"""The servers: what is known of each, and which are listed or held out by hand (umberworks/interface.py)."""
+"""Server state: capacity evidence, calls in flight, list entries, cordons (umberworks/interface.py)."""
 
 from __future__ import annotations
 
@@ -8,96 +8,96 @@
 
 from umberworks import interface as face
 
-MEMORY_MS = 6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
+MEMORY_MS = 6_000.0  # evidence decays by 1/e over this: long enough for a few calls, short enough to recover
 
 
-PRIOR_CALLS = 2.0  # calls' worth of belief in the median, so that one slow answer does not ruin an estimate
+PRIOR_CALLS = 2.0  # weight of the median, in calls, so that one slow answer does not ruin an estimate
 
 
-class Owed:
-    """Calls that are out to somewhere, and the call time that has gone by there since anything was heard."""
+class UnansweredCalls:
+    """Calls in flight to a server or zone, and the call time accumulated there since its last answer."""
 
-    __slots__ = ("_seen", "_waited", "out")
+    __slots__ = ("_updated_at", "_waited", "calls")
 
     def __init__(self) -> None:
-        self.out, self._waited, self._seen = 0, 0.0, 0.0
+        self.calls, self._waited, self._updated_at = 0, 0.0, 0.0
 
-    def sent(self, now: float) -> None:
-        """A call goes out."""
+    def on_sent(self, now: float) -> None:
+        """Count a call that is sent."""
         self.waited(now)
-        self.out += 1
+        self.calls += 1
 
-    def ended(self, now: float) -> None:
-        """A call is over; unless it was answered, that says nothing."""
+    def on_ended(self, now: float) -> None:
+        """Uncount a call that has ended; without an answer the accumulated time stays."""
         self.waited(now)
-        self.out -= 1
+        self.calls -= 1
 
-    def heard(self, now: float) -> None:
-        """Something has answered: nothing is owed from before."""
-        self._waited, self._seen = 0.0, now
+    def on_answer(self, now: float) -> None:
+        """Reset the accumulated time, as something has answered."""
+        self._waited, self._updated_at = 0.0, now
 
     def waited(self, now: float) -> float:
-        """Call time since anything was heard, in milliseconds."""
-        self._waited += self.out * (now - self._seen)
-        self._seen = now
+        """Return the call time since the last answer, in milliseconds, summed over the calls in flight."""
+        self._waited += self.calls * (now - self._updated_at)
+        self._updated_at = now
         return self._waited
 
 
 class Server:
-    """What is known of one server: its list entry, our calls there and the evidence on its capacity."""
+    """One server: its list entry, this balancer's calls to it, and the evidence on its capacity."""
 
     def __init__(self, member: face.Member, now: float, rank: float) -> None:
         self.member, self.rank, self.size = member, rank, 1.0
-        self.fit, self.heard = False, now
-        self.back = False  # put back by hand, and not sent to since
-        self.in_flight = 0  # m of the design, held slots of failures included
+        self.is_ready, self.served_at = False, now
+        self.returned = False  # uncordoned by an operator, and not sent to since
+        self.in_flight = 0  # including the held slots of failed calls
         self.last_sent = -math.inf
-        self.unanswered = Owed()
-        self.forget(now)
-
-    def forget(self, now: float) -> None:
-        """Drop the evidence: the process behind the name is a new one."""
-        self.served, self.busy, self.seen = 0.0, 0.0, now
-
-    def rate(self, usual: float, now: float) -> float:
-        """Answers for each millisecond of a call, as far as it gave any; at most the usual."""
-        self.catch_up(now)
-        heard = max(self.busy - self.unanswered.waited(now), 0.0)
-        return min(usual, (self.served + PRIOR_CALLS) / (heard + PRIOR_CALLS / usual))
-
-    def catch_up(self, now: float) -> None:
-        """Bring the evidence to `now`: calls in flight add time, and all of it fades."""
-        gap = now - self.seen
+        self.unanswered = UnansweredCalls()
+        self.reset_evidence(now)
+
+    def reset_evidence(self, now: float) -> None:
+        """Drop the evidence, as the process behind the name is a new one."""
+        self.served, self.busy, self.updated_at = 0.0, 0.0, now  # calls; milliseconds in flight
+
+    def answer_rate(self, usual: float, now: float) -> float:
+        """Return the server's answers per millisecond of a call, at most the usual rate."""
+        self.advance(now)
+        answered_ms = max(self.busy - self.unanswered.waited(now), 0.0)
+        return min(usual, (self.served + PRIOR_CALLS) / (answered_ms + PRIOR_CALLS / usual))
+
+    def advance(self, now: float) -> None:
+        """Bring the evidence up to `now`: calls in flight add time, and all of it decays."""
+        gap = now - self.updated_at
         if gap > 0:
-            fade = math.exp(-gap / MEMORY_MS)
-            self.served *= fade
-            self.busy = self.busy * fade + self.in_flight * gap
-            self.seen = now
+            decay = math.exp(-gap / MEMORY_MS)
+            self.served *= decay
+            self.busy = self.busy * decay + self.in_flight * gap
+            self.updated_at = now
 
 
 class HeldSlots:
-    """Slots of failed calls, in flight to their full time-out: a failing server must not look idle."""
+    """Slots of failed calls, in flight until their full time-out: a failing server must not look idle."""
 
     def __init__(self) -> None:
         self._held: list[tuple[float, int, Server]] = []
         self._count = 0
 
     def hold(self, server: Server, until: float) -> None:
-        """Keep the slot of a call that has failed."""
+        """Keep the slot of a failed call."""
         self._count += 1
         heappush(self._held, (until, self._count, server))
 
-    def release(self, now: float) -> None:
-        """Give back the slots whose time is over."""
+    def release_expired(self, now: float) -> None:
+        """Free the slots whose time-out has passed."""
         while self._held and self._held[0][0] <= now:
             server = heappop(self._held)[2]
-            server.catch_up(now)
+            server.advance(now)
             server.in_flight -= 1
 
 
 def evidence(server: Server, now: float) -> face.Evidence:
-    """What a process that takes our place begins with."""
-    server.catch_up(now)
+    """Return the evidence on a server in the form in which a successor process receives it."""
+    server.advance(now)
     unsent = now - max(server.last_sent, 0.0)
     return face.Evidence(
         server.member.server, server.member.up_since_ms, server.served, server.busy, max(unsent, 0.0)
@@ -105,15 +105,15 @@
 
 
 class Members:
-    """The names that the list holds, and those that operators hold out, whatever the list says of them."""
+    """The servers on the list, and those that operators have cordoned, whether listed or not."""
 
     def __init__(self) -> None:
-        self.listed = set[str]()  # draining ones too
+        self.listed = set[str]()  # including draining servers
         self.cordoned = set[str]()
-        self._left = dict[str, face.Evidence]()  # by the process before us, on servers not seen yet
+        self._inherited = dict[str, face.Evidence]()  # from the previous process, on servers not listed yet
 
-    def follow(self, event: face.ListUpdate) -> None:
-        """Take over news of the list."""
+    def apply(self, event: face.ListUpdate) -> None:
+        """Apply an update of the server list."""
         if event.kind is not face.ListKind.CHANGES:
             self.listed.clear()
         for member in event.members:
@@ -123,32 +123,32 @@
                 self.listed.add(member.server)
 
     def cordon(self, event: face.Cordon, server: Server | None) -> None:
-        """Hold a server out, or end that; once undoes it, however often it was said."""
+        """Cordon or uncordon a server; uncordoning once undoes any number of cordons."""
         if server is not None:
-            server.back = not event.out
+            server.returned = not event.out
         if event.out:
             self.cordoned.add(event.server)
         else:
             self.cordoned.discard(event.server)
 
-    def told(self, event: face.Learned, servers: Iterable[Server], now: float) -> None:
-        """Take over what the process before us has learned, or keep it until its servers are seen."""
-        self._left |= {item.server: item for item in event.evidence}
+    def inherit(self, event: face.Learned, servers: Iterable[Server], now: float) -> None:
+        """Take over the previous process's evidence, and keep it for servers that are not listed yet."""
+        self._inherited |= {item.server: item for item in event.evidence}
         for server in servers:
-            self.remember(server, now)
+            self.restore(server, now)
 
-    def remember(self, server: Server, now: float) -> None:
-        """Take over what was left on a server; on one that restarted since, it says nothing."""
-        item = self._left.pop(server.member.server, None)
+    def restore(self, server: Server, now: float) -> None:
+        """Apply inherited evidence to a server, unless the server has restarted since."""
+        item = self._inherited.pop(server.member.server, None)
         if item is not None and item.up_since_ms == server.member.up_since_ms:
-            server.served, server.busy, server.seen = item.served, item.busy_ms, now
+            server.served, server.busy, server.updated_at = item.served, item.busy_ms, now
             server.last_sent = max(server.last_sent, now - item.unsent_ms)
 
     def usable(self, servers: Iterable[Server]) -> list[Server]:
-        """Those that may be sent to, in the order of our ranks."""
-        able = [s for s in servers if s.fit and s.member.server not in self.cordoned]
-        return sorted(able, key=lambda s: s.rank)
+        """Return the ready servers that are not cordoned, ordered by this balancer's ranks."""
+        usable = [s for s in servers if s.is_ready and s.member.server not in self.cordoned]
+        return sorted(usable, key=lambda s: s.rank)
 
-    def excluded(self, kept_to: Iterable[Server]) -> frozenset[str]:
-        """The listed servers that get no calls now: cordoned, draining, or not among those kept to."""
-        return frozenset(self.listed) - {s.member.server for s in kept_to}
+    def excluded(self, in_use: Iterable[Server]) -> frozenset[str]:
+        """Return the listed servers that get no calls: cordoned, draining, silent or outside the subset."""
+        return frozenset(self.listed) - {s.member.server for s in in_use}
--- a/umberworks/reports.py
+++ b/umberworks/reports.py
@@ -1,4 +1,4 @@
-"""What the servers say of their load, taken together (the contract: umberworks/interface.py)."""
+"""Aggregates the load that servers report in their answers (the contract: umberworks/interface.py)."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 from umberworks.interface import LoadReport
 
-REPORT_MEMORY_MS = 2_000.0  # reports fade by 1/e over this: they are refreshed every second or so
-LEAST_REPORTS = 3.0  # in memory; fewer say nothing of a fleet
+REPORT_MEMORY_MS = 2_000.0  # reports decay by 1/e over this; servers refresh them about once a second
+MIN_REPORTS = 3.0  # decayed count; fewer reports say nothing about a fleet
 
 
 class Reports:
-    """The mean use of the servers' cores, over the reports that came lately."""
+    """The mean utilization of the servers' cores over recent reports."""
 
     def __init__(self) -> None:
-        self._use, self._count, self._seen = 0.0, 0.0, 0.0
+        self._sum, self._count, self._updated_at = 0.0, 0.0, 0.0
 
-    def told(self, report: LoadReport, now: float) -> None:
-        """An answer carries a report."""
-        self._fade(now)
-        self._use += report.util
+    def add(self, report: LoadReport, now: float) -> None:
+        """Add a report that came with an answer."""
+        self._decay(now)
+        self._sum += report.util
         self._count += 1.0
 
-    def use(self, now: float) -> float | None:
-        """The share of the cores in use, 0 to 1; None if too little is known."""
-        self._fade(now)
-        return self._use / self._count if self._count >= LEAST_REPORTS else None
+    def utilization(self, now: float) -> float | None:
+        """Return the share of the cores in use, from 0 to 1, or None with too few reports."""
+        self._decay(now)
+        return self._sum / self._count if self._count >= MIN_REPORTS else None
 
-    def _fade(self, now: float) -> None:
-        fade = math.exp(-(now - self._seen) / REPORT_MEMORY_MS)
-        self._use, self._count, self._seen = self._use * fade, self._count * fade, now
+    def _decay(self, now: float) -> None:
+        factor = math.exp(-(now - self._updated_at) / REPORT_MEMORY_MS)
+        self._sum, self._count, self._updated_at = self._sum * factor, self._count * factor, now
--- a/umberworks/room.py
+++ b/umberworks/room.py
@@ -1,4 +1,4 @@
-"""How many calls may be out at once, by their time in service (the contract: umberworks/interface.py)."""
+"""Adaptive concurrency limit: bounds the calls in flight by their service time (umberworks/interface.py)."""
 
 from __future__ import annotations
 
@@ -7,104 +7,102 @@
 from umberworks.interface import Learned
 from umberworks.reports import Reports
 
-BASE_CALLS = 30  # served calls that make a measure of the time in service; the first find servers free
-BASE_DRIFT_MS = 100_000.0  # it rises by 1/e over this, so that a fleet that stays slower gets its room back
-RATE_MEMORY_MS = 2_000.0  # smoothing of our own served rate
-# By chance alone the lowest of many measures lies about this much below what calls take on a free fleet. With
-# a room that much too small, calls out settle at ten times our part of the servers, whatever is asked.
-LOWEST_BY_CHANCE = 1.1
-FREE_PER_SERVER = 4.0  # calls out for each ready server, over all balancers, let through in any case
-# Of a smaller room chance alone refuses much, all the more while another balancer is away and its callers
-# come here, which nobody tells us. Guards too against a lowest time in service that few calls made too low.
-# All balancers' least rooms together crowd the servers: so it is our part with one of them away and the
-# deviations of that, which add up to little over many balancers where a fixed number would not. It holds only
-# while calls take about as long as at best, and is gone where they take twice that.
-LEAST_ROOM = 16.0  # calls out that a balancer then lets through at the most, up to the room of all servers
-LEAST_DEVIATIONS = 3.0
-LEAST_FULL, LEAST_NONE = 1.5, 2.0  # time in service, in lowest ones, up to which it holds in full, or at all
-# What the servers report of their cores says how much more they could do; all balancers see the same,
-# so that each may take that much more than it has. They are asked only after calls hung at a silent server,
-# when what was served says little: on other days another tier may be the full one, which the next tier's
-# cores don't show. It holds only while calls take about as long as at best, as reports are late.
-USE_FULL = 0.85  # share of the cores in use beyond which calls mostly wait
-SPOILT_MS = 6_000.0  # after calls hung at a silent server, what was served says little of what could be
-LEAST_USE = 0.1  # an idle fleet says little of what a busy one could do
-LOAD_PRIOR = 2.0  # calls' worth of belief that all is well, so that a few slow calls do not refuse others
+SAMPLE_CALLS = 30  # served calls per measurement of the service time; the first ones find the servers idle
+BASELINE_DRIFT_MS = 100_000.0  # the baseline rises by 1/e over this, to readmit a fleet that stays slower
+RATE_MEMORY_MS = 2_000.0  # smoothing of this balancer's served rate
+# The lowest of many measurements lies about this much below the service time on an idle fleet, by chance
+# alone. Without this factor the calls in flight settle at ten times this balancer's part of the servers at
+# any demand.
+BASELINE_BIAS = 1.1
+CALLS_PER_SERVER = 4.0  # calls in flight per ready server, over all balancers, that are always allowed
+# A smaller limit refuses much by random variation alone, the more so while another balancer is down and its
+# clients come here, which is not announced. The floor also guards against a baseline that few calls made too
+# low. All balancers' floors add up and could overload the servers: so the floor is this balancer's share with
+# one balancer down, plus a few standard deviations, which add up to little over many balancers where a fixed
+# number would not. It applies in full while service times are near the baseline, and not at all once they
+# have doubled.
+MAX_FLOOR = 16.0  # calls in flight; the floor also stays within the limit of all servers
+FLOOR_DEVIATIONS = 3.0
+FLOOR_FULL_AT, FLOOR_NONE_AT = 1.5, 2.0  # slowdown (service time / baseline): floor in full up to, none from
+# Reported core utilization tells how much more the servers could do. All balancers see the same reports, so
+# each may grow by the same factor. They are used only after calls have hung at a silent server, when the
+# served rate says little: otherwise a later tier may be the full one, which the cores of the next tier do not
+# show. As reports are late, they count only while service times are near the baseline.
+FULL_UTIL = 0.85  # share of the cores in use beyond which calls mostly queue
+UNRELIABLE_MS = 6_000.0  # time after calls hung at a silent server for which the served rate is unreliable
+MIN_UTIL = 0.1  # an idle fleet says little about the capacity of a busy one
+LOAD_PRIOR = 2.0  # weight, in calls, of assuming no load, so that a few slow calls do not refuse others
 
 
 class ConcurrencyLimit:
-    """Counts the calls out and measures how long they take, in aims of their classes."""
+    """Counts the calls in flight and measures their service time, in multiples of their classes' aims."""
 
     def __init__(self, balancers: int) -> None:
         self._balancers = balancers
-        self.out, self.other_process_calls = (
-            0,
-            0,
-        )  # calls out, ours and those of the other process of an upgrade
-        # In memory: aims of served calls, time in flight; of the block measured: calls, aims, time, start.
-        self._aims, self._spent, self._seen = 0.0, 0.0, 0.0
-        self.reports, self.spoilt_until = Reports(), -math.inf
-        self._earlier = 0.0  # mean calls out, about as old as what is reported of them
-        self._calls, self._block_aims, self._times, self._block_from = 0, 0.0, 0.0, 0.0
-        self.mean, self.baseline = 0.0, 0.0  # time in service, last and lowest, in aims; 0: not measured yet
+        self.in_flight, self.other_process_calls = 0, 0  # of this process, and of the other one in an upgrade
+        # Decaying sums: aims of served calls, call time. Sample: calls, aims, call time, start.
+        self._aims, self._spent, self._now = 0.0, 0.0, 0.0
+        self.reports, self.unreliable_until = Reports(), -math.inf
+        self._earlier_calls = 0.0  # mean calls in flight, about as old as the reports
+        self._calls, self._sample_aims, self._sample_spent, self._sample_start = 0, 0.0, 0.0, 0.0
+        self.mean, self.baseline = 0.0, 0.0  # latest and lowest service time, in aims; 0: not measured yet
 
-    def catch_up(self, now: float) -> None:
-        """Bring the measure to `now`: calls that are still out add time, and all of it fades."""
-        gap = now - self._seen
+    def advance(self, now: float) -> None:
+        """Bring the measurements up to `now`: calls in flight add time, and the decaying sums decay."""
+        gap = now - self._now
         if gap > 0:
-            fade = math.exp(-gap / RATE_MEMORY_MS)
-            self._aims *= fade
-            self._spent = self._spent * fade + self.out * RATE_MEMORY_MS * (1 - fade)
-            self._times += self.out * gap
-            self._earlier += (self._spent / RATE_MEMORY_MS - self._earlier) * (1 - fade)
-            self.baseline = min(
-                self.baseline * math.exp(min(gap / BASE_DRIFT_MS, 1.0)), 1.0
-            )  # idle for hours
-            self._seen = now
+            decay = math.exp(-gap / RATE_MEMORY_MS)
+            self._aims *= decay
+            self._spent = self._spent * decay + self.in_flight * RATE_MEMORY_MS * (1 - decay)
+            self._sample_spent += self.in_flight * gap
+            self._earlier_calls += (self._spent / RATE_MEMORY_MS - self._earlier_calls) * (1 - decay)
+            self.baseline = min(self.baseline * math.exp(min(gap / BASELINE_DRIFT_MS, 1.0)), 1.0)  # idle gaps
+            self._now = now
 
-    def served(self, aim_ms: float, now: float) -> None:
-        """Count a served call."""
+    def on_served(self, aim_ms: float, now: float) -> None:
+        """Count a served call of a class with this aim."""
         self._calls += 1
         self._aims += aim_ms
-        self._block_aims += aim_ms
-        if self._calls >= BASE_CALLS and (not self.baseline or now - self._block_from >= RATE_MEMORY_MS):
-            self.mean = self._times / self._block_aims
+        self._sample_aims += aim_ms
+        if self._calls >= SAMPLE_CALLS and (not self.baseline or now - self._sample_start >= RATE_MEMORY_MS):
+            self.mean = self._sample_spent / self._sample_aims
             self.baseline = min(self.baseline or math.inf, self.mean)
-            self._calls, self._block_aims, self._times, self._block_from = 0, 0.0, 0.0, now
+            self._calls, self._sample_aims, self._sample_spent, self._sample_start = 0, 0.0, 0.0, now
 
-    def spoilt(self, now: float) -> None:
-        """Calls have hung at a silent server: what is served now is less than could be."""
-        self.spoilt_until = now + SPOILT_MS
+    def on_silent_server(self, now: float) -> None:
+        """Distrust the served rate for a while: calls hung at a silent server and held others back."""
+        self.unreliable_until = now + UNRELIABLE_MS
 
-    def learned(self) -> tuple[float, float, float]:
-        """The lowest time in service and the memory, for a process that takes our place."""
+    def state(self) -> tuple[float, float, float]:
+        """Return the baseline and the decaying sums, for a successor process."""
         return self.baseline, self._aims, self._spent
 
-    def told(self, event: Learned) -> None:
-        """Begin with what the process before us has learned: a measure among its calls would mislead."""
+    def restore(self, event: Learned) -> None:
+        """Start from the previous process's values: a measurement among its calls would mislead."""
         self.mean = self.baseline = event.lowest
         self._aims, self._spent = event.aims_ms, event.spent_ms
 
     def is_full(self, ready: int) -> bool:
-        """Whether no more calls may go out."""
-        return self.out + self.other_process_calls >= self.size(ready)
+        """Return whether the limit for this number of ready servers is reached."""
+        return self.in_flight + self.other_process_calls >= self.limit(ready)
 
     def load(self, aim_ms: float) -> float:
-        """The mean time in service as a class with this aim sees it."""
+        """Return the mean service time in aims, weighed for a class with this aim."""
         return self._spent / (self._aims + LOAD_PRIOR * aim_ms)
 
-    def size(self, ready: int) -> float:
-        """How many calls may be out: past its capacity a server only queues, a crowded one slows down."""
+    def limit(self, ready: int) -> float:
+        """Return how many calls may be in flight; beyond its capacity a server only queues, or slows down."""
         ours = ready / self._balancers
-        # A factor in place of the sum would let the room shrink away once calls take longer than it allows.
-        queued = ours + LOWEST_BY_CHANCE * self.baseline * self._aims / RATE_MEMORY_MS
+        # The queueing term is added: a factor would let the limit shrink to nothing once calls take longer
+        # than the factor allows for.
+        queued = ours + BASELINE_BIAS * self.baseline * self._aims / RATE_MEMORY_MS
         lowest = self.baseline * self._aims
-        slower = self._spent / lowest if lowest else 1.0
-        calm = min(max((LEAST_NONE - slower) / (LEAST_NONE - LEAST_FULL), 0.0), 1.0)
-        away = FREE_PER_SERVER * ready / max(self._balancers - 1, 1)
-        least = calm * min(LEAST_ROOM, FREE_PER_SERVER * ready, away + LEAST_DEVIATIONS * math.sqrt(away))
-        use = self.reports.use(self._seen) if self._seen < self.spoilt_until else None
-        idle = calm * self._earlier * USE_FULL / max(use, LEAST_USE) if use is not None else 0.0
-        room = max(FREE_PER_SERVER * ours, queued, least, idle)
-        # A burst may pass, a standing crowd does harm: the room bounds the mean once it has been measured.
-        return 2 * room - min(self._spent / RATE_MEMORY_MS, room) if self.baseline else room
+        slowdown = self._spent / lowest if lowest else 1.0
+        calm = min(max((FLOOR_NONE_AT - slowdown) / (FLOOR_NONE_AT - FLOOR_FULL_AT), 0.0), 1.0)
+        share = CALLS_PER_SERVER * ready / max(self._balancers - 1, 1)
+        floor = calm * min(MAX_FLOOR, CALLS_PER_SERVER * ready, share + FLOOR_DEVIATIONS * math.sqrt(share))
+        use = self.reports.utilization(self._now) if self._now < self.unreliable_until else None
+        spare = calm * self._earlier_calls * FULL_UTIL / max(use, MIN_UTIL) if use is not None else 0.0
+        limit = max(CALLS_PER_SERVER * ours, queued, floor, spare)
+        # Once a baseline is known the limit bounds the mean: a burst may pass, sustained excess does harm.
+        return 2 * limit - min(self._spent / RATE_MEMORY_MS, limit) if self.baseline else limit
--- a/umberworks/simhost.py
+++ b/umberworks/simhost.py
@@ -1,4 +1,8 @@
-"""Runs balancers on the simulator's wire: reads batches, keeps instances apart, answers each batch."""
+"""Runs balancers behind the simulator's line protocol on standard input and output.
+
+Each batch of events is answered with one batch of actions. One process hosts any number of isolated
+instances.
+"""
 
 from __future__ import annotations
 
@@ -13,59 +17,59 @@
 
 
 class Host:
-    """The instances of one process, and the server lists that travel once for all of them."""
+    """The instances of one process, and the server lists, which are sent once for all of them."""
 
     def __init__(self, errors: TextIO) -> None:
         self._errors = errors
-        self._noted: set[str] = set()
+        self._warned: set[str] = set()
         self._balancers: dict[str, Balancer | None] = {}
-        self._reported: dict[str, tuple[str, ...]] = {}
+        self._report_fields: dict[str, tuple[str, ...]] = {}
         self._ledgers: dict[int, tuple[Member, ...]] = {}
         self._now = 0.0
         self._batch = "?"
 
     def run(self, source: TextIO, target: TextIO) -> int:
-        """Answer batches until the input ends; the result is the exit status."""
+        """Answer batches until the input ends, and return the exit status."""
         self._line = ""
-        self._inside = False
+        self._in_batch = False
         try:
             lines = (line.rstrip("\r\n") for line in source)
             for self._line in lines:
                 if self._line:
-                    self._inside = True
-                    target.write("\n".join(self._answer(lines)) + "\n")
+                    self._in_batch = True
+                    target.write("\n".join(self._answer_batch(lines)) + "\n")
                     target.flush()
-                    self._inside = False
+                    self._in_batch = False
         except (wire.WireError, UnicodeDecodeError) as error:
-            self._complain(str(error))
+            self._report_error(str(error))
             return 1
         except BrokenPipeError:
             return 1
         return 0
 
-    def _complain(self, reason: str) -> None:
+    def _report_error(self, reason: str) -> None:
         print(f"umberworks: batch {self._batch}, line {self._line[:200]!r}: {reason}", file=self._errors)
 
-    def _note(self, text: str) -> None:
-        if text not in self._noted:
-            self._noted.add(text)
+    def _warn_once(self, text: str) -> None:
+        if text not in self._warned:
+            self._warned.add(text)
             print(f"umberworks: {text}", file=self._errors)
 
-    def _next(self, lines: Iterator[str]) -> list[str]:
+    def _next_line(self, lines: Iterator[str]) -> list[str]:
         for self._line in lines:
             return self._line.split(" ")
         raise wire.WireError("the input ended inside a batch")
 
-    def _answer(self, lines: Iterator[str]) -> list[str]:
+    def _answer_batch(self, lines: Iterator[str]) -> list[str]:
         word, *parts = self._line.split(" ")
         if word != "sync":
             raise wire.WireError("a batch must begin with 'sync'")
         fields = wire.read_fields(parts)
-        self._batch = wire.need(fields, "batch")
+        self._batch = wire.required(fields, "batch")
         self._now = wire.number(fields, "time")
         reply: list[str] = []
         while True:
-            word, *parts = self._next(lines)
+            word, *parts = self._next_line(lines)
             if word == "eob":
                 reply.append(f"yield batch={self._batch}")
                 return reply
@@ -73,37 +77,39 @@
             if word == "ledger":
                 self._read_ledger(fields, lines)
             else:
-                self._take(word, fields, reply)
+                self._handle(word, fields, reply)
 
     def _read_ledger(self, fields: wire.Fields, lines: Iterator[str]) -> None:
         members = []
-        for _ in range(wire.whole(fields, "membersList")):
-            word, *parts = self._next(lines)
+        for _ in range(wire.integer(fields, "membersList")):
+            word, *parts = self._next_line(lines)
             if word != "m":
                 raise wire.WireError("the entries of a ledger are cut short")
             members.append(wire.read_member(wire.read_fields(parts)))
-        self._ledgers[wire.whole(fields, "list")] = tuple(members)
+        self._ledgers[wire.integer(fields, "list")] = tuple(members)
 
-    def _take(self, word: str, fields: wire.Fields, reply: list[str]) -> None:
+    def _handle(self, word: str, fields: wire.Fields, reply: list[str]) -> None:
         try:
-            event = wire.read_event(word, fields, self._note, self._reported.get(fields.get("who", ""), ()))
+            event = wire.read_event(
+                word, fields, self._warn_once, self._report_fields.get(fields.get("who", ""), ())
+            )
         except wire.WireError:
             raise
         except ValueError as error:  # settings out of range
             raise wire.WireError(str(error)) from None
         if event is None:
             return
-        who = wire.need(fields, "who")
+        who = wire.required(fields, "who")
         if isinstance(event, wire.Start):
             self._balancers[who] = Balancer(event.settings, event.seed)
-            self._reported[who] = event.report_fields
+            self._report_fields[who] = event.report_fields
             return
         if who not in self._balancers:
             raise wire.WireError(f"instance {who!r} is unknown")
         if isinstance(event, wire.Stop):
             del self._balancers[who]
             return
-        if isinstance(event, wire.ListNews):
+        if isinstance(event, wire.ListReference):
             members: tuple[Member, ...] = ()
             if event.ledger is not None:
                 if event.ledger not in self._ledgers:
@@ -115,14 +121,14 @@
             return
         try:
             reply.extend([wire.write_action(who, action) for action in balancer.handle(event, self._now)])
-        except Exception as error:  # reported on the wire, so that the fault is seen where it happened
+        except Exception as error:  # reported in the protocol, so that the fault shows where it occurred
             traceback.print_exc(file=self._errors)
             self._balancers[who] = None
             reply.append(wire.write_fault(who, error))
 
 
 def main() -> int:
-    """Serve standard input and output."""
+    """Run a host on standard input and output, and return the exit status."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     return Host(sys.stderr).run(sys.stdin, sys.stdout)
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's lines and the types of `umberworks.interface`; it decides nothing."""
+"""Codec between the line protocol of the simulator and the types of `umberworks.interface`."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     "7": Outcome.NOT_SENT,
 }
 _NOT_CONNECTED = "4"
-_UTIL, _LATENCY = ("load_share", "util"), ("mean_ms", "latency_ms")  # on the wire, and elsewhere
+_UTIL, _LATENCY = ("load_share", "util"), ("mean_ms", "latency_ms")  # names here and in other sources
 _READINESS = {"0": Readiness.GONE, "1": Readiness.READY, "2": Readiness.DRAINING}
 _LIST_KINDS = {"0": ListKind.SAVED, "2": ListKind.WHOLE, "3": ListKind.CHANGES, "4": ListKind.FAILED}
 _EFFECTS = {"retryable": Effect.REPEATABLE, "dedup": Effect.KEYED, "fragile": Effect.ONCE}
@@ -78,12 +78,12 @@
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow, with a plain reason."""
+    """A line that violates the protocol; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """An instance comes up."""
+    """An instance starts."""
 
     seed: int
     settings: Settings
@@ -92,19 +92,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """An instance has been killed."""
+    """An instance was killed."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
-    """A list event that names its entries by the number of a ledger."""
+class ListReference:
+    """A list event that refers to its entries by the number of a ledger."""
 
     kind: ListKind
     ledger: int | None
 
 
 def read_fields(parts: list[str]) -> Fields:
-    """The name=value parts of a line as a dictionary."""
+    """Return the name=value parts of a line as a dictionary."""
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
@@ -112,8 +112,8 @@
         raise WireError(f"{bad!r} is not name=value") from None
 
 
-def need(fields: Fields, name: str) -> str:
-    """A field that must be there."""
+def required(fields: Fields, name: str) -> str:
+    """Return a mandatory field."""
     try:
         return fields[name]
     except KeyError:
@@ -121,58 +121,58 @@
 
 
 def number(fields: Fields, name: str, default: float | None = None) -> float:
-    """A field that holds a number."""
-    text = need(fields, name) if default is None else fields.get(name)
+    """Return the value of a numeric field."""
+    text = required(fields, name) if default is None else fields.get(name)
     if text is None:
         assert default is not None
         return default
     try:
         value = float(text)
     except ValueError:
-        raise WireError(f"field {name!r} holds {text!r}, which is no number") from None
-    if not math.isfinite(value):  # it would pass every comparison and spoil estimates for good
-        raise WireError(f"field {name!r} holds {text!r}, which is no finite number")
+        raise WireError(f"field {name!r} holds {text!r}, which is not a number") from None
+    if not math.isfinite(value):  # NaN passes range checks and would corrupt estimates permanently
+        raise WireError(f"field {name!r} holds {text!r}, which is not a finite number")
     return value
 
 
-def whole(fields: Fields, name: str) -> int:
-    """A field that holds a whole number."""
-    text = need(fields, name)
+def integer(fields: Fields, name: str) -> int:
+    """Return the value of an integer field."""
+    text = required(fields, name)
     try:
         return int(text)
     except ValueError:
-        raise WireError(f"field {name!r} holds {text!r}, which is no whole number") from None
+        raise WireError(f"field {name!r} holds {text!r}, which is not a whole number") from None
 
 
 def _flag(fields: Fields, name: str) -> bool:
     return fields.get(name) in ("1", "true")
 
 
-def _word(table: dict[str, T], fields: Fields, name: str) -> T:
-    text = need(fields, name)
+def _enum_value(table: dict[str, T], fields: Fields, name: str) -> T:
+    text = required(fields, name)
     try:
         return table[text]
     except KeyError:
-        raise WireError(f"field {name!r} holds {text!r}, which has no meaning there") from None
+        raise WireError(f"field {name!r} holds {text!r}, which is not a known value") from None
 
 
-def _outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
-    code = need(fields, "verdict")
+def _outcome(fields: Fields, warn: Callable[[str], None]) -> Outcome:
+    code = required(fields, "verdict")
     known = _OUTCOMES.get(code)
     if known is None:
-        note(f"outcome code {code!r} is unknown; taken as one that may have run")
+        warn(f"outcome code {code!r} is unknown; the attempt may have run")
         return Outcome.UNKNOWN
     return known
 
 
 def report_fields(facts: Fields) -> tuple[str, ...]:
-    """The values that answers report, in the order of a `gauge`; none if answers carry no reports."""
-    told = facts.get("telemetry.fields", "") if facts.get("telemetry.how") == "answers" else ""
-    return tuple(name for name in told.split(",") if name)
+    """Return the names of the values in a `gauge`, in order; empty if answers carry no reports."""
+    names = facts.get("telemetry.fields", "") if facts.get("telemetry.how") == "answers" else ""
+    return tuple(name for name in names.split(",") if name)
 
 
 def read_report(values: Iterable[tuple[str, object]]) -> LoadReport | None:
-    """A load report by the names of its values; None if it is spoilt or says nothing of the cores."""
+    """Return a load report from named values; None if it is invalid or lacks the core utilization."""
     util: float | None = None
     latency: float | None = None
     for name, value in values:
@@ -188,7 +188,7 @@
         return None
 
 
-def _gauge(fields: Fields, names: tuple[str, ...]) -> LoadReport | None:
+def _read_gauge(fields: Fields, names: tuple[str, ...]) -> LoadReport | None:
     row = fields.get("gauge")
     if not row or not names:
         return None
@@ -199,13 +199,13 @@
 
 
 def read_member(fields: Fields) -> Member:
-    """One entry of a ledger."""
+    """Return one entry of a ledger."""
     size = number(fields, "nominal", 1.0)
     if size <= 0:
-        raise WireError(f"field 'nominal' holds {size}, which is no size above 0")
+        raise WireError(f"field 'nominal' holds {size}, which is not a size above 0")
     return Member(
-        server=need(fields, "upstream"),
-        readiness=_word(_READINESS, fields, "readiness"),
+        server=required(fields, "upstream"),
+        readiness=_enum_value(_READINESS, fields, "readiness"),
         zone=fields.get("rackZone", ""),
         cell=int(number(fields, "cell", 0.0)),
         size=size,
@@ -215,10 +215,10 @@
 
 def _read_class(facts: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=need(facts, prefix + "name"),
+        name=required(facts, prefix + "name"),
         aim_ms=number(facts, prefix + "target"),
         deadline_ms=number(facts, prefix + "deadline"),
-        effect=_word(_EFFECTS, facts, prefix + "effect"),
+        effect=_enum_value(_EFFECTS, facts, prefix + "effect"),
         repeat_group=_GROUPS.get(facts.get(prefix + "keyScope", "all"), RepeatGroup.CELL),
         repeat_window_ms=number(facts, prefix + "repeatWindow", 0.0),
         worth=number(facts, prefix + "worth", 1.0),
@@ -227,14 +227,14 @@
     )
 
 
-def read_settings(facts: Fields, note: Callable[[str], None]) -> Settings:
-    """The settings that come with an instance's start."""
+def read_settings(facts: Fields, warn: Callable[[str], None]) -> Settings:
+    """Return the settings from the facts that come with an instance's start."""
     for name in facts:
         if _INDEX.sub(".", name) not in _KNOWN_FACTS:
-            note(f"setting {name!r} is unknown and ignored")
-    classes = [_read_class(facts, f"classes.{i}.") for i in range(whole(facts, "classes.count"))]
+            warn(f"setting {name!r} is unknown and ignored")
+    classes = [_read_class(facts, f"classes.{i}.") for i in range(integer(facts, "classes.count"))]
     tenants = [
-        Tenant(need(facts, f"orgs.{i}.name"), number(facts, f"orgs.{i}.quotaPerS"))
+        Tenant(required(facts, f"orgs.{i}.name"), number(facts, f"orgs.{i}.quotaPerS"))
         for i in range(int(number(facts, "orgs.count", 0.0)))
     ]
     return Settings(
@@ -261,66 +261,66 @@
 
 
 def read_event(
-    word: str, fields: Fields, note: Callable[[str], None], reported: tuple[str, ...] = ()
-) -> Event | Start | Stop | ListNews | None:
-    """The event of one line, or None for a kind that is unknown or of no use to a balancer.
+    word: str, fields: Fields, warn: Callable[[str], None], reported: tuple[str, ...] = ()
+) -> Event | Start | Stop | ListReference | None:
+    """Return the event of one line, or None for an unknown kind or one that balancers do not use.
 
-    `reported`: what the instance's `report_fields` are.
+    `reported`: the instance's `report_fields`.
     """
     match word:
         case "knock":
             return RequestArrived(
-                whole(fields, "corr"),
-                need(fields, "grade"),
+                integer(fields, "corr"),
+                required(fields, "grade"),
                 number(fields, "remaining"),
                 fields.get("customer"),
             )
         case "verdict":
             return AttemptEnded(
-                whole(fields, "corr"),
-                whole(fields, "shot"),
-                need(fields, "upstream"),
-                _outcome(fields, note),
+                integer(fields, "corr"),
+                integer(fields, "shot"),
+                required(fields, "upstream"),
+                _outcome(fields, warn),
                 fields.get("complete") == "1",
-                report=_gauge(fields, reported),
+                report=_read_gauge(fields, reported),
             )
         case "reminder":
-            return TimerDue(need(fields, "ctx"))
+            return TimerDue(required(fields, "ctx"))
         case "client_gone":
-            return ClientLeft(whole(fields, "corr"))
+            return ClientLeft(integer(fields, "corr"))
         case "established":
-            return AnswerStarted(whole(fields, "corr"), whole(fields, "shot"))
+            return AnswerStarted(integer(fields, "corr"), integer(fields, "shot"))
         case "membership":
-            kind = _word(_LIST_KINDS, fields, "mode")
-            return ListNews(kind, None if kind is ListKind.FAILED else whole(fields, "list"))
+            kind = _enum_value(_LIST_KINDS, fields, "mode")
+            return ListReference(kind, None if kind is ListKind.FAILED else integer(fields, "list"))
         case "up":
             facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-            return Start(whole(fields, "prng"), read_settings(facts, note), report_fields(facts))
+            return Start(integer(fields, "prng"), read_settings(facts, warn), report_fields(facts))
         case "killed":
             return Stop()
         case "check_result":
-            return Probed(need(fields, "upstream"), need(fields, "verdict") != _NOT_CONNECTED)
+            return Probed(required(fields, "upstream"), required(fields, "verdict") != _NOT_CONNECTED)
         case "note_from":
             return None
-    note(f"event {word!r} is unknown and ignored")
+    warn(f"event {word!r} is unknown and ignored")
     return None
 
 
-def list_update(news: ListNews, members: tuple[Member, ...]) -> ListUpdate:
-    """The list event with the entries of its ledger."""
-    return ListUpdate(news.kind, members)
+def list_update(reference: ListReference, members: tuple[Member, ...]) -> ListUpdate:
+    """Return the list event with the entries of its ledger."""
+    return ListUpdate(reference.kind, members)
 
 
 def write_action(who: str, action: Action) -> str:
-    """One action as a line of the reply."""
+    """Return an action as a line of the reply."""
     match action:
         case Send(request, server, timeout):
             return f"send who={who} corr={request} upstream={server} timeout={timeout:.3f}"
         case SetTimer(at, token):
             return f"remind who={who} moment={at:.3f} ctx={token}"
         case Refuse(request, retry_after):
-            advice = f" stayAway={retry_after:.3f}" if retry_after > 0 else ""
-            return f"reject who={who} corr={request}{advice}"
+            stay_away = f" stayAway={retry_after:.3f}" if retry_after > 0 else ""
+            return f"reject who={who} corr={request}{stay_away}"
         case Fail(request):
             return f"abort who={who} corr={request}"
         case Cancel(request, attempt):
@@ -334,7 +334,7 @@
 
 
 def write_fault(who: str, error: BaseException) -> str:
-    """The line that says that an instance's decision code has failed."""
+    """Return the line that reports an exception in an instance's decision code."""
     return f"give_in who={who} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
 
 
