--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane of the router fleet: requests from clients to upstreams, with prefill and decode split."""
+"""The data plane of the router fleet: forwards requests to upstreams, with prefill and decode split."""
--- a/balancer/active_request.py
+++ b/balancer/active_request.py
@@ -1,4 +1,4 @@
-"""The way of one request through the balancer: its `Pair`'s steps become calls, their ends the next steps."""
+"""Drives one request through the balancer: executes the steps of its state machine as calls to upstreams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from balancer.peer import Peer
 from balancer.relay import Relay
 from balancer.request_counters import Refusal
-from balancer.tiers import DECODE, ITSELF, PREFILL
+from balancer.tiers import DECODE, DECODE_PREFILL_FACTOR, PREFILL
 from balancer.upstream_call import UpstreamCall
 from balancer.wire import UpstreamRequest, is_sound, read_handle
 from config.configuration import Route
@@ -24,16 +24,16 @@
 if TYPE_CHECKING:
     from passpost.engine import Client
 
-PROMISES = (408, 421, 429, 503)  # statuses that promise what an error which ran does not: not passed on
-RUN_LEFT = 1.6  # times its patience after which a run that may be repeated is left
-QUEUED_S = 0.25  # a prefill upstream's queue that is no shorter may make a decode upstream read by itself
-WAIT_MOST, WAIT_RANK, WAIT_LEAST = 1.2, 0.2, 0.5  # of the aim that may pass before a prompt is begun, by rank
-AGAIN_MS = 200.0  # a refused client may come back after this
-EMPTY_AGAIN_MS = 400.0  # the same where no upstream is there
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # mean "not run" to clients; errors that did run must not use them
+ABANDON_FACTOR = 1.6  # a run that may be repeated is abandoned after this many times its silence time-out
+SHORT_QUEUE_S = 0.25  # shortest prefill queue at which a decode upstream may prefill by itself
+MAX_WAIT, WAIT_PER_PRIORITY, MIN_WAIT = 1.2, 0.2, 0.5  # shares of the aim that may pass before prefill begins
+RETRY_AFTER_MS = 200.0  # advice to refused clients
+NO_UPSTREAM_RETRY_AFTER_MS = 400.0  # the same where no upstream is ready
 
 
 class ActiveRequest:
-    """One request from its last byte to its answer."""
+    """One request from its last byte to its final answer."""
 
     def __init__(
         self,
@@ -41,106 +41,107 @@
         number: int,
         call: RoutedCall,
         service: str,
-        ends: float,
+        deadline: float,
         out: Outgoing,
         client: Client,
     ) -> None:
-        """`ends`: when the client stops waiting, in seconds on the steady clock."""
+        """`deadline`: when the client stops waiting, in seconds on the monotonic clock."""
         self._context, self._number, self._call, self._service = context, number, call, service
-        self._out, self._client, self._ends = out, client, ends
+        self._out, self._client, self._deadline = out, client, deadline
         route = call.route
         budget = context.budget(service)
-        self._pair = steps.RequestStateMachine(route.tries, route.is_idempotent(), route.resumable, budget)
-        self._run_rank = context.urgency.of_run(route, call.prompt.tokens)
-        self._upstream_call = UpstreamCall(context, self.wants, self._may_leave)
-        self._zone = context.settings.zone  # where the memory of the prompt is
+        self._machine = steps.RequestStateMachine(route.tries, route.is_idempotent(), route.resumable, budget)
+        self._run_priority = context.priorities.run_priority(route, call.prompt.tokens)
+        self._upstream_call = UpstreamCall(context, self.is_wanted, self._may_abandon)
+        self._zone = context.settings.zone  # the zone that holds the prompt's KV cache
         after = int(call.after) if call.after is not None and call.after.isdigit() else None
         self._relay = Relay(self, client, after)
-        self._fetching: steps.Handle | None = None  # by the run that is out
-        self._taken_at = time.monotonic()
-        self._was_read = False  # an upstream was sent the prompt to read
+        self._fetching: steps.Handle | None = None  # handle that the run in flight fetches
+        self._started_at = time.monotonic()
+        self._prefill_sent = False  # an upstream was sent the prompt to prefill
         self._finished = False
 
-    def begin(self) -> None:
-        """Take the first step."""
-        # What tells of no prompt is run by whoever it is sent to, prefill call or not.
+    def start(self) -> None:
+        """Execute the first step."""
+        # A request without prompt information goes straight to a run.
         tokens, tiers = self._call.prompt.tokens, self._context.tiers
         split = tokens > 0 and tiers.is_split(self._service)
         if split:
             now = time.monotonic()
-            reading, itself = (
+            prefill_s, decode_s = (
                 tiers.prefill_wait_s(self._service, now),
                 tiers.decode_wait_s(self._service, now),
             )
-            if min(reading, itself) > _bearable(self._call.route):
-                self._follow(steps.Refuse(), Refusal.QUEUES)
+            if min(prefill_s, decode_s) > _max_wait_s(self._call.route):
+                self._execute(steps.Refuse(), Refusal.QUEUES)
                 return
             prompt = self._call.prompt
-            apart = tiers.prefill_cost(self._service, PREFILL, prompt, now)
+            cost = tiers.prefill_cost(self._service, PREFILL, prompt, now)
             split = (
-                reading < QUEUED_S or apart < tiers.prefill_cost(self._service, DECODE, prompt, now) * ITSELF
+                prefill_s < SHORT_QUEUE_S
+                or cost < tiers.prefill_cost(self._service, DECODE, prompt, now) * DECODE_PREFILL_FACTOR
             )
-        self._follow(self._pair.first(split))
+        self._execute(self._machine.start(split))
 
     def on_client_left(self) -> None:
-        """The client has gone: nobody needs what is under way."""
+        """Cancel what is in flight, as the client has disconnected."""
         if not self._finished:
             self._finish()
             self._upstream_call.cancel()
-            self._free()
+            self._free_handle()
 
     def _finish(self) -> None:
         self._finished = True
         self._context.on_request_ended(self._number)
 
-    def _free(self) -> None:
-        """Free memory that was read for this request and is not fetched."""
-        handle, self._pair.handle = self._pair.handle, None
+    def _free_handle(self) -> None:
+        """Free the KV cache that was prefilled for this request and will not be fetched."""
+        handle, self._machine.handle = self._machine.handle, None
         if handle is not None:
-            self._context.free(handle)
+            self._context.free_handle(handle)
 
     # ---- steps
 
-    def _follow(self, step: steps.Step, why: Refusal = Refusal.TURNED_AWAY) -> None:
-        """Take a step; `why` it is refused, if it is."""
+    def _execute(self, step: steps.Step, reason: Refusal = Refusal.TURNED_AWAY) -> None:
+        """Execute a step; `reason`: why the request is refused, if it is."""
         match step:
-            case steps.Read() | steps.Run() if time.monotonic() >= self._ends:
-                self._follow(self._pair.expired(step), Refusal.LATE)
-            case steps.Read():
-                self._read()
+            case steps.Prefill() | steps.Run() if time.monotonic() >= self._deadline:
+                self._execute(self._machine.on_expired(step), Refusal.LATE)
+            case steps.Prefill():
+                self._prefill()
             case steps.Run(handle):
                 self._run(handle)
             case steps.Refuse():
                 self._finish()
-                self._free()
-                self._context.counters.refused(why)
-                wait = AGAIN_MS if self._context.tiers.has_any() else EMPTY_AGAIN_MS
+                self._free_handle()
+                self._context.counters.refused(reason)
+                wait = RETRY_AFTER_MS if self._context.tiers.has_ready() else NO_UPSTREAM_RETRY_AFTER_MS
                 self._client.refuse(wait)
             case steps.Fail(status):
                 self._finish()
-                self._free()
+                self._free_handle()
                 self._client.fail(status)
-            case steps.BreakOff():
+            case steps.Abort():
                 self._finish()
-                self._free()
+                self._free_handle()
                 self._client.break_off()
 
-    def _read(self) -> None:
+    def _prefill(self) -> None:
         now = time.monotonic()
         peer = self._context.tiers.pick_prefill(
             self._service, self._call.prompt, self._upstream_call.avoid, now
         )
         if peer is None:
-            self._follow(self._pair.no_reader(), self._none_left())
+            self._execute(self._machine.no_prefill_upstream(), self._refusal_reason())
             return
-        missing = self._to_read(peer)
-        rank = self._context.urgency.of_reading(self._call.route, missing)
+        uncached = self._count_prefill(peer)
+        priority = self._context.priorities.prefill_priority(self._call.route, uncached)
         extra = b"Mastturn-Target-Upstream: %b\r\nMastturn-Stage: prefill\r\n%b" % (
             peer.id_bytes,
-            self._common_headers(rank),
+            self._common_headers(priority),
         )
         self._upstream_call.send(
-            peer, self._request(extra, self._pair.has_broken), missing, None, self._read_done
+            peer, self._request(extra, self._machine.has_broken), uncached, None, self._on_prefill_ended
         )
 
     def _run(self, handle: steps.Handle | None) -> None:
@@ -149,42 +150,42 @@
         avoid, repeatable = self._upstream_call.avoid, self._call.route.is_idempotent()
         peer = self._context.tiers.pick_decode(self._service, prompt, self._zone, avoid, now, repeatable)
         if peer is None:
-            self._follow(self._pair.no_runner(), self._none_left())
+            self._execute(self._machine.no_run_upstream(), self._refusal_reason())
             return
         kv = (
             b"Kv-From: %b/%b\r\n" % (handle.address.encode(), handle.ref.encode())
             if handle is not None
             else b""
         )
-        tokens = 0 if prompt is None else self._to_read(peer)
-        urgency, route = self._context.urgency, self._call.route
-        rank = urgency.of_reading(route, tokens) if tokens else self._run_rank
-        extra = b"Mastturn-Target-Upstream: %b\r\n%b%b" % (peer.id_bytes, kv, self._common_headers(rank))
-        self._relay.begin_anew()
+        tokens = 0 if prompt is None else self._count_prefill(peer)
+        priorities, route = self._context.priorities, self._call.route
+        priority = priorities.prefill_priority(route, tokens) if tokens else self._run_priority
+        extra = b"Mastturn-Target-Upstream: %b\r\n%b%b" % (peer.id_bytes, kv, self._common_headers(priority))
+        self._relay.on_new_run()
         self._fetching = handle
-        request = self._request(extra, self._pair.has_broken or not repeatable)
-        self._upstream_call.send(peer, request, tokens, self._relay, self._run_done)
+        request = self._request(extra, self._machine.has_broken or not repeatable)
+        self._upstream_call.send(peer, request, tokens, self._relay, self._on_run_ended)
 
-    def _none_left(self) -> Refusal:
+    def _refusal_reason(self) -> Refusal:
         return Refusal.TURNED_AWAY if self._upstream_call.avoid else Refusal.NO_UPSTREAM
 
-    def _to_read(self, peer: Peer) -> int:
-        """The tokens that an upstream has to read for it, counted."""
+    def _count_prefill(self, peer: Peer) -> int:
+        """Count and return the tokens that an upstream has to prefill for this request."""
         prompt, context = self._call.prompt, self._context
-        tokens = context.tiers.missing(peer, prompt)
-        context.counters.reads(tokens, self._was_read)
+        tokens = context.tiers.uncached_tokens(peer, prompt)
+        context.counters.on_prefill_sent(tokens, self._prefill_sent)
         if (
             prompt.shared_tokens
             and tokens == prompt.tokens
             and context.tiers.prefix_index.holders(prompt.prefix)
         ):
             context.counters.shared_tokens_reread += prompt.shared_tokens
-        self._was_read = True
+        self._prefill_sent = True
         return tokens
 
-    def _common_headers(self, rank: int) -> bytes:
-        """Header lines of every stage: the rank, and the last event that the client has."""
-        prio = b"Priority: %d\r\n" % rank
+    def _common_headers(self, priority: int) -> bytes:
+        """Return the headers of every stage: the priority, and the last event that the client has."""
+        prio = b"Priority: %d\r\n" % priority
         last = self._relay.last_event_id
         if last is None:
             return prio if self._call.after is None else b"%bLast-Event-Id: %b\r\n" % (prio, self._call.after)
@@ -192,89 +193,95 @@
 
     def _request(self, extra: bytes, needs_fresh_connection: bool) -> UpstreamRequest:
         return UpstreamRequest(
-            self._out.head, self._out.body, None, self._ends, self._call.txn, extra, needs_fresh_connection
+            self._out.head,
+            self._out.body,
+            None,
+            self._deadline,
+            self._call.txn,
+            extra,
+            needs_fresh_connection,
         )
 
-    def _may_leave(self, quiet: float, most: float) -> bool:
-        return quiet >= RUN_LEFT * most and self._pair.may_repeat()
+    def _may_abandon(self, silent_s: float, timeout_s: float) -> bool:
+        return silent_s >= ABANDON_FACTOR * timeout_s and self._machine.may_repeat()
 
     # ---- prefill
 
-    def _read_done(self, outcome: Outcome, answer: Answer | None) -> None:
-        peer = self._upstream_call.ended(outcome, answer, good=True)
+    def _on_prefill_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+        peer = self._upstream_call.on_ended(outcome, answer, valid=True)
         if outcome is not Outcome.SERVED and not self._finished:
-            _log(peer, "read_ended", outcome, answer, self._call)
-        told = read_handle(answer.body) if outcome is Outcome.SERVED and answer is not None else None
+            _log_ended(peer, "read_ended", outcome, answer, self._call)
+        result = read_handle(answer.body) if outcome is Outcome.SERVED and answer is not None else None
         handle = None
-        if told is not None:
-            handle = steps.Handle(peer.entry.id, peer.entry.addr, told[0], time.monotonic())
+        if result is not None:
+            handle = steps.Handle(peer.entry.id, peer.entry.addr, result[0], time.monotonic())
         if self._finished:
             if handle is not None:
-                self._context.free(handle)
+                self._context.free_handle(handle)
             return
         if handle is None:
             self._upstream_call.avoid.add(peer.entry.id)
         else:
-            peer.on_prompt_read(self._upstream_call.age(), self._upstream_call.booked)
+            peer.on_prompt_read(self._upstream_call.age_s(), self._upstream_call.queued_tokens)
             self._context.on_prompt_cached(peer, self._call.prompt)
             self._zone = peer.entry.zone
             self._upstream_call.avoid.clear()
-        end = steps.End.TAKEN if handle else _end(outcome)
-        why = Refusal.LATE if end is steps.End.LATE else Refusal.TURNED_AWAY
-        self._follow(self._pair.read_ended(end, handle), why)
+        end = steps.CallEnd.PREFILLED if handle else _call_end(outcome)
+        reason = Refusal.LATE if end is steps.CallEnd.LATE else Refusal.TURNED_AWAY
+        self._execute(self._machine.prefill_ended(end, handle), reason)
 
-    # ---- the run, and its answer as it comes
+    # ---- the run, and its answer as it arrives
 
-    def wants(self) -> bool:
-        """Whether its client still waits."""
+    def is_wanted(self) -> bool:
+        """Return whether the client still waits."""
         return not self._finished
 
-    def heard(self) -> None:
-        """Something has come from the upstream."""
+    def on_upstream_data(self) -> None:
+        """Note that the upstream has sent something."""
         if self._upstream_call.peer is not None:
             self._upstream_call.peer.on_data_received(time.monotonic())
 
-    def spoilt(self) -> None:
-        """The stream is broken: nothing more of this upstream is wanted."""
+    def on_bad_stream(self) -> None:
+        """Cancel the call, as its event stream is invalid."""
         peer = self._upstream_call.peer
         name = peer.entry.id if peer is not None else ""
         logger.warning("event=bad_stream upstream={} request={}", name, self._call.txn.decode("latin-1"))
         self._upstream_call.cancel()
 
-    def passes(self) -> None:
-        """Events, or pieces of another answer, go to the client now."""
-        self._pair.begin_answer(self._relay.is_stream)
+    def on_forward(self) -> None:
+        """Update the state before a part of the answer is forwarded to the client."""
+        self._machine.on_answer_begun(self._relay.is_stream)
         if self._fetching is not None:
-            self._fetched(True)
+            self._on_fetch_ended(True)
         else:
-            self._upstream_call.prompt_is_read()
+            self._upstream_call.on_prompt_read()
         if not self._relay.begun:
-            self._context.counters.first_event(time.monotonic() - self._taken_at)
+            self._context.counters.on_first_event(time.monotonic() - self._started_at)
         if not self._relay.begun and self._upstream_call.peer is not None:
             self._context.on_prompt_cached(self._upstream_call.peer, self._call.prompt)
 
-    def _fetched(self, well: bool) -> None:
+    def _on_fetch_ended(self, succeeded: bool) -> None:
         handle, self._fetching = self._fetching, None
         holder = self._context.tiers.peer(handle.holder) if handle is not None else None
         if holder is not None:
-            holder.on_fetch_ended(time.monotonic(), well)
-        if well:
-            self._pair.handle = None  # there is nothing to be freed
+            holder.on_fetch_ended(time.monotonic(), succeeded)
+        if succeeded:
+            self._machine.handle = None  # fetched: nothing is left to free
 
-    def _run_done(self, outcome: Outcome, answer: Answer | None) -> None:
+    def _on_run_ended(self, outcome: Outcome, answer: Answer | None) -> None:
         relay = self._relay
-        passing = relay.is_streaming()
-        if passing and outcome is Outcome.SERVED and not relay.is_whole():
-            relay.bad = True  # it ends in the middle of an event
-        peer = self._upstream_call.ended(outcome, answer, not relay.bad)
+        forwarding = relay.is_forwarding()
+        if forwarding and outcome is Outcome.SERVED and not relay.is_complete():
+            relay.bad = True  # the stream ends in the middle of an event
+        peer = self._upstream_call.on_ended(outcome, answer, not relay.bad)
         if self._finished:
             return
-        if relay.bad or self._upstream_call.left:
+        if relay.bad or self._upstream_call.abandoned:
             outcome = Outcome.BROKEN
-        if outcome is Outcome.SERVED and passing:
-            relay.show_head()
+        if outcome is Outcome.SERVED and forwarding:
+            relay.forward_head()
             self._finish()
-            self._free()
+            self._free_handle()
             self._client.complete()
         elif (
             outcome is Outcome.SERVED and answer is not None and is_sound(answer.headers) and not relay.begun
@@ -285,38 +292,38 @@
             outcome is Outcome.ERROR
             and answer is not None
             and not relay.begun
-            and answer.status not in PROMISES
+            and answer.status not in NOT_RUN_STATUSES
         ):
             self._finish()
-            self._free()
+            self._free_handle()
             self._client.serve(answer)
         else:
-            _log(peer, "run_ended", outcome, answer, self._call)
+            _log_ended(peer, "run_ended", outcome, answer, self._call)
             if outcome is Outcome.TURNED_AWAY and self._fetching is not None:
-                self._fetched(False)
-            end = steps.End.BROKEN if outcome is Outcome.SERVED else _end(outcome)
-            self._follow(self._pair.run_ended(end))
+                self._on_fetch_ended(False)
+            end = steps.CallEnd.BROKEN if outcome is Outcome.SERVED else _call_end(outcome)
+            self._execute(self._machine.run_ended(end))
 
 
-_ENDS = {
-    Outcome.TURNED_AWAY: steps.End.REJECTED,
-    Outcome.UNREACHED: steps.End.UNSENT,
-    Outcome.NOT_SENT: steps.End.UNSENT,
-    Outcome.TIMED_OUT: steps.End.LATE,
+_CALL_ENDS = {
+    Outcome.TURNED_AWAY: steps.CallEnd.REJECTED,
+    Outcome.UNREACHED: steps.CallEnd.UNSENT,
+    Outcome.NOT_SENT: steps.CallEnd.UNSENT,
+    Outcome.TIMED_OUT: steps.CallEnd.LATE,
 }
 
 
-def _end(outcome: Outcome) -> steps.End:
-    return _ENDS.get(outcome, steps.End.BROKEN)
+def _call_end(outcome: Outcome) -> steps.CallEnd:
+    return _CALL_ENDS.get(outcome, steps.CallEnd.BROKEN)
 
 
-def _bearable(route: Route) -> float:
-    """How long it may take until a prompt is begun, in seconds; the urgent wait where others do not."""
+def _max_wait_s(route: Route) -> float:
+    """Return how long prefill may take to begin, in seconds; urgent routes bear more than others."""
     aim = route.target_ms or route.deadline_ms / 2
-    return aim / 1000 * max(WAIT_MOST - WAIT_RANK * route.prio, WAIT_LEAST)
+    return aim / 1000 * max(MAX_WAIT - WAIT_PER_PRIORITY * route.prio, MIN_WAIT)
 
 
-def _log(peer: Peer, what: str, outcome: Outcome, answer: Answer | None, call: RoutedCall) -> None:
+def _log_ended(peer: Peer, event: str, outcome: Outcome, answer: Answer | None, call: RoutedCall) -> None:
     status = answer.status if answer is not None else 0
     text = "event={} upstream={} outcome={!r} status={} request={}"
-    logger.debug(text, what, peer.entry.id, outcome.value, status, call.txn.decode("latin-1"))
+    logger.debug(text, event, peer.entry.id, outcome.value, status, call.txn.decode("latin-1"))
--- a/balancer/answer_log.py
+++ b/balancer/answer_log.py
@@ -1,4 +1,4 @@
-"""How the answers of upstreams ended, counted, and logged where the connection or bad bytes ended them."""
+"""Counts how upstream answers ended, and logs those cut off by their connection or by invalid bytes."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 from passpost.attempt import Outgoing
 from passpost.http1 import EndKind, Framing
 
-MOST_NAMED = 4_096  # upstreams of which it is kept that they were named in the log
+MAX_UNFRAMED = 4_096  # upstreams remembered as logged for answers without framing
 
 
 class AnswerLog:
-    """Watches one balancer's upstream connections; counts since the process started."""
+    """Observes one balancer's upstream connections; its counters run from the start of the process."""
 
     def __init__(self) -> None:
         self.ends: Counter[tuple[Framing, EndKind]] = Counter()
         self.misuses: Counter[Misuse] = Counter()
         self.unframed: dict[str, None] = {}  # upstreams whose answers end with their connection
 
-    def misused(self, upstream: str, misuse: Misuse) -> None:
-        """An upstream has sent what belongs to no request of ours that is out."""
+    def on_misuse(self, upstream: str, misuse: Misuse) -> None:
+        """Count and log bytes of an upstream that belong to no request in flight."""
         self.misuses[misuse] += 1
         logger.info("event=connection_misused upstream={} by={}", upstream, misuse.value)
 
-    def ended(self, upstream: str, request: Outgoing, end: AnswerEnd) -> None:
-        """An answer, or the wait for one, is over; those to calls of our own are not counted."""
+    def on_ended(self, upstream: str, request: Outgoing, end: AnswerEnd) -> None:
+        """Count the end of an answer, or of the wait for one; the balancer's own calls are not counted."""
         if not isinstance(request, UpstreamRequest):
             return
         self.ends[end.framing, end.kind] += 1
         if end.framing is Framing.CLOSE and end.status == HTTPStatus.OK:
-            self._name_unframed(upstream)
+            self._log_unframed(upstream)
         if end.kind is EndKind.WHOLE:
             return
-        # An upstream may close after each answer without a length: those ends are no trouble.
+        # An upstream may close after each answer without a length: such ends are normal.
         usual = end.framing is Framing.CLOSE and end.kind is EndKind.FIN
         logger.log(
             "DEBUG" if usual else "INFO",
@@ -50,11 +50,11 @@
             end.body_bytes,
         )
 
-    def _name_unframed(self, upstream: str) -> None:
-        """Say once of each upstream that the end of its answers can be taken for that of a broken one."""
+    def _log_unframed(self, upstream: str) -> None:
+        """Log once per upstream that the end of its answers is indistinguishable from a broken connection."""
         if upstream in self.unframed:
             return
-        if len(self.unframed) >= MOST_NAMED:
+        if len(self.unframed) >= MAX_UNFRAMED:
             del self.unframed[next(iter(self.unframed))]
         self.unframed[upstream] = None
         logger.warning("event=answers_unframed upstream={}", upstream)
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,4 +1,4 @@
-"""The data plane of one balancer: clients, upstreams and readiness, as the control side steers it."""
+"""The data plane of one balancer: client requests, upstreams and readiness."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
 from balancer.upstream_call import ANSWER_GRACE_S
-from balancer.urgency import Urgency
+from balancer.urgency import PriorityEstimator
 from balancer.versions import wanted_versions
-from balancer.wire import free_handle
+from balancer.wire import free_handle_call
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
 from dissemination.doubts import Doubts
@@ -40,88 +40,90 @@
 if TYPE_CHECKING:
     from passpost.engine import Client
 
-TOLD_TOKENS = 512  # shared parts that are shorter are not worth a word to others
-CONNECT_S = 0.5
-IDLE_S = 120.0  # an upstream that tells no time keeps idle connections at least so long
-DOOR_S = 0.9  # clients wait so long at the most for a process that has just started: then they go elsewhere
-UPSTREAM_SHARE = 0.4  # of the descriptors
-RESERVED_FILES = 300
-HELD_BODIES = 48 * 1024 * 1024  # bytes of long bodies held at once
-CONNS_SHARE = 0.9  # of a service's max_conns that all balancers together use
-CONNS_LEAST = 4.0  # connections to one upstream that each balancer may have
-UNKNOWN_BALANCERS = 24  # until their number is known
-# Before the platform kills us, for the end of the process itself: no more than the last sixth, in which the
-# operators count no request that is cut off while its upstream is at work.
+MIN_SHARED_TOKENS = 512  # shorter shared prefixes are not reported to other balancers
+CONNECT_TIMEOUT_S = 0.5
+IDLE_TIMEOUT_S = 120.0  # upstreams without Keep-Alive header keep idle connections at least this long
+MAX_STARTUP_WAIT_S = 0.9  # clients wait no longer for a starting process before they go elsewhere
+UPSTREAM_FD_SHARE = 0.4  # share of the file descriptors for upstream connections
+RESERVED_FDS = 300
+MAX_HELD_BODY_BYTES = 48 * 1024 * 1024  # of long bodies, all requests together
+CONNS_SHARE = 0.9  # share of a service's max_conns that all balancers together use
+MIN_CONNS = 4.0  # connections to one upstream that each balancer may have in any case
+UNKNOWN_BALANCERS = 24  # assumed until the number of balancers is known
+# Time before the platform kills the process, reserved for its own exit. At most the last sixth of the grace
+# period: requests cut off in it while their upstreams are at work are not counted as lost by the operators.
 END_MARGIN_S, END_MARGIN_SHARE = 1.0, 1 / 6
-LEAST_DRAIN_S = 0.5
-FREE_S = 2.0  # a call that frees a handle is given up after this
+MIN_DRAIN_S = 0.5
+FREE_TIMEOUT_S = 2.0  # of a call that frees a handle
 
 
 class ServiceBudget:
-    """The budget of one service on the steady clock, as a request's decision sees it."""
+    """The retry budget of one service on the monotonic clock, as requests use it."""
 
     def __init__(self, retries: RetryBudget) -> None:
         self.retries = retries
 
     def allows(self, extra: int) -> bool:
-        """Whether so many extra arrivals may be caused now."""
+        """Return whether this many extra arrivals may be caused now."""
         return self.retries.allows(extra, time.monotonic())
 
     def spend(self) -> None:
-        """One is caused."""
+        """Count an extra arrival."""
         self.retries.spend(time.monotonic())
 
     def refund(self) -> None:
-        """It did not arrive after all."""
+        """Uncount an extra arrival that did not happen after all."""
         self.retries.refund()
 
 
 def end_margin(grace_s: float) -> float:
-    """So long before a process that is told to stop would be killed all its requests are over, in seconds."""
+    """Return the seconds before a stopping process is killed at which all its requests must have ended."""
     return min(END_MARGIN_S, END_MARGIN_SHARE * grace_s)
 
 
-def _nothing() -> None:
-    """Nobody wants to be told."""
+def _noop() -> None:
+    """Do nothing."""
 
 
 class Balancer:
-    """One balancer's data plane, steered by the control side; all on one asyncio loop."""
+    """One balancer's data plane, on a single asyncio loop."""
 
     def __init__(self, settings: Settings, seed: int, listener: socket.socket | None = None) -> None:
-        """`listener`: the socket for clients, where it listens already."""
+        """`listener`: the client socket, if it is already listening."""
         self.settings, self._listener = settings, listener
         self.counters = RequestCounters()
-        files = max(settings.limits.max_fds - RESERVED_FILES, 64)
-        to_upstreams = max(int(files * UPSTREAM_SHARE), 16)
-        self.upstreams = Upstreams(CONNECT_S, IDLE_S * 2, to_upstreams, options.upstream_options())
+        fds = max(settings.limits.max_fds - RESERVED_FDS, 64)
+        upstream_fds = max(int(fds * UPSTREAM_FD_SHARE), 16)
+        self.upstreams = Upstreams(
+            CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S * 2, upstream_fds, options.upstream_options()
+        )
         self.answer_log = AnswerLog()
-        self.upstreams.watch_answers = self.answer_log.ended
-        self.upstreams.watch_misuse = self.answer_log.misused
-        self._chance = random.Random(seed)
-        self.load_changed: Callable[[], None] = _nothing
-        self._tell_kept: Callable[[bytes, str], None] | None = None
-        self.request_handler: readiness.Other | None = None  # at the address of readiness
+        self.upstreams.watch_answers = self.answer_log.on_ended
+        self.upstreams.watch_misuse = self.answer_log.on_misuse
+        self._rng = random.Random(seed)
+        self.load_changed: Callable[[], None] = _noop
+        self._on_prefix_cached: Callable[[bytes, str], None] | None = None
+        self.request_handler: readiness.RequestHandler | None = None  # at the readiness address
         self._cold_share = ColdShare(settings.node, settings.bounds)
         self.tiers = Tiers(
-            self._chance, self.upstreams.has_place, settings.zone, self.upstreams.has_idle, self._cold_share
+            self._rng, self.upstreams.has_place, settings.zone, self.upstreams.has_idle, self._cold_share
         )
         self.health = UpstreamHealth(self.tiers, self.upstreams)
-        self._max_open = files - to_upstreams
+        self._max_open = fds - upstream_fds
         self._server: Server | None = None
         self._readyz: asyncio.Server | None = None
         self._configuration: Configuration | None = None
         self._table = RouteTable(Configuration(0))
         self._budgets: dict[str, ServiceBudget] = {}
         self._requests: dict[int, ActiveRequest] = {}
-        self.urgency = Urgency()
-        self._count, self._balancers = 0, 0
-        self._allowed, self._draining = False, False
+        self.priorities = PriorityEstimator()
+        self._last_number, self._balancers = 0, 0
+        self._ready_allowed, self._draining = False, False
 
-    # ---- what the control side calls
+    # ---- called by the control side
 
     async def start(self) -> None:
-        """Bind `listen.http` and `listen.readyz`; raises OSError where one can't be bound."""
+        """Bind `listen.http` and `listen.readyz`; raises OSError if one can't be bound."""
         listen = self.settings.listen
         if listen.readyz is not None:
             self._readyz = await readiness.listen(
@@ -134,41 +136,41 @@
                 address,
                 self._max_open,
                 listener=self._listener,
-                held=HELD_BODIES,
+                held=MAX_HELD_BODY_BYTES,
                 options=self._client_options(),
             )
-            asyncio.get_running_loop().call_later(DOOR_S, self._open_door)
+            asyncio.get_running_loop().call_later(MAX_STARTUP_WAIT_S, self._start_accepting)
         self.upstreams.start()
 
-    def _open_door(self) -> None:
-        """Take in clients; those that came while we knew nothing have waited in the socket's queue."""
+    def _start_accepting(self) -> None:
+        """Start accepting clients; earlier ones have waited in the socket's backlog for the configuration."""
         if self._server is not None and not self._server.acceptor.is_serving() and not self._draining:
             self._server.start()
 
     def configure(self, configuration: Configuration) -> None:
-        """A newer configuration is in force from now on; an older one or the same changes nothing."""
+        """Apply a newer configuration; an older or equal one is ignored."""
         if self._configuration is not None and configuration.ver <= self._configuration.ver:
             return
         self._configuration = configuration
         self._table = RouteTable(configuration)
         self._cold_share.configure(configuration)
-        self.urgency.keep_only({r.name for r in configuration.routes})
+        self.priorities.keep_only({r.name for r in configuration.routes})
         self.tiers.set_wanted_versions(wanted_versions(configuration), time.monotonic())
         if self._server is not None:
             self._server.treat(self._client_options())
         self._limit_connections()
-        if self.tiers.has_any():
-            self._open_door()
+        if self.tiers.has_ready():
+            self._start_accepting()
 
     def list_upstreams(self, entries: tuple[Upstream, ...]) -> None:
-        """The whole list as it is now; the same as before costs little."""
+        """Apply the whole list of upstreams; cheap if it has not changed."""
         if self.tiers.update(entries, time.monotonic()):
             self.upstreams.route({name: parse_address(address) for name, address in self.tiers.addresses()})
         if self._configuration is not None:
-            self._open_door()
+            self._start_accepting()
 
     def count_balancers(self, n: int) -> None:
-        """So many balancers live: our parts of what all of them share follow."""
+        """Set the number of live balancers, from which this balancer's part of shared limits follows."""
         if n != self._balancers:
             self._balancers = n
             self.tiers.outliers.balancers = max(n, 1)
@@ -178,69 +180,69 @@
             self._limit_connections()
 
     def set_place(self, place: Place | None) -> None:
-        """Our place among the balancers that are present; None while we are not among them."""
-        self._cold_share.stand(place)
+        """Set this balancer's place among those present; None while it is not listed."""
+        self._cold_share.set_place(place)
 
     def allow_ready(self, allowed: bool) -> None:
-        """Whether the control side lets us call ourselves ready."""
-        self._allowed = allowed
+        """Set whether the control side allows this balancer to report ready."""
+        self._ready_allowed = allowed
 
     @property
     def ready(self) -> bool:
-        """Whether readyz answers 200."""
+        """Whether readyz answers with 200."""
         return self.is_ready()
 
     def loads(self) -> dict[str, tuple[int, int]]:
-        """Our calls and outstanding prompt tokens, by upstream; those with none are left out."""
+        """Return this balancer's calls and pending prompt tokens by upstream, without idle upstreams."""
         return self.tiers.loads()
 
     def set_other_loads(self, load: Callable[[str], tuple[int, int]]) -> None:
-        """From now on `load` tells the other balancers' calls and prompt tokens at an upstream."""
+        """Set `load`, which returns the other balancers' calls and prompt tokens at an upstream."""
         self.tiers.other_loads = load
 
     def watch_loads(self, changed: Callable[[], None]) -> None:
-        """`changed` is called whenever `loads` would tell something new."""
+        """Set the callback for changes of `loads`."""
         self.load_changed = changed
 
     def tell_doubts(self, changed: Callable[[], None]) -> None:
-        """`changed` is called whenever `doubts` would tell something new."""
-        self.health.changed = changed
+        """Set the callback for changes of `doubts`."""
+        self.health.on_change = changed
 
     def doubts(self) -> Doubts:
-        """Failures that our calls saw, by upstream and our zone, each as of one balancer."""
-        return self.tiers.outliers.seen(time.monotonic())
+        """Return the failures that this balancer's calls saw, by upstream and this balancer's zone."""
+        return self.tiers.outliers.own_failures(time.monotonic())
 
     def heed_doubts(self, told: Doubts) -> None:
-        """What all balancers together hold against upstreams, ourselves among them."""
-        self.tiers.outliers.heed(told, self.tiers.peer, time.monotonic())
+        """Apply the failures that all balancers saw, including this one's."""
+        self.tiers.outliers.set_fleet_failures(told, self.tiers.peer, time.monotonic())
 
-    def watch_cached_prefixes(self, tell: Callable[[bytes, str], None]) -> None:
-        """`tell` hears of each subject whose shared parts an upstream has newly read or fetched for us."""
-        self._tell_kept = tell
+    def watch_cached_prefixes(self, callback: Callable[[bytes, str], None]) -> None:
+        """Set the callback for each prefix that an upstream has newly cached for this balancer."""
+        self._on_prefix_cached = callback
 
     def add_cached_prefix(self, subject: bytes, upstream: str) -> None:
-        """Another balancer has seen that an upstream has the shared parts of a subject."""
+        """Add a prefix that an upstream has cached according to another balancer."""
         if self.tiers.peer(upstream) is not None:
             self.tiers.prefix_index.add(subject, upstream)
 
     def on_prompt_cached(self, peer: Peer, prompt: Prompt) -> None:
-        """An upstream has read or fetched a prompt for us."""
+        """Record that an upstream has prefilled or fetched a prompt for this balancer."""
         is_new = self.tiers.prefix_index.add(prompt.prefix, peer.entry.id)
-        if is_new and prompt.shared_tokens >= TOLD_TOKENS and self._tell_kept is not None:
-            self._tell_kept(prompt.prefix, peer.entry.id)
+        if is_new and prompt.shared_tokens >= MIN_SHARED_TOKENS and self._on_prefix_cached is not None:
+            self._on_prefix_cached(prompt.prefix, peer.entry.id)
 
     async def drain(self) -> None:
-        """Not ready from now on; returns when all is answered, or shortly before `bounds.grace_s` ends."""
+        """Stop being ready; returns when all requests are answered or `bounds.grace_s` is almost over."""
         self._draining = True
         if self._server is not None:
             grace_s = self.settings.bounds.grace_s
-            # What is open at the end has its upstream's word awaited for a moment more.
+            # For requests open at the end, the upstream's own answer is awaited a little longer.
             within = grace_s - end_margin(grace_s) - ANSWER_GRACE_S
-            await self._server.drain(max(within, LEAST_DRAIN_S))
+            await self._server.drain(max(within, MIN_DRAIN_S))
         await self.stop()
 
     async def stop(self) -> None:
-        """End at once, whatever is open."""
+        """Stop at once, even with open requests."""
         if self._readyz is not None:
             self._readyz.close()
         if self._server is not None:
@@ -248,16 +250,16 @@
         self.upstreams.stop()
 
     def counts(self) -> dict[str, Any]:
-        """What has been served and what is in flight, for a status call."""
+        """Return how requests ended and what is in flight, for the status endpoint."""
         ends = {final.value: count for final, count in self.counters.ends.items()}
         out, version = self.tiers.in_flight(), self._table.version
         return {**ends, "in_flight": self.counters.in_flight, "calls_out": out, "config_ver": version}
 
-    # ---- what follows from it
+    # ---- derived state
 
     def is_ready(self) -> bool:
-        """Allowed, configured and not draining."""
-        return self._allowed and self._configuration is not None and not self._draining
+        """Return whether this balancer is allowed to be ready, configured and not draining."""
+        return self._ready_allowed and self._configuration is not None and not self._draining
 
     def _client_options(self) -> ClientOptions:
         limits = (self._configuration or Configuration(0)).limits
@@ -265,13 +267,13 @@
 
     def _limit_connections(self) -> None:
         services = self._configuration.svcs if self._configuration is not None else ()
-        most = min((s.max_conns for s in services), default=math.inf)
-        if math.isfinite(most):
-            part = CONNS_SHARE * most / (self._balancers or UNKNOWN_BALANCERS)
-            self.upstreams.limit_each(max(CONNS_LEAST, part))
+        limit = min((s.max_conns for s in services), default=math.inf)
+        if math.isfinite(limit):
+            share = CONNS_SHARE * limit / (self._balancers or UNKNOWN_BALANCERS)
+            self.upstreams.limit_each(max(MIN_CONNS, share))
 
     def budget(self, service: str) -> ServiceBudget:
-        """What pays for extra arrivals at a service."""
+        """Return the retry budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self.settings.bounds
@@ -283,20 +285,20 @@
             budget = self._budgets[service] = ServiceBudget(retries)
         return budget
 
-    def free(self, handle: Handle) -> None:
-        """Free memory that nobody will fetch."""
-        request = free_handle(handle.address, handle.holder, handle.ref)
-        self.upstreams.send(handle.holder, request, FREE_S, lambda outcome, answer: None)
+    def free_handle(self, handle: Handle) -> None:
+        """Free the KV cache behind a handle that will not be fetched."""
+        request = free_handle_call(handle.address, handle.holder, handle.ref)
+        self.upstreams.send(handle.holder, request, FREE_TIMEOUT_S, lambda outcome, answer: None)
 
-    # ---- the host of passpost.server
+    # ---- host of passpost.server
 
     @property
     def has_upstreams(self) -> bool:
         """Whether any upstream is ready."""
-        return self.tiers.has_any()
+        return self.tiers.has_ready()
 
     def read(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call:
-        """The call that a head stands for; raises BadRequestError."""
+        """Parse a request head; raises BadRequestError."""
         if self._configuration is None:
             self.counters.refused(Refusal.UNCONFIGURED)
             raise BadRequestError(503)
@@ -305,28 +307,28 @@
     def take_up(
         self, call: Call, remaining: float, outgoing: Outgoing, client: Client, free_connections: float
     ) -> int:
-        """A request is there, with so many seconds to answer it; the result is its number."""
+        """Start a request that has to be answered in `remaining` seconds; return its number."""
         assert isinstance(call, RoutedCall)
         now = time.monotonic()
-        self._count += 1
-        number = self._count
-        service = draw_service(call.route, self._chance)
+        self._last_number += 1
+        number = self._last_number
+        service = draw_service(call.route, self._rng)
         self.budget(service).retries.arrived(now)
-        passage = self._requests[number] = ActiveRequest(
+        request = self._requests[number] = ActiveRequest(
             self, number, call, service, now + remaining, outgoing, client
         )
-        passage.begin()
+        request.start()
         return number
 
     def whole(self, number: int) -> None:
-        """Bodies are held whole before their requests are taken up: there is nothing to do."""
+        """Do nothing: a request starts only when its whole body is held."""
 
     def left(self, number: int) -> None:
-        """The client has gone."""
-        passage = self._requests.get(number)
-        if passage is not None:
-            passage.on_client_left()
+        """Handle a client's disconnect."""
+        request = self._requests.get(number)
+        if request is not None:
+            request.on_client_left()
 
     def on_request_ended(self, number: int) -> None:
-        """A request has its answer."""
+        """Drop a request that has its final answer."""
         self._requests.pop(number, None)
--- a/balancer/cold_share.py
+++ b/balancer/cold_share.py
@@ -1,9 +1,9 @@
-"""The part of one balancer in the few requests that a cold upstream bears of all balancers together.
+"""Rate limit for cold upstreams, divided among the balancers without communication between them.
 
-All balancers send a cold upstream `rate` requests a second at the most. Each has a short window to send one
-request in, once in a period that is as long as all of them need one after the other; where its window lies
-follows from its place among the balancers, so the windows of all lie evenly spaced. A window that is not used
-is lost: what is saved up while an upstream is not wanted would come at once when it is.
+All balancers together send a cold upstream at most `rate` requests per second. Each has a short window to
+send one request in, once per period; a period is long enough for all balancers to take their turns. The
+window's position follows from the balancer's place among all of them, which spaces the windows evenly. An
+unused window is lost: requests saved up while an upstream is not selected would all come at once when it is.
 """
 
 from __future__ import annotations
@@ -16,88 +16,88 @@
 from config.configuration import Configuration
 from config.settings import Bounds
 
-# Balancers that do not hear of each other each count their own side. The bound holds for two such sides, with
-# windows that meet in any second, and for three that use theirs evenly.
-SIDES = 3
+# In a network partition the balancers of each side count only their own side. The bound holds for two sides
+# whose windows meet in any second, and for three whose windows are evenly used.
+MAX_PARTITIONS = 3
 WINDOW_S = 0.4
-UNKNOWN_BALANCERS = 100  # until their number is known
+UNKNOWN_BALANCERS = 100  # assumed until the number of balancers is known
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where one balancer stands among all that are present, from 0 on."""
+    """The index of a balancer, from 0, among the number of balancers that are present."""
 
-    number: int
-    of: int
+    index: int
+    count: int
 
     @classmethod
     def among(cls, node: str, nodes: Sequence[str]) -> Place | None:
-        """The place of a balancer in an order that all know; None if it is not in it."""
+        """Return a balancer's place in an order that all balancers know; None if it is not among them."""
         return cls(nodes.index(node), len(nodes)) if node in nodes else None
 
 
 def rate_of(per_s: float, bounds: Bounds) -> float:
-    """Requests a second that all balancers together send to a cold upstream which bears `per_s`."""
+    """Return the requests per second of all balancers for a cold upstream with the capacity `per_s`."""
     allowed = per_s * bounds.cold_excess + bounds.cold_slack
-    return min(per_s, allowed / SIDES)
+    return min(per_s, allowed / MAX_PARTITIONS)
 
 
 class ColdShare:
-    """When one balancer may send to which cold upstream. Times in seconds on the steady clock."""
+    """Decides when this balancer may send to a cold upstream. Times in seconds on the monotonic clock."""
 
     def __init__(self, node: str, bounds: Bounds) -> None:
         self._node, self._bounds = node, bounds
-        self._rates: dict[str, float] = {}  # by service; one without a bound is not there
+        self._rates: dict[str, float] = {}  # by service; services without a bound are absent
         self._place: Place | None = None
         self._balancers = UNKNOWN_BALANCERS
-        self._fractions: dict[str, float] = {}  # of a period, by upstream: where our window begins
+        self._offsets: dict[str, float] = {}  # by upstream: start of the window, as share of a period
 
     def configure(self, configuration: Configuration) -> None:
-        """The services of a newer configuration."""
+        """Apply the services of a newer configuration."""
         self._rates = {
             s.name: rate_of(s.cold_per_s, self._bounds) for s in configuration.svcs if s.cold_per_s
         }
 
     def count_balancers(self, balancers: int) -> None:
-        """So many live, or did a while ago."""
+        """Set the number of balancers that are live, or were recently."""
         self._balancers = max(balancers, 1)
 
-    def stand(self, place: Place | None) -> None:
-        """Our place among those present; None: we are not among them yet."""
+    def set_place(self, place: Place | None) -> None:
+        """Set this balancer's place among those present; None: it is not listed yet."""
         if place != self._place:
             self._place = place
-            self._fractions.clear()
+            self._offsets.clear()
 
-    def forget(self) -> None:
-        """The list of upstreams has changed."""
-        self._fractions.clear()
+    def on_list_changed(self) -> None:
+        """Drop the cached offsets, as the list of upstreams has changed."""
+        self._offsets.clear()
 
     def allows(self, peer: Peer, now: float) -> bool:
-        """Whether a request may go there now, as far as it is cold."""
+        """Return whether an upstream may get a request now, as far as it is cold."""
         rate = self._rates.get(peer.entry.svc)
         if not rate or not peer.is_cold(now):
             return True
-        period = max(self._balancers, self._place.of if self._place is not None else 1) / rate
-        age = now - peer.cold_since - self._fraction(peer.entry.id) * period
-        into = age % period
-        if age < 0 or into >= min(WINDOW_S, period):
+        period = max(self._balancers, self._place.count if self._place is not None else 1) / rate
+        elapsed = now - peer.cold_since - self._offset(peer.entry.id) * period
+        in_period = elapsed % period
+        if elapsed < 0 or in_period >= min(WINDOW_S, period):
             return False
         sent = peer.server.last_sent / 1000
-        return sent < now - into and (sent < peer.cold_since or now - sent >= period / 2)
+        return sent < now - in_period and (sent < peer.cold_since or now - sent >= period / 2)
 
-    def _fraction(self, upstream: str) -> float:
-        """Other balancers are the first at another upstream."""
-        found = self._fractions.get(upstream)
-        if found is None:
+    def _offset(self, upstream: str) -> float:
+        """Return the window's offset, rotated by upstream so that each has a different first balancer."""
+        offset = self._offsets.get(upstream)
+        if offset is None:
             place = self._place
             if place is None:
-                found = _chance_of(f"{self._node}@{upstream}")
+                offset = _hash_fraction(f"{self._node}@{upstream}")
             else:
-                found = (place.number / place.of + _chance_of(upstream)) % 1.0
-            self._fractions[upstream] = found
-        return found
+                offset = (place.index / place.count + _hash_fraction(upstream)) % 1.0
+            self._offsets[upstream] = offset
+        return offset
 
 
-def _chance_of(text: str) -> float:
-    """A number from 0 to 1 that every process finds for the same text."""
+def _hash_fraction(text: str) -> float:
+    """Return a number from 0 to 1 that is the same for a text in every process."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest()) / 2**64
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -1,4 +1,4 @@
-"""What a request and its calls use of the balancer that they belong to."""
+"""The part of a balancer that its requests and their upstream calls depend on."""
 
 from __future__ import annotations
 
@@ -10,49 +10,49 @@
 from balancer.request_counters import RequestCounters
 from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
-from balancer.urgency import Urgency
+from balancer.urgency import PriorityEstimator
 from config.settings import Settings
 from passpost.upstream import Upstreams
 
 
 class RequestContext(Protocol):
-    """The balancer, as the requests that are open on it see it."""
+    """The balancer as seen by its open requests."""
 
     @property
     def settings(self) -> Settings:
-        """Of this process."""
+        """The settings of this process."""
 
     @property
     def counters(self) -> RequestCounters:
-        """Counts of requests and their ends."""
+        """Counters of requests and how they ended."""
 
     @property
     def tiers(self) -> Tiers:
-        """The upstreams by part, and the choice among them."""
+        """The upstreams by service and phase, and the selection among them."""
 
     @property
     def health(self) -> UpstreamHealth:
-        """What the ends of calls say of upstreams."""
+        """Records the ends of calls as evidence on upstreams."""
 
     @property
-    def urgency(self) -> Urgency:
-        """The ranks that calls tell."""
+    def priorities(self) -> PriorityEstimator:
+        """Computes the `Priority` of upstream calls."""
 
     @property
     def upstreams(self) -> Upstreams:
         """Connections to upstreams."""
 
     def budget(self, service: str) -> Budget:
-        """What pays for extra arrivals at a service."""
+        """Return the retry budget of a service."""
 
     def load_changed(self) -> None:
-        """A call was sent, or has ended."""
+        """Note that a call was sent or has ended."""
 
     def on_prompt_cached(self, peer: Peer, prompt: Prompt) -> None:
-        """An upstream has read or fetched a prompt for us."""
+        """Note that an upstream has prefilled or fetched a prompt."""
 
-    def free(self, handle: Handle) -> None:
-        """Free memory that nobody will fetch."""
+    def free_handle(self, handle: Handle) -> None:
+        """Free the KV cache behind a handle that will not be fetched."""
 
     def on_request_ended(self, number: int) -> None:
-        """A request has its answer."""
+        """Drop a request that has its final answer."""
--- a/balancer/ingress.py
+++ b/balancer/ingress.py
@@ -1,4 +1,4 @@
-"""Which requests are taken from clients, and what their heads say."""
+"""Validates and routes the head of a client's request."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 REQUEST_ID, DEADLINE = b"mastturn-request-id", b"mastturn-deadline-ms"
 
-_SINGLE = (b"host", b"content-length", b"transfer-encoding", REQUEST_ID, DEADLINE, b"last-event-id")
-_OURS = frozenset(  # written anew for each upstream, or not for clients to say
+_SINGLE_HEADERS = (b"host", b"content-length", b"transfer-encoding", REQUEST_ID, DEADLINE, b"last-event-id")
+_NOT_FORWARDED = frozenset(  # set by the balancer for each upstream, or not accepted from clients
     (DEADLINE, b"mastturn-target-upstream", b"mastturn-stage", b"kv-from", b"priority", b"last-event-id")
 )
 _METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"))
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedCall(Call):
-    """A good request's head, with the route that it is on; `after`: the last event that its client has."""
+    """The head of a valid request, with its route; `after`: id of the last event that its client has."""
 
     route: Route
     prompt: Prompt
@@ -39,24 +39,24 @@
 def read_head(
     method: bytes, target: bytes, version: str, headers: Headers, table: RouteTable, limits: ClientLimits
 ) -> RoutedCall:
-    """The call that a head stands for; raises BadRequestError (400, 404, 405, 413, 431).
+    """Parse a head; raises BadRequestError (400, 404, 405, 413, 431).
 
-    Whatever could be read in two ways is refused, so that no upstream can read it in the other.
+    Ambiguous heads are refused, as an upstream might interpret them differently (request smuggling).
     """
     if sum(len(n) + len(v) + 4 for n, v in headers) + len(target) > limits.max_header_bytes:
         raise BadRequestError(431)
     fields = {name.lower(): value for name, value in headers}
     if len(fields) < len(headers):
-        seen = Counter(name.lower() for name, _ in headers)
-        if any(seen[name] > 1 for name in _SINGLE):
+        counts = Counter(name.lower() for name, _ in headers)
+        if any(counts[name] > 1 for name in _SINGLE_HEADERS):
             raise BadRequestError(400)
     if not _TARGET.fullmatch(target) or not all(_VALUE.fullmatch(value) for _, value in headers):
         raise BadRequestError(400)
 
-    length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
-    if length is not None and (coding is not None or not _LENGTH.fullmatch(length)):
-        raise BadRequestError(400)  # with both, one of them hides a second request from somebody
-    if coding is not None and (coding.lower() != b"chunked" or version != "1.1"):
+    length, encoding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
+    if length is not None and (encoding is not None or not _LENGTH.fullmatch(length)):
+        raise BadRequestError(400)  # with both, upstreams may disagree where the request ends
+    if encoding is not None and (encoding.lower() != b"chunked" or version != "1.1"):
         raise BadRequestError(400)
     if length is not None and int(length) > limits.max_body_bytes:
         raise BadRequestError(413)
@@ -71,9 +71,9 @@
     if route is None:
         raise BadRequestError(404)
     remaining = route.deadline_ms / 1000
-    if (told := fields.get(DEADLINE)) is not None and _MS.fullmatch(told):
-        remaining = min(remaining, float(told) / 1000)
-    passed_on = [(n, v) for n, v in end_to_end(headers) if n.lower() not in _OURS]
+    if (limit_ms := fields.get(DEADLINE)) is not None and _MS.fullmatch(limit_ms):
+        remaining = min(remaining, float(limit_ms) / 1000)
+    passed_on = [(n, v) for n, v in end_to_end(headers) if n.lower() not in _NOT_FORWARDED]
     prompt = read_prompt(fields.get(b"mastturn-prompt-prefix"), fields.get(b"mastturn-token-count"))
     after = fields.get(b"last-event-id")
     if not math.isfinite(remaining):
--- a/balancer/kept.py
+++ b/balancer/kept.py
@@ -1,47 +1,48 @@
-"""Which upstreams have read which shared parts of prompts, as far as this balancer knows.
+"""Index of the shared prompt prefixes that upstreams have cached, as far as this balancer knows.
 
-One table for all upstreams, bounded as a whole: a bound for each would grow with their number. What an
-upstream has let go of is not known; here the subjects heard of longest ago give way.
+One table covers all upstreams and is bounded as a whole: a bound per upstream would grow with their number.
+Evictions on upstreams are not reported; when the table is full, the least recently reported prefixes are
+dropped.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-MAX_PAIRS = 24_576  # of a subject and an upstream: what all balancers tell each other of is no more
-_NOBODY: dict[str, None] = {}
+MAX_PAIRS = 24_576  # pairs of prefix and upstream; balancers exchange no more than this
+_NO_HOLDERS: dict[str, None] = {}
 
 
 class PrefixIndex:
-    """The table of one balancer, by subject."""
+    """The table of one balancer, by prefix."""
 
-    def __init__(self, most: int = MAX_PAIRS) -> None:
-        self._most, self._pairs = most, 0
-        self._holders: dict[bytes, dict[str, None]] = {}  # the subject heard of last is the last
+    def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
+        self._max_pairs, self._pairs = max_pairs, 0
+        self._holders: dict[bytes, dict[str, None]] = {}  # the most recently reported prefix is the last
 
-    def add(self, subject: bytes, upstream: str) -> bool:
-        """An upstream has the shared parts of a subject now; whether that is new."""
-        if not subject:
+    def add(self, prefix: bytes, upstream: str) -> bool:
+        """Record that an upstream has a prefix cached; return whether that is new."""
+        if not prefix:
             return False
-        holders = self._holders[subject] = self._holders.pop(subject, {})
+        holders = self._holders[prefix] = self._holders.pop(prefix, {})
         if upstream in holders:
             return False
         holders[upstream] = None
         self._pairs += 1
-        while self._pairs > self._most:
+        while self._pairs > self._max_pairs:
             self._pairs -= len(self._holders.pop(next(iter(self._holders))))
         return True
 
-    def holders(self, subject: bytes) -> Collection[str]:
-        """The ids of those that have them."""
-        return self._holders.get(subject, _NOBODY)
+    def holders(self, prefix: bytes) -> Collection[str]:
+        """Return the ids of the upstreams that have a prefix cached."""
+        return self._holders.get(prefix, _NO_HOLDERS)
 
-    def forget(self, upstreams: Collection[str]) -> None:
-        """These have left the list or play another part: nothing that they had counts."""
+    def remove_upstreams(self, upstreams: Collection[str]) -> None:
+        """Drop what these upstreams had cached: they have left the list or changed phase."""
         gone = set(upstreams)
-        for subject, holders in list(self._holders.items()) if gone else ():
+        for prefix, holders in list(self._holders.items()) if gone else ():
             for upstream in holders.keys() & gone:
                 del holders[upstream]
                 self._pairs -= 1
             if not holders:
-                del self._holders[subject]
+                del self._holders[prefix]
--- a/balancer/peer.py
+++ b/balancer/peer.py
@@ -1,4 +1,4 @@
-"""One upstream as a balancer knows it: its entry in the list, our calls there, and what they have told."""
+"""State of one upstream: its list entry, this balancer's calls to it, and what they showed."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from umberworks import interface as face
 from umberworks.members import Server
 
-SPOILT, SPOILT_S = 2, 1.0  # so many handles in a row that could not be fetched, and it is avoided so long
-LEAST_TOKENS = 500  # a shorter prompt tells the pace no better
-PACE_SHARE = 0.2  # of the smoothed pace that the latest call makes up
+MAX_FAILED_FETCHES, FETCH_BLOCK_S = 2, 1.0  # failed fetches in a row that block an upstream, and for how long
+MIN_PACE_TOKENS = 500  # shorter prompts are counted as this long: overhead dominates their prefill time
+PACE_SMOOTHING = 0.2  # weight of the latest call in the smoothed prefill pace
 
 
 class Peer:
-    """One upstream: its list entry, and what we know of it. Times in seconds on the steady clock."""
+    """One upstream: its list entry and its observed state. Times in seconds on the monotonic clock."""
 
     __slots__ = (
         "blocked_until",
@@ -31,59 +31,54 @@
     def __init__(self, entry: Upstream, now: float, rank: float) -> None:
         self.entry = entry
         self.server = Server(face.Member(entry.id, zone=entry.zone), now * 1000, rank)
-        self.pending_tokens = 0  # of prompts that are being read there for us
+        self.pending_tokens = 0  # of prompts being prefilled there for this balancer
         self.blocked_until = 0.0
-        self.cold_since, self.cold_until = 0.0, 0.0  # it is slow yet, as the list says
-        self.last_received_at, self.is_silent = (
-            now,
-            False,
-        )  # silent: it owes us a word for too long, or can't be reached
-        self.failed_fetches = 0  # handles from here that could not be fetched, since the last one that was
-        self.prefill_s_per_token = (
-            0.0  # seconds for each of our outstanding tokens that a prefill call has taken, smoothed
-        )
+        self.cold_since, self.cold_until = 0.0, 0.0  # warming up in between, according to the list
+        self.last_received_at, self.is_silent = now, False  # silent: data is overdue, or it can't be reached
+        self.failed_fetches = 0  # of handles held here, since the last fetch that succeeded
+        self.prefill_s_per_token = 0.0  # prefill time per token pending when the call was sent, smoothed
         self.id_bytes = entry.id.encode()
 
     def on_call_sent(self, now: float, tokens: int) -> None:
-        """A call goes out to it."""
-        self.server.catch_up(now * 1000)
+        """Count a call with this many tokens to prefill."""
+        self.server.advance(now * 1000)
         self.server.in_flight += 1
         self.server.last_sent = now * 1000
         self.pending_tokens += tokens
 
     def on_prompt_read(self, seconds: float, tokens: int) -> None:
-        """A prompt was read, with so many tokens outstanding when it was sent."""
-        pace = seconds / max(tokens, LEAST_TOKENS)
+        """Update the prefill pace by a call that took `seconds`, with `tokens` pending when it was sent."""
+        pace = seconds / max(tokens, MIN_PACE_TOKENS)
         self.prefill_s_per_token += (pace - self.prefill_s_per_token) * (
-            PACE_SHARE if self.prefill_s_per_token else 1.0
+            PACE_SMOOTHING if self.prefill_s_per_token else 1.0
         )
 
-    def on_fetch_ended(self, now: float, well: bool) -> None:
-        """Memory from here was fetched, or could not be: if that goes on nothing is read here for a while."""
-        self.failed_fetches = 0 if well else self.failed_fetches + 1
-        if self.failed_fetches >= SPOILT:
-            self.block(now, SPOILT_S)
+    def on_fetch_ended(self, now: float, succeeded: bool) -> None:
+        """Note a fetch of a handle from here; repeated failures block the upstream for a while."""
+        self.failed_fetches = 0 if succeeded else self.failed_fetches + 1
+        if self.failed_fetches >= MAX_FAILED_FETCHES:
+            self.block(now, FETCH_BLOCK_S)
 
     def on_call_ended(self, now: float, tokens: int, served: bool) -> None:
-        """A call there is over; one that did not run adds nothing to its rate."""
-        self.server.catch_up(now * 1000)
+        """Uncount a call that has ended; one that did not run adds nothing to the served rate."""
+        self.server.advance(now * 1000)
         self.server.in_flight -= 1
         self.pending_tokens -= tokens
         if served:
             self.server.served += 1
 
     def set_cold(self, now: float, left_ms: float) -> None:
-        """The list has a new word on how long it is cold yet; 0: it is not."""
+        """Apply the list's remaining warm-up time; 0: the upstream is warm."""
         self.cold_since, self.cold_until = now, now + left_ms / 1000 if left_ms else 0.0
 
     def is_cold(self, now: float) -> bool:
-        """Whether it is slow yet, and bears few requests."""
+        """Return whether the upstream is still warming up and can take only few requests."""
         return now < self.cold_until
 
     def on_data_received(self, now: float) -> None:
-        """Something has come from it."""
+        """Note that the upstream has sent something."""
         self.last_received_at, self.is_silent = now, False
 
-    def block(self, now: float, span: float) -> None:
-        """Send nothing there for so long."""
-        self.blocked_until = max(self.blocked_until, now + span)
+    def block(self, now: float, duration_s: float) -> None:
+        """Send the upstream nothing for this long."""
+        self.blocked_until = max(self.blocked_until, now + duration_s)
--- a/balancer/prompt.py
+++ b/balancer/prompt.py
@@ -1,4 +1,4 @@
-"""What a request tells of its prompt: how long it is, and which part of it others share."""
+"""Parses the prompt headers of a request: length in tokens, and the prefix shared with other requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """`tokens` to be read, `shared` of them in parts that others have too; `subject`: the last of those."""
+    """A prompt's length in tokens, how many of them are shared, and the id of the last shared part."""
 
     tokens: int = 0
     shared_tokens: int = 0
@@ -19,14 +19,14 @@
 
 
 def read_prompt(prefix: bytes | None, count: bytes | None) -> Prompt:
-    """What Mastturn-Prompt-Prefix and Mastturn-Token-Count tell; what can't be read counts as not told."""
+    """Parse Mastturn-Prompt-Prefix and Mastturn-Token-Count; a malformed header counts as absent."""
     tokens = 0
-    if count is not None and (told := _COUNT.fullmatch(count.replace(b" ", b""))) is not None:
-        tokens = int(told[1])
+    if count is not None and (match := _COUNT.fullmatch(count.replace(b" ", b""))) is not None:
+        tokens = int(match[1])
     prefix = prefix.replace(b" ", b"") if prefix is not None else b""
     if not _PARTS.fullmatch(prefix):
         return Prompt(tokens)
     parts = [part.split(b":") for part in prefix.split(b",")]
     sizes = [int(size) for _, size in parts]
-    subject = parts[-2][0] if len(parts) > 1 else b""
-    return Prompt(tokens or sum(sizes), sum(sizes[:-1]), subject)
+    last_shared = parts[-2][0] if len(parts) > 1 else b""
+    return Prompt(tokens or sum(sizes), sum(sizes[:-1]), last_shared)
--- a/balancer/readiness.py
+++ b/balancer/readiness.py
@@ -1,4 +1,4 @@
-"""The address at which the platform asks whether this balancer takes clients."""
+"""HTTP endpoint for the platform's readiness checks."""
 
 from __future__ import annotations
 
@@ -8,40 +8,43 @@
 
 from config.settings import Address
 
-MAX_REQUEST_BYTES = 4096  # bytes of one question
-MAX_CONNECTIONS = 64  # connections at once: the platform needs one or two; beyond that the oldest goes
-Other = Callable[[bytes, asyncio.Transport], bool]  # answers a question that is none of readiness
+MAX_REQUEST_BYTES = 4096
+MAX_CONNECTIONS = 64  # the platform needs one or two; beyond the limit the oldest connection is closed
+RequestHandler = Callable[[bytes, asyncio.Transport], bool]  # answers requests other than readiness checks
 
 
 class _ReadinessConnection(asyncio.Protocol):
-    """One connection of the platform."""
+    """One connection to the readiness endpoint."""
 
     def __init__(
-        self, is_ready: Callable[[], bool], other: Other | None, opened: dict[_ReadinessConnection, None]
+        self,
+        is_ready: Callable[[], bool],
+        handler: RequestHandler | None,
+        connections: dict[_ReadinessConnection, None],
     ) -> None:
-        self._is_ready, self._other, self._held = is_ready, other, b""
-        self._opened = opened  # all connections, the oldest first
+        self._is_ready, self._handler, self._held = is_ready, handler, b""
+        self._connections = connections  # all open connections, the oldest first
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The platform has connected."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's do not derive from it
-        self._opened[self] = None
-        if len(self._opened) > MAX_CONNECTIONS:
-            next(iter(self._opened)).give_way()
+        """Register the connection, and close the oldest one if there are too many."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from it
+        self._connections[self] = None
+        if len(self._connections) > MAX_CONNECTIONS:
+            next(iter(self._connections)).abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
-        self._opened.pop(self, None)
+        """Unregister the connection."""
+        self._connections.pop(self, None)
 
-    def give_way(self) -> None:
-        """Make room for another."""
-        self._opened.pop(self, None)
+    def abort(self) -> None:
+        """Close the connection in favour of a newer one."""
+        self._connections.pop(self, None)
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Answer each whole question; its body, if it has one, is not waited for."""
+        """Answer each complete request head, without waiting for a body."""
         transport = self._transport
         if transport is None:
             return
@@ -49,8 +52,8 @@
         while b"\r\n\r\n" in self._held:
             head, self._held = self._held.split(b"\r\n\r\n", 1)
             target = head.split(b" ", 2)[1:2]
-            if target != [b"/api/readyz"] and self._other is not None and self._other(head, transport):
-                self._transport, self._held = None, b""  # it answers, and ends the connection
+            if target != [b"/api/readyz"] and self._handler is not None and self._handler(head, transport):
+                self._transport, self._held = None, b""  # the handler answers and closes the connection
                 return
             if target != [b"/api/readyz"]:
                 status = b"404 Not Found"
@@ -67,9 +70,9 @@
 
 
 async def listen(
-    address: Address, is_ready: Callable[[], bool], other: Other | None = None
+    address: Address, is_ready: Callable[[], bool], handler: RequestHandler | None = None
 ) -> asyncio.Server:
-    """Answer `GET /api/readyz` at this address; raises OSError where it can't be bound."""
-    opened: dict[_ReadinessConnection, None] = {}
+    """Serve `GET /api/readyz` at this address; raises OSError if it can't be bound."""
+    connections: dict[_ReadinessConnection, None] = {}
     loop = asyncio.get_running_loop()
-    return await loop.create_server(lambda: _ReadinessConnection(is_ready, other, opened), *address)
+    return await loop.create_server(lambda: _ReadinessConnection(is_ready, handler, connections), *address)
--- a/balancer/relay.py
+++ b/balancer/relay.py
@@ -1,7 +1,7 @@
-"""One answer to a client: a stream out of the runs of one upstream or of several, or a long whole answer.
+"""Forwards one answer to a client: an event stream from one or several runs, or a long plain answer.
 
-A stream goes on in whole events, so that another run can take it up. Any other answer goes on byte by byte as
-it comes, with the framing that its upstream gave it, and nobody can take it up.
+A stream is forwarded in whole events, so that another run can resume it. Any other answer is forwarded as its
+bytes arrive, with the framing that its upstream gave it, and can't be resumed.
 """
 
 from __future__ import annotations
@@ -16,106 +16,106 @@
     from passpost.engine import Client
 
 
-class Owner(Protocol):
-    """Whoever runs the request that the answer is for."""
+class RelayOwner(Protocol):
+    """The request whose answer is forwarded."""
 
-    def wants(self) -> bool:
-        """Whether its client still waits."""
+    def is_wanted(self) -> bool:
+        """Return whether the client still waits."""
 
-    def heard(self) -> None:
-        """Something has come from the upstream."""
+    def on_upstream_data(self) -> None:
+        """Note that the upstream has sent something."""
 
-    def passes(self) -> None:
-        """Events, or pieces of another answer, go to the client now."""
+    def on_forward(self) -> None:
+        """Called before events, or pieces of another answer, go to the client."""
 
-    def spoilt(self) -> None:
-        """The stream is broken: nothing more of this upstream is wanted."""
+    def on_bad_stream(self) -> None:
+        """Called when the event stream is invalid and its call has to be cancelled."""
 
 
 class Relay:
-    """The sink of each run's answer, and the flow that the client steers."""
+    """The sink of each run's answer, and the flow control that the client uses."""
 
-    def __init__(self, owner: Owner, client: Client, after: int | None) -> None:
-        """`after`: the last event that the client has already."""
+    def __init__(self, owner: RelayOwner, client: Client, after: int | None) -> None:
+        """`after`: id of the last event that the client already has."""
         self._owner, self._client = owner, client
         self._events = EventReader(after)
-        self._head: Start | None = None  # of the answer that comes; a stream's waits for the first event
-        self.is_stream = True  # of events
+        self._head: Start | None = None  # of the current answer; a stream's is held until the first event
+        self.is_stream = True  # the answer is an event stream
         self._flow: Flow | None = None
-        self._held_up = False  # the client does not read
+        self._paused = False  # by the client
         self.begun = False  # the head has gone to the client
-        self.bad = False  # the run was broken by what it brought
+        self.bad = False  # the current answer is invalid
 
     @property
     def last_event_id(self) -> int | None:
-        """The last event that the client has."""
+        """The id of the last event that the client has."""
         return self._events.last_event_id
 
-    def begin_anew(self) -> None:
-        """Another run goes on from the last event."""
+    def on_new_run(self) -> None:
+        """Prepare for another run, which continues after the last event."""
         self.bad, self._head, self._flow = False, None, None
-        self._events.begin_anew()
+        self._events.on_new_run()
 
-    def is_streaming(self) -> bool:
-        """Whether the run that is out has begun an answer that is passed on as it comes."""
+    def is_forwarding(self) -> bool:
+        """Return whether the current run has begun an answer that is forwarded as it arrives."""
         return self._head is not None
 
-    def is_whole(self) -> bool:
-        """Whether what has come of a stream ends between two events."""
+    def is_complete(self) -> bool:
+        """Return whether a stream ends between two events; any other answer is complete by its framing."""
         return not self.is_stream or self._events.is_between()
 
     def start(self, start: Start, flow: Flow) -> bool:
-        """An answer begins; False if nobody wants it, or if it is not sound."""
-        if not self._owner.wants():
+        """Begin an answer; False if it is not wanted any more or not sound."""
+        if not self._owner.is_wanted():
             return False
         self.bad = not is_sound(start.headers)
         if self.bad:
             return False
         self._head, self._flow = start, flow
         self.is_stream = is_event_stream(start.status, start.headers)
-        if self._held_up:
+        if self._paused:
             flow.pause()
         return True
 
     def more(self, data: bytes) -> None:
-        """A piece of it; of a stream only whole events, in their order, reach the client."""
-        if not self._owner.wants():
+        """Forward a piece of the answer; of a stream, only the whole events in order."""
+        if not self._owner.is_wanted():
             return
-        self._owner.heard()
+        self._owner.on_upstream_data()
         if not self.is_stream:
-            self._pass_on(data)
+            self._forward(data)
             return
         try:
-            self._pass_on(self._events.feed(data))
+            self._forward(self._events.feed(data))
         except BadStreamError as error:
-            self._pass_on(error.good)
+            self._forward(error.valid)
             self.bad = True
-            self._owner.spoilt()
+            self._owner.on_bad_stream()
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if data:
-            self._owner.passes()
-            self.show_head()
+            self._owner.on_forward()
+            self.forward_head()
             self._client.more(data)
 
-    def show_head(self) -> None:
-        """Let the client have the head of the first stream; those of later ones are nobody's."""
+    def forward_head(self) -> None:
+        """Send the client the head of the first run's answer; heads of later runs are dropped."""
         if not self.begun and self._head is not None:
             self.begun = True
-            # The length of one run says nothing of a stream that another may go on with.
+            # One run's length does not apply to a stream that another run may resume.
             length = None if self.is_stream else self._head.length
             self._client.begin(Start(self._head.headers, length, self._head.status), self)
 
-    # ---- the flow of what the client gets
+    # ---- flow control by the client
 
     def pause(self) -> None:
-        """The client is behind: whichever upstream streams now has to wait."""
-        self._held_up = True
+        """Pause the upstream that is sending, as the client is behind."""
+        self._paused = True
         if self._flow is not None:
             self._flow.pause()
 
     def resume(self) -> None:
-        """The client reads on."""
-        self._held_up = False
+        """Resume the upstream, as the client reads again."""
+        self._paused = False
         if self._flow is not None:
             self._flow.resume()
--- a/balancer/request_counters.py
+++ b/balancer/request_counters.py
@@ -1,4 +1,4 @@
-"""What one balancer has done since it started, counted as it happens and read off by reports."""
+"""Counters of one balancer's requests since it started, read by reports and metrics."""
 
 from __future__ import annotations
 
@@ -11,60 +11,60 @@
 
 
 class Refusal(enum.Enum):
-    """Why a request was told that it has not run."""
+    """Why a request was refused without having run."""
 
-    QUEUES = "queues"  # its prompt could not be begun within what it bears
-    NO_UPSTREAM = "no_upstream"  # of its service and part
-    LATE = "late"  # its client stops waiting
+    QUEUES = "queues"  # prefill could not begin within the time that its route allows
+    NO_UPSTREAM = "no_upstream"  # no upstream of its service and phase
+    LATE = "late"  # its deadline has passed
     TURNED_AWAY = "turned_away"  # by upstreams or broken connections, and no further try is allowed
-    UNCONFIGURED = "unconfigured"  # no configuration has been heard of yet
+    UNCONFIGURED = "unconfigured"  # this balancer has no configuration yet
 
 
-class Try(enum.Enum):
-    """Which call of its request a call to an upstream is."""
+class AttemptKind(enum.Enum):
+    """Whether a call to an upstream is the first of its request."""
 
     FIRST = "first"
-    AGAIN = "again"  # another upstream has failed it
+    RETRY = "again"  # another upstream has failed the request
 
 
 class RequestCounters:
-    """How many requests were taken, and how they ended; tokens are those of prompts."""
+    """Counts requests and how they ended; tokens are prompt tokens."""
 
     def __init__(self) -> None:
         self.in_flight = 0
         self.ends = dict.fromkeys(Final, 0)
         self.refusals = dict.fromkeys(Refusal, 0)
         self.tokens_read, self.tokens_reread = 0, 0
-        self.shared_tokens_reread = 0  # tokens of shared parts, read by one upstream while another has them
-        self.calls_to_cold = dict.fromkeys(Try, 0)
-        self.first_events = [0] * (len(FIRST_EVENT_S) + 1)  # by how long they took; the last one: longer
-        self.first_events_s = 0.0  # in all
+        self.shared_tokens_reread = 0  # shared tokens sent to an upstream while another has them cached
+        self.calls_to_cold = dict.fromkeys(AttemptKind, 0)
+        self.first_events = [0] * (len(FIRST_EVENT_S) + 1)  # histogram; the last bucket has no upper bound
+        self.first_events_s = 0.0  # sum of the times
 
     def taken(self) -> None:
-        """A whole request has come; it ends exactly once."""
+        """Count a complete request; each ends exactly once."""
         self.in_flight += 1
 
     def ended(self, class_name: str, final: Final) -> None:
-        """A taken request has its final answer, or its client has gone."""
+        """Count a request that has its final answer, or whose client has disconnected."""
         self.in_flight -= 1
         self.ends[final] += 1
 
-    def refused(self, why: Refusal) -> None:
-        """A request gets no run."""
-        self.refusals[why] += 1
+    def refused(self, reason: Refusal) -> None:
+        """Count a refused request."""
+        self.refusals[reason] += 1
 
-    def reads(self, tokens: int, again: bool) -> None:
-        """An upstream is sent so many tokens to read; `again`: another was sent the same request before."""
+    def on_prefill_sent(self, tokens: int, again: bool) -> None:
+        """Count tokens sent to be prefilled; `again`: the request was sent to another upstream before."""
         if again:
             self.tokens_reread += tokens
         else:
             self.tokens_read += tokens
 
-    def to_cold(self, again: bool) -> None:
-        """An upstream that is cold is sent a call; `again`: another upstream has failed the request."""
-        self.calls_to_cold[Try.AGAIN if again else Try.FIRST] += 1
+    def on_cold_call(self, again: bool) -> None:
+        """Count a call to a cold upstream; `again`: another upstream has failed the request."""
+        self.calls_to_cold[AttemptKind.RETRY if again else AttemptKind.FIRST] += 1
 
-    def first_event(self, seconds: float) -> None:
-        """The first event of a stream goes to its client, so long after the whole request had come."""
+    def on_first_event(self, seconds: float) -> None:
+        """Record the time from a complete request to the first event that its client gets."""
         self.first_events[bisect_left(FIRST_EVENT_S, seconds)] += 1
         self.first_events_s += seconds
--- a/balancer/routes.py
+++ b/balancer/routes.py
@@ -1,4 +1,4 @@
-"""Which route a request is on, by host and longest prefix, and which service it goes to."""
+"""Routing: finds a request's route by host and longest path prefix, and draws its service."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RouteTable:
-    """The routes of one configuration; immutable once made."""
+    """The routes of one configuration; immutable."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.version = configuration.ver
         self._routes = {(r.host.lower(), r.path_prefix): r for r in configuration.routes}
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of this host (any case, port allowed) whose prefix begins the path and is longest."""
+        """Return the route of this host (any case, with or without port) with the longest matching prefix."""
         host = host.lower()
         if (colon := host.rfind(":")) > host.rfind("]"):
             host = host[:colon]
@@ -29,11 +29,11 @@
         return None
 
 
-def draw_service(route: Route, chance: random.Random) -> str:
-    """The service that one request on this route goes to: by weight where the route is split."""
+def draw_service(route: Route, rng: random.Random) -> str:
+    """Return the service for one request on this route, drawn by weight if the route is split."""
     if not route.split:
         return route.svc or ""
     if len({part.svc for part in route.split if part.wt > 0}) == 1:
         return next(part.svc for part in route.split if part.wt > 0)
     sums = list(accumulate(max(part.wt, 0.0) for part in route.split))
-    return route.split[min(bisect(sums, chance.random() * sums[-1]), len(sums) - 1)].svc
+    return route.split[min(bisect(sums, rng.random() * sums[-1]), len(sums) - 1)].svc
--- a/balancer/standing.py
+++ b/balancer/standing.py
@@ -1,4 +1,4 @@
-"""What our calls tell of the upstreams: silence is looked after, failures go to `balancer.trust`."""
+"""Upstream health as seen by calls: probes silent upstreams, reports failures to `balancer.trust`."""
 
 from __future__ import annotations
 
@@ -10,62 +10,62 @@
 
 from balancer.peer import Peer
 from balancer.tiers import Tiers
-from balancer.trust import HARD, SILENT, WINDOW_S, is_failure
+from balancer.trust import FAILURE_WEIGHT, SILENCE_WEIGHT, WINDOW_S, is_failure
 from passpost.http1 import Answer
 from passpost.upstream import Upstreams
 from umberworks.interface import Outcome
 
-PROBE_S = 0.5  # between two looks whether a silent upstream can be reached again
+PROBE_INTERVAL_S = 0.5  # between two attempts to connect to a silent upstream
 
 
-def _nothing() -> None:
-    """Nobody wants to be told."""
+def _noop() -> None:
+    """Do nothing."""
 
 
 class UpstreamHealth:
-    """Keeps it for one balancer."""
+    """Records how one balancer's calls ended, and probes silent upstreams."""
 
     def __init__(self, tiers: Tiers, upstreams: Upstreams) -> None:
         self._tiers, self._upstreams = tiers, upstreams
-        self.changed: Callable[[], None] = _nothing  # told when there are failures to report, or no longer
+        self.on_change: Callable[[], None] = _noop  # called when reported failures are added or expire
 
-    def ended(self, peer: Peer, outcome: Outcome, answer: Answer | None, good: bool) -> None:
-        """A call of ours has ended there; `good`: nothing of its answer was spoilt."""
-        self._tiers.outliers.ended(peer, time.monotonic())
-        if is_failure(outcome, answer, good):
-            self._failed(peer, HARD)
+    def on_call_ended(self, peer: Peer, outcome: Outcome, answer: Answer | None, valid: bool) -> None:
+        """Record a call's end; `valid`: no part of its answer was invalid."""
+        self._tiers.outliers.on_call_ended(peer, time.monotonic())
+        if is_failure(outcome, answer, valid):
+            self._report_failure(peer, FAILURE_WEIGHT)
 
-    def unreached(self, peer: Peer) -> None:
-        """No connection came up: as `silent`, but that is no sign of load."""
-        self.silent(peer, HARD)
+    def on_unreached(self, peer: Peer) -> None:
+        """Handle a failed connection like silence, but with full weight, as it is no sign of load."""
+        self.on_silent(peer, FAILURE_WEIGHT)
 
-    def silent(self, peer: Peer, each: int = SILENT) -> None:
-        """An upstream owes us a word for too long: it gets nothing new until it is heard or reached again.
+    def on_silent(self, peer: Peer, weight: int = SILENCE_WEIGHT) -> None:
+        """Mark an upstream as silent: it gets nothing new until it sends data or can be reached.
 
-        `each`: what a call that is out there counts.
+        `weight`: of each call in flight to it, as a failure.
         """
         if not peer.is_silent:
             peer.is_silent = True
             logger.warning("event=silent upstream={}", peer.entry.id)
-            self._failed(peer, each * max(peer.server.in_flight, 1))  # each call that is out there is owed
+            self._report_failure(peer, weight * max(peer.server.in_flight, 1))  # each call in flight counts
             self._upstreams.drop_idle(peer.entry.id)
-            asyncio.get_running_loop().call_later(PROBE_S, self._probe, peer)
+            asyncio.get_running_loop().call_later(PROBE_INTERVAL_S, self._probe, peer)
 
-    def _failed(self, peer: Peer, count: int) -> None:
-        self._tiers.outliers.failed(peer, time.monotonic(), count)
-        self.changed()
-        asyncio.get_running_loop().call_later(WINDOW_S, lambda: self.changed())  # it is out of date by then
+    def _report_failure(self, peer: Peer, weight: int) -> None:
+        self._tiers.outliers.on_failure(peer, time.monotonic(), weight)
+        self.on_change()
+        asyncio.get_running_loop().call_later(WINDOW_S, lambda: self.on_change())  # it has expired by then
 
     def _probe(self, peer: Peer) -> None:
         name = peer.entry.id
         if not peer.is_silent or self._tiers.peer(name) is not peer:
             return
 
-        def found(reached: bool) -> None:
+        def on_result(reached: bool) -> None:
             if reached:
                 peer.on_data_received(time.monotonic())
                 logger.info("event=reached_again upstream={}", name)
             else:
-                asyncio.get_running_loop().call_later(PROBE_S, self._probe, peer)
+                asyncio.get_running_loop().call_later(PROBE_INTERVAL_S, self._probe, peer)
 
-        self._upstreams.probe(name, found)
+        self._upstreams.probe(name, on_result)
--- a/balancer/streams.py
+++ b/balancer/streams.py
@@ -1,44 +1,44 @@
-"""Streams of events (`text/event-stream`): whole events only, and their ids without gaps or repeats."""
+"""Parses event streams (`text/event-stream`) into whole events with consecutive ids."""
 
 from __future__ import annotations
 
 import re
 
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _ID = re.compile(rb"(?:^|[\r\n])id:[ \t]*([0-9]{1,18})[ \t]*(?=[\r\n])")
 
-MAX_EVENT_BYTES = 1024 * 1024  # bytes of one event; a longer one is no event
+MAX_EVENT_BYTES = 1024 * 1024  # a longer event makes its stream invalid
 
 
 class BadStreamError(Exception):
-    """An event is missing, comes twice or never ends: nothing more counts. `good`: what came before."""
+    """An event is missing, repeated or without end. `valid`: the whole events before it."""
 
-    def __init__(self, good: bytes) -> None:
-        super().__init__("an event is missing, comes twice or never ends")
-        self.good = good
+    def __init__(self, valid: bytes) -> None:
+        super().__init__("event missing, repeated or without end")
+        self.valid = valid
 
 
 class EventReader:
-    """Splits what comes into whole events and checks their ids, which rise by one from `after` on."""
+    """Splits a stream into whole events and checks their ids, which must rise by one from `after` on."""
 
     def __init__(self, after: int | None = None) -> None:
-        self.last_event_id = after  # id of the last event that was given out; None: none had one yet
+        self.last_event_id = after  # of the last event returned; None: none had an id yet
         self.events = 0
         self._held = b""
 
-    def begin_anew(self) -> None:
-        """Another upstream goes on after `last`: half an event of the first is dropped."""
+    def on_new_run(self) -> None:
+        """Drop a partial event, as another run continues after `last_event_id`."""
         self._held = b""
 
     def is_between(self) -> bool:
-        """Whether nothing of an unfinished event has come."""
+        """Return whether no partial event is held."""
         return not self._held.strip(b"\r\n")
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events that are there now; raises BadStreamError with those before the bad one."""
+        """Return the whole events that are complete; raises BadStreamError with those before a bad one."""
         data = self._held + data if self._held else data
         start = 0
-        for end in _END.finditer(data):
+        for end in _EVENT_END.finditer(data):
             if not self._check(data, start, end.end()):
                 raise BadStreamError(data[:start])
             start = end.end()
--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -1,4 +1,4 @@
-"""One call of ours at an upstream: booked there while it is out, and looked in on."""
+"""One call at a time to an upstream: accounting, connection outcome, and a watch for silence."""
 
 from __future__ import annotations
 
@@ -7,48 +7,48 @@
 from collections.abc import Callable
 
 from balancer.context import RequestContext
-from balancer.patience import Watch, patience
+from balancer.patience import SilenceTimer, silence_timeout_s
 from balancer.peer import Peer
 from balancer.wire import UpstreamRequest
 from passpost.attempt import Attempt, Done, Sink
 from passpost.http1 import Answer
 from umberworks.interface import Outcome
 
-ANSWER_GRACE_S = 0.25  # past the deadline: so long the upstream's own word is awaited
-MISPLACED_S = 0.5  # so long nothing is sent to an upstream that says that it plays another part
-FULL_S = 0.1  # the same where it had no place
+ANSWER_GRACE_S = 0.25  # beyond the deadline, to receive the upstream's own answer to it
+MISPLACED_S = 0.5  # block of an upstream that answers 421, as it now has another phase
+FULL_S = 0.1  # block of an upstream that rejected a request for lack of capacity
 
 
 class UpstreamCall:
-    """The calls of one request, of which one is out at a time. Times in seconds on the steady clock."""
+    """The calls of one request, one at a time. Times in seconds on the monotonic clock."""
 
     def __init__(
         self,
         context: RequestContext,
-        wants: Callable[[], bool],
-        may_leave: Callable[[float, float], bool],
+        is_wanted: Callable[[], bool],
+        may_abandon: Callable[[float, float], bool],
     ) -> None:
-        """`may_leave`: whether a run that was quiet so long, beyond its patience, is left for another."""
-        self._context, self._wants, self._may_leave = context, wants, may_leave
+        """`may_abandon`: whether a run with this silence and silence time-out is abandoned for another."""
+        self._context, self._is_wanted, self._may_abandon = context, is_wanted, may_abandon
         self._attempt: Attempt | None = None
-        self._watch = Watch(self._silent)
-        self._sent = 0.0
-        self.peer: Peer | None = None  # that it is at
-        self.avoid: set[str] = set()  # where it failed
-        self.reads = False  # it is a prefill call
-        self.tokens = 0  # booked for it
-        self.booked = 0  # all that was outstanding there once it was booked
-        self.left = False  # it was given up, as its upstream is silent
+        self._silence_timer = SilenceTimer(self._on_silent)
+        self._sent_at = 0.0
+        self.peer: Peer | None = None  # the upstream of the call in flight
+        self.avoid: set[str] = set()  # upstreams where the request failed
+        self.is_prefill = False
+        self.tokens = 0  # to be prefilled for the call
+        self.queued_tokens = 0  # to be prefilled on the upstream when the call was sent, including its own
+        self.abandoned = False  # given up because its upstream is silent
 
     def send(self, peer: Peer, request: UpstreamRequest, tokens: int, sink: Sink | None, done: Done) -> None:
-        """Send a request; without a sink it is a prefill call. `done` calls `ended` first."""
+        """Send a request; without a sink it is a prefill call. `done` must call `on_ended` first."""
         now = time.monotonic()
-        self.peer, self.tokens, self._sent = peer, tokens, now
-        self.left, self.reads = False, sink is None
+        self.peer, self.tokens, self._sent_at = peer, tokens, now
+        self.abandoned, self.is_prefill = False, sink is None
         peer.on_call_sent(now, tokens)
         if peer.is_cold(now):
-            self._context.counters.to_cold(bool(self.avoid))
-        self.booked = self._context.tiers.outstanding(peer)
+            self._context.counters.on_cold_call(bool(self.avoid))
+        self.queued_tokens = self._context.tiers.pending_tokens(peer)
         self._context.load_changed()
         left = max(request.deadline - now, 0.0)
         attempt = self._context.upstreams.send(
@@ -57,58 +57,58 @@
             left + ANSWER_GRACE_S,
             done,
             sink=sink,
-            wanted=self._wants,
+            wanted=self._is_wanted,
             write_within=left,
         )
         if not attempt.is_over():
             self._attempt = attempt
-            self._watch.begin(peer, self._patience)
+            self._silence_timer.start(peer, self._timeout_s)
 
     def cancel(self) -> None:
-        """Nobody wants it any more."""
+        """Cancel the call in flight."""
         if self._attempt is not None:
             self._attempt.cancel()
 
-    def age(self) -> float:
-        """Seconds since the latest call went out."""
-        return time.monotonic() - self._sent
+    def age_s(self) -> float:
+        """Return the seconds since the latest call was sent."""
+        return time.monotonic() - self._sent_at
 
-    def ended(self, outcome: Outcome, answer: Answer | None, good: bool) -> Peer:
-        """Book the end of the call that was out, and where none should go next; `good`: it was served."""
+    def on_ended(self, outcome: Outcome, answer: Answer | None, valid: bool) -> Peer:
+        """Record the end of the call and return its upstream; `valid`: its answer was not invalid."""
         peer, now = self.peer, time.monotonic()
         assert peer is not None
         self._attempt, self.peer = None, None
-        self._watch.end()
+        self._silence_timer.stop()
         if answer is not None:
             peer.on_data_received(now)
-        peer.on_call_ended(now, self.tokens, good and outcome is Outcome.SERVED)
-        self._context.health.ended(peer, outcome, answer, good)
+        peer.on_call_ended(now, self.tokens, valid and outcome is Outcome.SERVED)
+        self._context.health.on_call_ended(peer, outcome, answer, valid)
         self._context.load_changed()
         if outcome is Outcome.TURNED_AWAY and answer is not None:
             peer.block(now, MISPLACED_S if answer.status == 421 else FULL_S)
             self.avoid.add(peer.entry.id)
         elif outcome in (Outcome.UNREACHED, Outcome.BROKEN, Outcome.TIMED_OUT):
             if outcome is Outcome.UNREACHED:
-                self._context.health.unreached(peer)
+                self._context.health.on_unreached(peer)
             self.avoid.add(peer.entry.id)
         return peer
 
-    def prompt_is_read(self) -> None:
-        """Its upstream has read the prompt: nothing is outstanding there for it."""
+    def on_prompt_read(self) -> None:
+        """Uncount the call's tokens, as its prompt is prefilled."""
         if self.peer is not None:
             self.peer.pending_tokens -= self.tokens
             self.tokens = 0
 
-    def _patience(self) -> float:
+    def _timeout_s(self) -> float:
         peer = self.peer
         if peer is None:
             return math.inf
-        outstanding = max(self.booked, self._context.tiers.outstanding(peer))
-        return patience(peer, self.tokens, outstanding, self.reads)
+        pending_tokens = max(self.queued_tokens, self._context.tiers.pending_tokens(peer))
+        return silence_timeout_s(peer, self.tokens, pending_tokens, self.is_prefill)
 
-    def _silent(self, peer: Peer, quiet: float, most: float) -> None:
-        """The upstream is silent; what may be sent again moves on."""
-        self._context.health.silent(peer)
-        if self.reads or self._may_leave(quiet, most):
-            self.left = True
+    def _on_silent(self, peer: Peer, silent_s: float, timeout_s: float) -> None:
+        """Mark the upstream as silent, and abandon a call that may be sent again."""
+        self._context.health.on_silent(peer)
+        if self.is_prefill or self._may_abandon(silent_s, timeout_s):
+            self.abandoned = True
             self.cancel()
--- a/balancer/urgency.py
+++ b/balancer/urgency.py
@@ -1,8 +1,9 @@
-"""Which requests upstreams take up first: the `Priority` that each call tells, 0 to 9, the lowest first.
+"""The `Priority` header of upstream calls: 0 to 9, lowest first.
 
-An upstream reads one prompt after the other and leaves none half read for a more urgent one. A short prompt
-costs a long one little and waits long behind it, so readings go by length, weighed with the route's rank.
-Runs share their upstream: they go by the route's rank, and within it by length.
+An upstream prefills one prompt after the other and does not preempt one for a more urgent one. A short prompt
+delays a long one little but would wait long behind it, so prefills are ordered by length, weighed with the
+route's priority. Runs share their upstream: they are ordered by the route's priority, and within it by
+length.
 """
 
 from __future__ import annotations
@@ -12,32 +13,32 @@
 
 from config.configuration import Route
 
-USUAL_SHARE = 0.05  # of a smoothed length that the latest one makes up
+SMOOTHING = 0.05  # weight of the latest prompt in the usual length
 LAST = 9
-MIDDLE = 4  # a reading of the usual weight; each step beyond is twice as long
+MIDDLE = 4  # a prefill of the usual weight; each step beyond is twice as long
 
 
-class Urgency:
-    """Remembers how long prompts usually are. Lengths in tokens."""
+class PriorityEstimator:
+    """Computes priorities relative to the usual length of prompts. Lengths in tokens."""
 
     def __init__(self) -> None:
-        self._usual: dict[str, float] = {}  # tokens of a prompt, smoothed, by route
-        self._reading = 0.0  # weight of a reading, smoothed over all routes
+        self._usual_tokens: dict[str, float] = {}  # prompt length by route, smoothed
+        self._usual_weight = 0.0  # weight of a prefill, smoothed over all routes
 
     def keep_only(self, routes: Collection[str]) -> None:
-        """Forget routes that are no more."""
-        self._usual = {name: usual for name, usual in self._usual.items() if name in routes}
+        """Drop routes that no longer exist."""
+        self._usual_tokens = {name: usual for name, usual in self._usual_tokens.items() if name in routes}
 
-    def of_run(self, route: Route, tokens: int) -> int:
-        """A run's, for a prompt that is read already; it counts for what is usual."""
-        usual = self._usual.get(route.name, 0.0) or float(tokens)
-        self._usual[route.name] = usual + (tokens - usual) * USUAL_SHARE
+    def run_priority(self, route: Route, tokens: int) -> int:
+        """Return the priority of a run whose prompt is prefilled already, and learn from its length."""
+        usual = self._usual_tokens.get(route.name, 0.0) or float(tokens)
+        self._usual_tokens[route.name] = usual + (tokens - usual) * SMOOTHING
         size = 0 if tokens < usual / 2 else 1 if tokens <= usual * 2 else 2
         return min(route.prio * 3 + size, LAST)
 
-    def of_reading(self, route: Route, missing: int) -> int:
-        """That of a call which has `missing` tokens (one at the least) read; it counts for what is usual."""
-        weight = float(missing * (1 + route.prio))
-        usual = self._reading or weight
-        self._reading = usual + (weight - usual) * USUAL_SHARE
+    def prefill_priority(self, route: Route, uncached: int) -> int:
+        """Return the priority of a call with `uncached` tokens (at least 1) to prefill, and learn from it."""
+        weight = float(uncached * (1 + route.prio))
+        usual = self._usual_weight or weight
+        self._usual_weight = usual + (weight - usual) * SMOOTHING
         return min(max(round(MIDDLE + math.log2(weight / usual)), 0), LAST)
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -1,4 +1,4 @@
-"""What is said to upstreams and how their answers are taken."""
+"""The protocol with upstreams: requests, and the interpretation of their answers."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from umberworks.interface import Outcome
 
 SEAL, REQUEST_ID, NOT_RUN = b"mastturn-server-seal", b"mastturn-request-id", b"mastturn-not-run"
-REJECTIONS = (400, 421)  # statuses that need no header to say so
+REJECTIONS = (400, 421)  # statuses that mean a rejection without the header Mastturn-Not-Run
 IsDue = Callable[[int, Headers], bool]
 _REF = re.compile(r"[0-9A-Za-z_.~-]{1,128}")
-_EVENTS = b"text/event-stream"
+_EVENT_STREAM = b"text/event-stream"
 
 
 def header(headers: Headers, name: bytes) -> bytes | None:
-    """The value of a header, by its name in lower case."""
+    """Return the value of a header; `name` is in lower case."""
     return next((v for n, v in headers if n.lower() == name), None)
 
 
 def is_event_stream(status: int, headers: Headers) -> bool:
-    """Whether an answer is a good stream of events: those are passed on as they come."""
-    kind = header(headers, b"content-type") if 200 <= status < 300 else None
-    return kind is not None and kind.lower().startswith(_EVENTS)
+    """Return whether an answer is a successful event stream, which is forwarded as it arrives."""
+    content_type = header(headers, b"content-type") if 200 <= status < 300 else None
+    return content_type is not None and content_type.lower().startswith(_EVENT_STREAM)
 
 
 def is_not_run(answer: Answer) -> bool:
-    """Whether the upstream says that it did not run the request."""
+    """Return whether the upstream reports that it did not run the request."""
     return answer.status == 421 or header(answer.headers, NOT_RUN) is not None
 
 
 def outcome(answer: Answer) -> Outcome:
-    """What an upstream's answer means."""
+    """Return the outcome that an upstream's answer stands for."""
     if 200 <= answer.status < 300:
         return Outcome.SERVED
     return Outcome.TURNED_AWAY if is_not_run(answer) else Outcome.ERROR
@@ -44,86 +44,85 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest(Outgoing):
-    """A request on its way to one upstream; `ends`: when its client stops waiting, on the steady clock."""
+    """A client's request for one upstream; `deadline`: when its client stops waiting, monotonic clock."""
 
     deadline: float = 0.0
     request_id: bytes = b""
-    extra: bytes = b""  # header lines of this stage
-    needs_fresh_connection: bool = False  # it may run once, or a call of its request has broken off already
+    extra: bytes = b""  # headers of this stage
+    needs_fresh_connection: bool = False  # it must run only once, or an earlier call broke off
 
     def write(self, remaining: float) -> bytes:
-        """The bytes for the wire, with the milliseconds that are left now."""
+        """Return the bytes to send, with the milliseconds that are left now."""
         left = max(self.deadline - time.monotonic(), 0.0) * 1000
         return b"%bMastturn-Deadline-Ms: %d\r\n%b\r\n%b" % (self.head, left, self.extra, self.body)
 
     @property
     def needs_unused(self) -> bool:
-        """What crosses an upstream's stray bytes and its close is never read, and nobody can tell."""
+        """Whether to avoid used connections: an upstream that closes one may never read the request."""
         return self.needs_fresh_connection
 
     @property
     def is_due(self) -> IsDue:
-        """By its id; see `is_ours`."""
+        """The check of an answer's request id; see `belongs_to_request`."""
         return lambda status, headers: belongs_to_request(status, headers, self.request_id)
 
 
 def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
-    """Whether an answer belongs to this request.
+    """Return whether an answer belongs to this request.
 
-    Every answer carries its request's id; only one that says that nothing was run may lack it (PROTOCOL,
-    "Upstreams").
+    Every answer carries its request's id, except that a rejection may lack it (PROTOCOL, "Upstreams").
     """
-    told = header(headers, REQUEST_ID)
-    return told == request_id if told is not None else is_rejection(status, headers)
+    value = header(headers, REQUEST_ID)
+    return value == request_id if value is not None else is_rejection(status, headers)
 
 
 def is_rejection(status: int, headers: Headers) -> bool:
-    """Whether an answer says that its request was not run."""
+    """Return whether an answer reports that its request was not run."""
     return status in REJECTIONS or header(headers, NOT_RUN) is not None
 
 
 def is_sound(headers: Headers) -> bool:
-    """Whether a success is the upstream's own: sealed, and not encoded on its way."""
+    """Return whether a success is the upstream's own: sealed, and not encoded by an intermediary."""
     fields = {name.lower() for name, _ in headers}
     return SEAL in fields and b"content-encoding" not in fields
 
 
 @dataclass(frozen=True, slots=True)
-class CallWithoutId(Outgoing):
-    """A call of the balancer's own; it carries no request's id, and neither does its answer."""
+class BalancerCall(Outgoing):
+    """A call of the balancer itself; neither it nor its answer carries a request id."""
 
     def write(self, remaining: float) -> bytes:
-        """The bytes for the wire."""
+        """Return the bytes to send."""
         return self.head
 
     @property
     def is_due(self) -> IsDue:
-        """An answer with an id belongs to an earlier request."""
+        """The check of an answer: one with a request id belongs to an earlier request."""
         return lambda status, headers: not header(headers, REQUEST_ID)
 
 
-def _call(line: str, address: str, upstream: str) -> CallWithoutId:
-    """A call without a body; any other upstream at that address answers 421."""
+def _balancer_call(line: str, address: str, upstream: str) -> BalancerCall:
+    """Return a call without a body; any other upstream at that address answers it with 421."""
     fields = (f"Host: {address}", f"Mastturn-Target-Upstream: {upstream}", "Content-Length: 0")
-    return CallWithoutId("\r\n".join([line, *fields, "", ""]).encode("latin-1"), b"")
+    return BalancerCall("\r\n".join([line, *fields, "", ""]).encode("latin-1"), b"")
 
 
-def free_handle(address: str, holder: str, ref: str) -> CallWithoutId:
-    """Frees the memory behind `ref` at its holder."""
-    return _call(f"DELETE /api/kv-handle/{ref} HTTP/1.1", address, holder)
+def free_handle_call(address: str, holder: str, ref: str) -> BalancerCall:
+    """Return the call that frees the KV cache behind `ref` on its holder."""
+    return _balancer_call(f"DELETE /api/kv-handle/{ref} HTTP/1.1", address, holder)
 
 
-def ask_for_report(upstream: str, address: Address) -> CallWithoutId:
-    """Asks an upstream how it stands, which takes no place there (PROTOCOL, "Requests")."""
+def ask_for_report(upstream: str, address: Address) -> BalancerCall:
+    """Return the call that asks for an upstream's load report, which takes no slot (PROTOCOL, "Requests")."""
     host, port = address
-    return _call("GET /api/report HTTP/1.1", f"{host}:{port}", upstream)
+    return _balancer_call("GET /api/report HTTP/1.1", f"{host}:{port}", upstream)
 
 
 def read_handle(body: bytes) -> tuple[str, int] | None:
-    """The reference and the number of tokens in a prefill call's answer; None if it is none."""
+    """Return the handle reference and token count in a prefill answer; None if it is malformed."""
     try:
-        told = json.loads(body)
-        ref, tokens = told["kv_ref"], int(told.get("ntokens", 0))
+        value = json.loads(body)
+        ref, tokens = value["kv_ref"], int(value.get("ntokens", 0))
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError):
         return None
     return (ref, tokens) if isinstance(ref, str) and _REF.fullmatch(ref) else None
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -45,7 +45,7 @@
     def __init__(self, settings: Settings, seed: int, upstreams: Any, tiers: MakeTiers) -> None:
         super().__init__(settings, seed)
         self.upstreams = upstreams
-        self.tiers = tiers(self._chance, upstreams.has_place)
+        self.tiers = tiers(self._rng, upstreams.has_place)
         self.health = UpstreamHealth(self.tiers, upstreams)
 
 
--- a/mastturn/engines/choosers.py
+++ b/mastturn/engines/choosers.py
@@ -58,15 +58,15 @@
     """The one with the fewest of our calls, then at random."""
 
     def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        return min(able, key=lambda p: (p.server.in_flight, self._chance.random()))
+        return min(able, key=lambda p: (p.server.in_flight, self._rng.random()))
 
 
 class TwoChoices(_Plain):
     """The better of two drawn evenly: the plain power of two choices."""
 
     def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        drawn = [self._chance.choice(able), self._chance.choice(able)]
-        return min(drawn, key=lambda p: (p.server.in_flight, self._chance.random()))
+        drawn = [self._rng.choice(able), self._rng.choice(able)]
+        return min(drawn, key=lambda p: (p.server.in_flight, self._rng.random()))
 
 
 class DrawAlone(_Plain):
@@ -81,7 +81,7 @@
 
     def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
         if prompt is None or not prompt.prefix:
-            drawn = [self._chance.choice(able), self._chance.choice(able)]
+            drawn = [self._rng.choice(able), self._rng.choice(able)]
             return min(drawn, key=lambda p: p.server.in_flight)
         holders = self.prefix_index.holders(prompt.prefix)
         keepers = [p for p in able if p.entry.id in holders]
--- a/mastturn/engines/wire.py
+++ b/mastturn/engines/wire.py
@@ -98,7 +98,7 @@
         engine = self._engine
         if engine.down or serial != engine.serial:
             if engine.dark:
-                self._loop.call_later(options.DARK_MS / 1000, self.end, Outcome.BROKEN)
+                self._loop.call_later(options.UNACKED_MS / 1000, self.end, Outcome.BROKEN)
             else:
                 self._back(self.end, Outcome.BROKEN)
             return
--- a/tests/balancer_stage.py
+++ b/tests/balancer_stage.py
@@ -1,4 +1,4 @@
-"""What the data plane's tests share: a balancer on loopback ports, and upstreams that act by a script."""
+"""Shared by the data plane's tests: a balancer on loopback ports, and scripted upstreams."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def answer(status: str, extra: str = "", body: str = "", sealed: bool = True) -> Act:
-    """Answers so, with the id of the request."""
+    """Answer with this status, and the id of the request."""
 
     async def act(stage: Stage, got: Got, writer: Writer) -> None:
         lines = f"{extra}Content-Length: {len(body)}\r\n\r\n{body}"
@@ -75,7 +75,7 @@
 
 
 def cut_after(events: int, then: str = "", ended: bool = False) -> Act:
-    """A stream of so many events and then some bytes, cut off or `ended` in order."""
+    """Stream this many events and then some bytes, and break off, or end in order if `ended`."""
 
     async def act(stage: Stage, got: Got, writer: Writer) -> None:
         after = int(got.headers.get("last-event-id", 0))
@@ -94,7 +94,7 @@
 
 
 def gated(gate: asyncio.Event, act: Act) -> Act:
-    """Does nothing before the gate opens."""
+    """Act once the gate is set."""
 
     async def waits(stage: Stage, got: Got, writer: Writer) -> None:
         await gate.wait()
@@ -112,14 +112,14 @@
 
 
 class Stage:
-    """An upstream: each request is answered by the next act of its script, the last one again and again."""
+    """An upstream that answers each request by the next act of its script, and then by the last one."""
 
     def __init__(self, name: str, phase: str = "", *acts: Act, zone: str = "a") -> None:
         self.name, self.phase, self.zone = name, phase, zone
         self.acts = list(acts) or [prefill if phase == "prefill" else decode if phase else whole]
         self.got: list[Got] = []
         self.freed: list[str] = []
-        self.reports: list[str] = []  # for whom each was asked
+        self.reports: list[str] = []  # target upstream of each load report request
         self.report = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
         self.connections = 0
         self.entry = Upstream(name, "pool", "", zone, phase=phase)
@@ -150,7 +150,7 @@
 
 
 class CuttingStage(Stage):
-    """An upstream whose answers have neither length nor chunks: they end with their connections."""
+    """An upstream whose answers have neither length nor chunks and end with their connection."""
 
     def __init__(self, name: str, text: str, kind: str = "text/plain", by_reset: bool = False) -> None:
         super().__init__(name)
@@ -168,7 +168,7 @@
 
 @dataclass
 class Reply:
-    """An answer as its client sees it; `whole`: whether it ended in order."""
+    """An answer as its client receives it; `whole`: whether it ended in order."""
 
     status: int
     headers: dict[str, str]
@@ -178,7 +178,7 @@
 
 @dataclass
 class Play:
-    """A balancer under test."""
+    """A balancer under test, with its upstreams."""
 
     balancer: Balancer
     port: int
@@ -231,7 +231,7 @@
 
 
 async def _started(slack: float, grace_s: float) -> tuple[Balancer, int, int]:
-    """A balancer and its ports."""
+    """Start a balancer; return it and its ports."""
     http, readyz = free_port(), free_port()
     settings = Settings(
         "edge-1", "127.0.0.1", "a", "edge", (7000, 7001), CloudApi("127.0.0.1:1"),
--- a/tests/fabric_callers.py
+++ b/tests/fabric_callers.py
@@ -1,4 +1,4 @@
-"""The rig's outside: the platform's list, operators, and the data plane's stand-in."""
+"""Test doubles around the simulated fleet: the platform's list, operators, and a data plane."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def upstream(name: str, **changes: Any) -> dict[str, Any]:
-    """An entry of the platform's list."""
+    """Return an entry of the platform's list."""
     entry = {
         "id": name,
         "svc": "pool",
@@ -32,7 +32,7 @@
 
 
 def configuration(ver: int, **changes: Any) -> bytes:
-    """A whole configuration as an operator sends it."""
+    """Return a whole configuration as an operator sends it."""
     route = {"name": "r", "host": "a.example", "path_prefix": "/run/", "deadline_ms": 8000, "svc": "pool"}
     whole = {"ver": ver, "routes": [route], "svcs": [{"name": "pool"}], "limits": {}}
     return json.dumps(whole | changes).encode()
@@ -45,8 +45,8 @@
     loop: Loop
     entries: list[dict[str, Any]] = field(default_factory=list)
     per_page: int = 50
-    says: str = "list"  # list, 429, nothing, garbage, endless
-    rate_per_s: float = 0.0  # more calls than this in the last second are turned away; 0: no bound
+    says: str = "list"  # behaviour: list, 429, nothing, garbage, endless
+    rate_per_s: float = 0.0  # more calls in one second get 429; 0: no limit
     calls: list[tuple[float, str]] = field(default_factory=list)  # when (s), from which IP
 
     def start(self) -> None:
@@ -54,12 +54,12 @@
         self.loop.network.listen(lambda: _PlatformSide(self), *PLATFORM)
 
     def busiest_second(self) -> int:
-        """The most calls in any second."""
+        """Return the most calls in any second."""
         times = [at for at, _ in self.calls]
         return max((sum(1 for t in times if at <= t < at + 1) for at in times), default=0)
 
     def answer(self, target: str, caller: str) -> bytes | None:
-        """The whole answer to a call."""
+        """Return the answer to a call; None for no answer."""
         now = self.loop.time()
         self.calls.append((now, caller))
         over = self.rate_per_s and sum(1 for at, _ in self.calls if now - at < 1) > self.rate_per_s
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came back from one call."""
+    """The answer to one call."""
 
     status: int
     headers: dict[str, str]
@@ -105,7 +105,7 @@
 
 
 class _Asking(asyncio.Protocol):
-    """Reads one answer; `raw` keeps all bytes."""
+    """Reads one answer; `raw` holds all bytes."""
 
     def __init__(self) -> None:
         self.raw = b""
@@ -135,7 +135,7 @@
 
 
 async def ask(address: tuple[str, int], raw: bytes, silence_s: float = 1.0) -> Answer | None:
-    """The answer to bytes sent to an address; None if nobody answers within the silence."""
+    """Return the answer to bytes sent to an address; None without one within `silence_s`."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(silence_s):
@@ -155,7 +155,7 @@
 
 
 def call(method: str, target: str, body: bytes = b"", **headers: str) -> bytes:
-    """The bytes of a call."""
+    """Return the bytes of a call."""
     more = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     return f"{method} {target} HTTP/1.1\r\nHost: ctl\r\n{more}{length}\r\n".encode() + body
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """How an operator's order ended: the status, when (s), and how often it was sent."""
+    """How an operator's command ended: status, time (s), number of tries, and body."""
 
     status: int
     at: float
@@ -175,14 +175,14 @@
 
 
 class Operator:
-    """Sends an order until it gets a clear answer, to one control process after the other."""
+    """Sends a command to one control process after the other until it gets a definite answer."""
 
     def __init__(self, name: str, ctl: Iterable[str], names: Callable[[str], str], say: Say) -> None:
-        """`ctl`: addresses `ip:port` in the order in which they are tried, again and again."""
+        """`ctl`: addresses `ip:port`, tried in this order, repeatedly."""
         self.name, self._ctl, self._names, self._say = name, list(ctl), names, say
 
     async def put(self, body: bytes, base: int, tries: int = 12) -> Ended:
-        """Put a configuration on top of a version."""
+        """Replace the configuration, based on a version."""
         try:
             ver = json.loads(body)["ver"]
         except (ValueError, KeyError, TypeError):
@@ -190,7 +190,7 @@
         return await self._order(f"PUT version {ver} on {base}", "PUT", body, tries, If_Match=str(base))
 
     async def patch(self, change: dict[str, Any], base: int, tries: int = 12) -> Ended:
-        """Change named items of a version."""
+        """Change items of the configuration, based on a version."""
         body = json.dumps(change).encode()
         what = f"PATCH version {change.get('ver', '?')} on {base}"
         return await self._order(what, "PATCH", body, tries, If_Match=str(base))
@@ -237,7 +237,7 @@
 
 
 class DataPlane:
-    """Stands in for `balancer.balancer.Balancer`: keeps what the control side says, with the time of it."""
+    """Test double of `balancer.balancer.Balancer`: records the control side's calls and their times."""
 
     def __init__(self, settings: Settings, seed: int, listener: Any = None) -> None:
         self.settings = settings
@@ -249,7 +249,7 @@
         self.others: Callable[[str], tuple[int, int]] = lambda upstream: (0, 0)
         self.changed: Callable[[], None] = lambda: None
         self.kept: Callable[[bytes, str], None] = lambda subject, upstream: None
-        self.keeps: list[tuple[bytes, str]] = []  # what others have seen kept, in the order in which we heard
+        self.keeps: list[tuple[bytes, str]] = []  # prefixes reported by other balancers, in order
         self.request_handler: Any = None
         self.held_against: dict[tuple[str, str], tuple[int, int]] = {}
         self.told_doubts: dict[tuple[str, str], tuple[int, int]] = {}
@@ -314,22 +314,22 @@
         return {}
 
     def put_load(self, **work: tuple[int, int]) -> None:
-        """The work that is out changes."""
+        """Change the reported loads."""
         self.work = work
         self.changed()
 
     @property
     def ver(self) -> int:
-        """The version in force; 0 without one."""
+        """The version in force, 0 without one."""
         return self.configured[-1][1].ver if self.configured else 0
 
     @property
     def ids(self) -> list[str]:
-        """The upstreams of the newest list."""
+        """The ids of the latest list."""
         return [entry.id for entry in self.listed[-1][1]] if self.listed else []
 
 
 def raw_end(transport: Any) -> End:
-    """The fabric's end of a transport."""
+    """Return the simulated network's end of a transport."""
     assert isinstance(transport, End)
     return transport
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -1,4 +1,4 @@
-"""How the ends of upstreams' answers are told apart, counted and logged."""
+"""Ends of upstream answers: how they are distinguished, counted and logged."""
 
 from __future__ import annotations
 
@@ -99,14 +99,14 @@
 def text(
     request_id: str | None, body: str, status: str = "200 OK", sealed: bool = True, extra: str = ""
 ) -> str:
-    """An answer with a length; without an id if None."""
+    """Return an answer with a length, and without an id if `request_id` is None."""
     lines = f"Mastturn-Request-Id: {request_id}\r\n" if request_id is not None else ""
     seal = "Mastturn-Server-Seal: s.1\r\n" if sealed else ""
     return f"HTTP/1.1 {status}\r\n{lines}{seal}{extra}Content-Length: {len(body)}\r\n\r\n{body}"
 
 
 def says(*answers: str) -> Act:
-    """Sends all of these at once."""
+    """Send all of these at once."""
 
     async def act(stage: Stage, got: Got, writer: Writer) -> None:
         writer.write("".join(answers).encode())
@@ -140,7 +140,7 @@
             reply = await play.ask("r2")
             assert (reply.status, reply.body, reply.headers["mastturn-request-id"]) == (200, b"own", "r2")
             assert (await play.ask("r3")).body == b"third"
-            assert stage.connections == 2  # nobody knows how many more there are
+            assert stage.connections == 2  # more stale answers may follow on the first one
             assert play.balancer.answer_log.misuses[Misuse.STALE_ANSWER] == stale.count("HTTP/1.1")
 
     run(test())
--- a/tests/test_answer_log.py
+++ b/tests/test_answer_log.py
@@ -1,4 +1,4 @@
-"""What a balancer's log and figures say of upstreams whose answers tell no end."""
+"""Log and counters for upstreams whose answers have neither length nor chunks."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     lines: list[str] = []
     sink = logger.add(lambda line: lines.append(str(line)), format="{level} {message}", level="INFO")
     try:
-        watched = AnswerLog()
+        log = AnswerLog()
         for name in ("u1", "u1", "u2"):
-            watched.ended(name, REQUEST, UNFRAMED)
-        watched.ended("u3", REQUEST, AnswerEnd(EndKind.WHOLE, Framing.LENGTH, 200, 10))
-        watched.ended("u4", REQUEST, AnswerEnd(EndKind.RESET, Framing.UNKNOWN, 0, 0))
+            log.on_ended(name, REQUEST, UNFRAMED)
+        log.on_ended("u3", REQUEST, AnswerEnd(EndKind.WHOLE, Framing.LENGTH, 200, 10))
+        log.on_ended("u4", REQUEST, AnswerEnd(EndKind.RESET, Framing.UNKNOWN, 0, 0))
     finally:
         logger.remove(sink)
     named = [line.strip() for line in lines if "answers_unframed" in line]
     assert named == [f"WARNING event=answers_unframed upstream={name}" for name in ("u1", "u2")]
-    assert list(watched.unframed) == ["u1", "u2"]
+    assert list(log.unframed) == ["u1", "u2"]
 
 
 def test_what_is_kept_of_upstreams_that_were_named_has_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(answer_log, "MOST_NAMED", 2)
-    watched = AnswerLog()
+    monkeypatch.setattr(answer_log, "MAX_UNFRAMED", 2)
+    log = AnswerLog()
     for name in ("u1", "u2", "u3"):
-        watched.ended(name, REQUEST, UNFRAMED)
-    assert list(watched.unframed) == ["u2", "u3"]
+        log.on_ended(name, REQUEST, UNFRAMED)
+    assert list(log.unframed) == ["u2", "u3"]
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -1,4 +1,4 @@
-"""Whole exchanges through a balancer on loopback: a client, the balancer, upstreams that act by a script."""
+"""End-to-end exchanges on loopback: a client, a balancer and scripted upstreams."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 from tests.loopback import Got, Writer, run, until
 
 PROMPT = "Mastturn-Token-Count: 1460,80\r\nMastturn-Prompt-Prefix: 5c1e07a2:800,e4402b7d:660\r\n"
-OURS = ("mastturn-stage", "kv-from", "mastturn-target-upstream", "last-event-id", "priority")
+BALANCER_HEADERS = ("mastturn-stage", "kv-from", "mastturn-target-upstream", "last-event-id", "priority")
 
 
 def ids(reply: Reply) -> list[int]:
     return [int(line[4:]) for line in reply.body.decode().split("\n") if line.startswith("id: ")]
 
 
-def said(got: Got) -> dict[str, str]:
-    return {name: got.headers[name] for name in OURS if name in got.headers}
+def balancer_headers(got: Got) -> dict[str, str]:
+    return {name: got.headers[name] for name in BALANCER_HEADERS if name in got.headers}
 
 
-def no_promise(reply: Reply) -> bool:
+def may_have_run(reply: Reply) -> bool:
     return reply.status in (502, 504)
 
 
-# ---- the ordinary path
+# ---- requests that succeed
 
 
 def test_a_split_request_is_read_and_run_by_a_pair() -> None:
@@ -64,18 +64,18 @@
             assert reply.headers["mastturn-server-seal"] == "s.1"
             assert reply.headers["mastturn-request-id"] == "r1"
             read, ran = p.got[0], d.got[0]
-            assert said(read) == {
+            assert balancer_headers(read) == {
                 "mastturn-stage": "prefill",
                 "mastturn-target-upstream": "p",
                 "priority": "4",
             }
             kv = f"{p.entry.addr}/kv-r1"
-            assert said(ran) == {"kv-from": kv, "mastturn-target-upstream": "d", "priority": "4"}
+            assert balancer_headers(ran) == {"kv-from": kv, "mastturn-target-upstream": "d", "priority": "4"}
             for got in (read, ran):
                 assert (got.line, got.body) == (f"POST {PATH} HTTP/1.1", b"b")
                 assert (got.headers["host"], got.headers["x-kept"]) == (HOST, "1")
                 assert 4000 < int(got.headers["mastturn-deadline-ms"]) <= 5000
-            assert p.freed == []  # it was fetched
+            assert p.freed == []  # the handle was fetched
 
     run(test())
 
@@ -108,7 +108,7 @@
         async with playing(u) as play:
             reply = await play.ask(headers=PROMPT)
             assert (reply.status, reply.body) == (200, b"u")
-            assert said(u.got[0]) == {"mastturn-target-upstream": "u", "priority": "4"}
+            assert balancer_headers(u.got[0]) == {"mastturn-target-upstream": "u", "priority": "4"}
 
     run(test())
 
@@ -130,7 +130,7 @@
         async def slow(stage: Stage, got: Got, writer: Writer) -> None:
             writer.write(stream_head(got))
             text = event(1) + event(2)
-            writer.write(chunk(text[:9]))  # half an event is nothing yet
+            writer.write(chunk(text[:9]))  # a partial event is not forwarded
             writer.write(chunk(text[9:-3]))
             await gate.wait()
             writer.write(chunk(text[-3:]) + b"0\r\n\r\n")
@@ -158,7 +158,7 @@
     run(test())
 
 
-# ---- what is not taken
+# ---- requests that are refused
 
 
 def test_requests_without_route_or_beyond_the_bounds_are_refused_and_go_nowhere() -> None:
@@ -171,7 +171,7 @@
             assert (await play.ask(body=b"x" * 100_001)).status == 413
             assert (await play.ask(headers=f"X: {'y' * 2100}\r\n")).status == 431
             assert u.got == []
-            assert (await play.ask(body=b"x" * 100_000)).status == 200  # held whole, then sent
+            assert (await play.ask(body=b"x" * 100_000)).status == 200  # held completely, then sent
             assert len(u.got[0].body) == 100_000
 
     run(test())
@@ -191,7 +191,7 @@
     run(test())
 
 
-# ---- upstreams that did not run it
+# ---- upstreams that did not run the request
 
 
 def test_a_rejected_run_goes_to_another_upstream() -> None:
@@ -253,7 +253,7 @@
     run(test())
 
 
-# ---- upstreams that may have run it
+# ---- upstreams that may have run the request
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_sent_again() -> None:
@@ -266,7 +266,7 @@
         ):
             x, y = Stage("x", "", act), Stage("y", "", act)
             async with playing(x, y) as play:
-                assert no_promise(await play.ask())
+                assert may_have_run(await play.ask())
                 assert len(x.got) + len(y.got) == 1
 
     run(test())
@@ -287,7 +287,7 @@
         u = Stage("u", "", whole, reset, whole)
         async with playing(u) as play:
             assert (await play.ask("r1")).status == 200
-            assert no_promise(await play.ask("r2"))
+            assert may_have_run(await play.ask("r2"))
             assert (await play.ask("r3")).status == 200
             assert [g.headers["mastturn-request-id"] for g in u.got] == ["r1", "r2", "r3"]
 
@@ -308,7 +308,7 @@
 
 
 def test_an_answer_to_another_request_is_not_ours_and_its_connection_is_not_used_again() -> None:
-    """Nothing else comes here: the request ends with its deadline, without a promise."""
+    """Without another answer the request ends at its deadline, as one that may have run."""
 
     async def test() -> None:
         async def stray(stage: Stage, got: Got, writer: Writer) -> None:
@@ -320,7 +320,7 @@
         for act in (stray, stray_stream):
             u = Stage("u", "", act, whole)
             async with playing(u) as play:
-                assert no_promise(await play.ask("r1", headers="Mastturn-Deadline-Ms: 200\r\n"))
+                assert may_have_run(await play.ask("r1", headers="Mastturn-Deadline-Ms: 200\r\n"))
                 assert (await play.ask("r2")).body == b"u"
                 assert u.connections == 2
 
@@ -336,7 +336,7 @@
         for act in (unsealed, answer("200 OK", "", "ok", sealed=False)):
             async with playing(Stage("u", "", act)) as play:
                 reply = await play.ask()
-                assert no_promise(reply) and b"id: 1" not in reply.body
+                assert may_have_run(reply) and b"id: 1" not in reply.body
 
     run(test())
 
@@ -354,7 +354,7 @@
 
 
 def two(act: Act, then: Act = decode, phase: str = "decode") -> tuple[Stage, Stage]:
-    """Whichever is asked first does the first act, and the other goes on."""
+    """Two upstreams: whichever is called first does `act`, and the other continues with `then`."""
     acts = [act]
 
     async def first(stage: Stage, got: Got, writer: Writer) -> None:
@@ -393,7 +393,7 @@
         async with playing(x, y) as play:
             reply = await play.ask()
             assert reply.status in (0, 200) and not reply.whole
-            assert ids(reply) in ([], [1, 2])  # a reset may overtake what it cuts off
+            assert ids(reply) in ([], [1, 2])  # a reset may discard data sent before it
             assert len(x.got) + len(y.got) == 1
 
     run(test())
@@ -493,7 +493,7 @@
             fetched = [
                 (g.headers["mastturn-request-id"], g.headers["kv-from"])
                 for g in d.got
-                if "kv-from" in g.headers  # where many queue to be read, one may go without
+                if "kv-from" in g.headers  # with long prefill queues a request may run without a handle
             ]
             assert len(fetched) == len(p.got) > 10
             assert sorted(fetched) == sorted((r, f"{p.entry.addr}/kv-{r}") for r, _ in fetched)
@@ -503,8 +503,8 @@
 
 def test_a_silent_prefill_call_is_left_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(patience, "READ_PATIENCE_S", 0.02)
-        monkeypatch.setattr(patience, "READ_PATIENCE_MOST_S", 0.02)
+        monkeypatch.setattr(patience, "PREFILL_TIMEOUT_S", 0.02)
+        monkeypatch.setattr(patience, "MAX_PREFILL_EXTRA_S", 0.02)
         gate = asyncio.Event()
         p, q = Stage("p", "prefill", gated(gate, prefill)), Stage("q", "prefill", gated(gate, prefill))
         d = Stage("d", "decode")
@@ -616,7 +616,7 @@
             draining = loop.create_task(play.balancer.drain())
             await until(lambda: not play.balancer.ready)
             assert await readyz(play) == 503
-            reply = await play.ask("new")  # connections still come
+            reply = await play.ask("new")  # new connections are still accepted
             assert (reply.status, reply.headers["connection"]) == (200, "close")
             assert not draining.done()
             gate.set()
@@ -639,7 +639,7 @@
             writer.write(ask)
             assert (await read_reply(reader)).status == 200
             draining = asyncio.get_running_loop().create_task(play.balancer.drain())
-            assert await reader.read() == b""  # its end, between requests
+            assert await reader.read() == b""  # closed between requests
             writer.write(ask)
             await draining
             assert len(u.got) == 1
--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -1,4 +1,4 @@
-"""Answers that have begun end with their requests' deadlines, whatever their upstreams do."""
+"""Deadlines: requests and answers end with them, whatever upstreams do."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 )
 from tests.loopback import Got, Writer, run
 
-READ_S = 0.1  # in which a request that was sent is read
-SLACK_S = 0.15  # of the machine that plays this
+READ_S = 0.1  # time within which a request that was sent is read
+SLACK_S = 0.15  # for scheduling on the test machine
 
 
 @pytest.mark.parametrize("resumable", [False, True])
@@ -45,7 +45,7 @@
 
 
 def test_time_counts_for_a_request_that_waits_behind_others_of_its_connection() -> None:
-    """Two are open or next; the third lies unparsed until the first has its answer."""
+    """Two pipelined requests are read; the third stays unparsed until the first has its answer."""
 
     async def silent(stage: Stage, got: Got, writer: Writer) -> None:
         await asyncio.sleep(30)
@@ -68,11 +68,11 @@
 
 
 def test_time_counts_for_a_request_that_lies_in_the_kernel_behind_others_of_its_connection() -> None:
-    """Found by a soak, once: a request had no end 1.5 s after its deadline.
+    """A pipelined request must not get its whole time anew after waiting in the socket buffer.
 
-    How: a client sent three ahead; two were read, and the third came while nothing was read for them.
-    Cause: its time began as it was read, once the first had its answer.
-    Proof: an upstream that is silent; the third ends 0.85 s, the first's whole time, too late.
+    A client pipelined three requests, and the third arrived while two were open and nothing was read. Its
+    deadline started once it was read, so that it was still open 1.5 s after its deadline (0.85 s too late in
+    this test).
     """
 
     async def silent(stage: Stage, got: Got, writer: Writer) -> None:
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("after_s", [0.0, 0.3])
 def test_a_stop_leaves_time_to_end_though_an_upstream_is_silent(after_s: float) -> None:
-    """An upstream's own word is awaited for a moment beyond the deadline: that is no time to end in."""
+    """The wait for an upstream's own answer beyond the deadline must not use up the time to exit."""
 
     async def silent(stage: Stage, got: Got, writer: Writer) -> None:
         await asyncio.sleep(30)
--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -1,4 +1,4 @@
-"""Which upstream: the properties of the draw, and what is taken out of the ready set before it."""
+"""Selection of an upstream: properties of the draw, and the filters of the ready set before it."""
 
 from __future__ import annotations
 
@@ -9,9 +9,17 @@
 import pytest
 
 from balancer.kept import MAX_PAIRS, PrefixIndex
-from balancer.peer import SPOILT, SPOILT_S, Peer
+from balancer.peer import FETCH_BLOCK_S, MAX_FAILED_FETCHES, Peer
 from balancer.prompt import Prompt
-from balancer.tiers import AGAIN, DECODE, MANY, PREFILL, SPARE_CALLS, SPARE_TOKENS, Tiers
+from balancer.tiers import (
+    CALL_TOLERANCE,
+    DECODE,
+    MANY_UPSTREAMS,
+    PREFILL,
+    REREAD_WEIGHT,
+    TOKEN_TOLERANCE,
+    Tiers,
+)
 from config.configuration import Upstream
 
 SVC = "pool"
@@ -37,15 +45,15 @@
 
 
 def learn(peer: Peer, rate: float, now: float = 0.0) -> None:
-    """Let it have served at so many calls a second of one in flight."""
-    peer.server.served, peer.server.busy, peer.server.seen = 1000.0, 1e6 / rate, now * 1000
+    """Set the evidence of a capacity of `rate` calls per second in flight."""
+    peer.server.served, peer.server.busy, peer.server.updated_at = 1000.0, 1e6 / rate, now * 1000
 
 
-def runner(made: Tiers, now: float = 0.0, zone: str = "a", avoid: tuple[str, ...] = ()) -> str:
+def decode_pick(made: Tiers, now: float = 0.0, zone: str = "a", avoid: tuple[str, ...] = ()) -> str:
     return known(made.pick_decode(SVC, None, zone, avoid, now)).entry.id
 
 
-# ---- the rule
+# ---- the draw
 
 
 def test_draws_follow_the_estimated_capacity() -> None:
@@ -54,15 +62,15 @@
     for name, rate in rates.items():
         learn(known(made.peer(name)), rate)
     drawn = Counter[str]()
-    # With as many calls out as capacity every load is alike, and who is drawn decides.
+    # With calls in flight in proportion to capacity all loads are equal, and the draw decides.
     for name, rate in rates.items():
         known(made.peer(name)).server.in_flight = 10 * round(rate)
     for _ in range(8000):
-        drawn[runner_of(made)] += 1
+        drawn[draw_one(made)] += 1
     assert drawn["w"] < drawn["x"] < drawn["y"] < drawn["z"]
 
 
-def runner_of(made: Tiers) -> str:
+def draw_one(made: Tiers) -> str:
     group = made._groups[SVC, DECODE]
     return made._draw(group, group.peers, 0.0).entry.id
 
@@ -73,13 +81,13 @@
     rates = {"w": 1.0, "x": 2.0, "y": 4.0, "z": 8.0}
     for name, rate in rates.items():
         learn(known(made.peer(name)), rate)
-    drawn = Counter(runner_of(made) for _ in range(15000))
+    drawn = Counter(draw_one(made) for _ in range(15000))
     for name, rate in rates.items():
         assert abs(drawn[name] / 15000 - rate / 15) < 0.02, drawn
 
 
 def test_the_pick_is_the_lowest_of_in_flight_plus_one_over_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("umberworks.choice.DRAWS", 64)  # so many draws see all of four
+    monkeypatch.setattr("umberworks.choice.DRAWS", 64)  # enough draws to meet all four
     for seed in range(200):
         chance = random.Random(seed)
         made = tiers(*(entry(n) for n in "wxyz"), seed=seed)
@@ -90,8 +98,8 @@
             peer.server.in_flight = chance.randrange(6)
             loads[name] = (peer.server.in_flight + 1) / rate
         best = sorted(loads, key=lambda n: loads[n])
-        if loads[best[1]] - loads[best[0]] > 0.01:  # the prior leans each estimate on the median a little
-            assert runner_of(made) == best[0], (seed, loads)
+        if loads[best[1]] - loads[best[0]] > 0.01:  # the prior shifts estimates slightly
+            assert draw_one(made) == best[0], (seed, loads)
 
 
 def test_ties_go_to_the_larger_capacity_and_then_to_chance(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -101,10 +109,10 @@
     for name, rate, out in (("x", 1.0, 0), ("y", 2.0, 1)):
         learn(known(made.peer(name)), rate)
         known(made.peer(name)).server.in_flight = out
-    assert {runner_of(made) for _ in range(50)} == {"y"}
+    assert {draw_one(made) for _ in range(50)} == {"y"}
     learn(known(made.peer("y")), 1.0)
     known(made.peer("y")).server.in_flight = 0
-    assert {runner_of(made) for _ in range(50)} == {"x", "y"}
+    assert {draw_one(made) for _ in range(50)} == {"x", "y"}
 
 
 def test_a_call_that_did_not_run_adds_nothing_and_one_that_was_served_does() -> None:
@@ -125,25 +133,25 @@
         learn(known(made.peer(name)), rate)
     made.update((*(entry(n) for n in "xyz"), entry("new")), 0.0)
     choice = made._groups[SVC, DECODE].selector
-    median = choice.bring_up(0.0)
+    median = choice.refresh_median(0.0)
     assert choice._capacity(known(made.peer("new")).server, median, 0.0) == pytest.approx(median)
     fallen = known(made.peer("z")).server
-    fallen.served, fallen.busy, fallen.seen = 0.0, 60_000.0, 0.0
+    fallen.served, fallen.busy, fallen.updated_at = 0.0, 60_000.0, 0.0
     low = choice._capacity(fallen, median, 0.0)
     assert low < 0.1 * median
     assert choice._capacity(fallen, median, 60_000.0) > 0.9 * median
 
 
-# ---- what is out of the ready set
+# ---- filters of the ready set
 
 
 def test_draining_gone_and_misplaced_upstreams_get_nothing_new_at_once() -> None:
     made = tiers(entry("x"), entry("y"))
     assert made.update((entry("x", state="draining"), entry("y")), 1.0)
-    assert {runner(made) for _ in range(20)} == {"y"}
-    assert dict(made.addresses()).keys() == {"x", "y"}  # what is in flight there goes on
+    assert {decode_pick(made) for _ in range(20)} == {"y"}
+    assert dict(made.addresses()).keys() == {"x", "y"}  # calls in flight there continue
     made.update((entry("x", phase=PREFILL), entry("y")), 2.0)
-    assert {runner(made) for _ in range(20)} == {"y"}
+    assert {decode_pick(made) for _ in range(20)} == {"y"}
     made.update((entry("x", svc="other"),), 3.0)
     assert made.pick_decode(SVC, None, "a", (), 3.0) is None
 
@@ -161,66 +169,66 @@
 def test_silent_blocked_and_full_upstreams_are_left_out_unless_there_is_no_other() -> None:
     made = tiers(entry("x"), entry("y"), entry("z"), full=("z",))
     known(made.peer("x")).silent = True
-    assert {runner(made) for _ in range(20)} == {"y"}
+    assert {decode_pick(made) for _ in range(20)} == {"y"}
     known(made.peer("y")).avoid(0.0, 0.5)
-    assert {runner(made) for _ in range(20)} == {"y"}  # busy, but it speaks
+    assert {decode_pick(made) for _ in range(20)} == {"y"}  # blocked, but not silent
     known(made.peer("y")).silent = True
-    assert {runner(made) for _ in range(50)} == {"x", "y"}
+    assert {decode_pick(made) for _ in range(50)} == {"x", "y"}
     known(made.peer("x")).heard(1.0)
-    assert {runner(made, now=1.0) for _ in range(20)} == {"x"}
+    assert {decode_pick(made, now=1.0) for _ in range(20)} == {"x"}
     assert made.pick_decode(SVC, None, "a", ("x", "y"), 1.0) is None
 
 
 def test_a_prefill_upstream_whose_handles_are_lost_again_and_again_is_avoided_for_a_while() -> None:
     made = tiers(entry("x", PREFILL), entry("y", PREFILL))
     peer, prompt = known(made.peer("x")), Prompt(100)
-    for _ in range(SPOILT):
-        peer.on_fetch_ended(0.0, well=False)
+    for _ in range(MAX_FAILED_FETCHES):
+        peer.on_fetch_ended(0.0, succeeded=False)
     assert {known(made.pick_prefill(SVC, prompt, (), 0.1)).entry.id for _ in range(20)} == {"y"}
-    later = SPOILT_S + 0.1
+    later = FETCH_BLOCK_S + 0.1
     assert {known(made.pick_prefill(SVC, prompt, (), later)).entry.id for _ in range(50)} == {"x", "y"}
 
 
-# ---- homes
+# ---- cached prefixes and their homes
 
 
-def home(made: Tiers, subject: bytes, shared: int = 4000) -> str:
-    return known(made.pick_prefill(SVC, Prompt(shared + 500, shared, subject), (), 0.0)).entry.id
+def home(made: Tiers, prefix: bytes, shared: int = 4000) -> str:
+    return known(made.pick_prefill(SVC, Prompt(shared + 500, shared, prefix), (), 0.0)).entry.id
 
 
 def test_a_subject_has_one_home_that_stays_when_others_come_and_go() -> None:
     names = [f"p{i}" for i in range(6)]
     made = tiers(*(entry(n, PREFILL) for n in names))
-    subjects = [b"%08x" % i for i in range(300)]
-    homes = {s: home(made, s) for s in subjects}
+    prefixes = [b"%08x" % i for i in range(300)]
+    homes = {s: home(made, s) for s in prefixes}
     assert set(homes.values()) == set(names)
-    assert all(home(made, s) == homes[s] for s in subjects)
+    assert all(home(made, s) == homes[s] for s in prefixes)
     made.update(tuple(entry(n, PREFILL) for n in names if n != "p3"), 1.0)
-    moved = {s for s in subjects if home(made, s) != homes[s]}
-    assert moved == {s for s in subjects if homes[s] == "p3"}
+    moved = {s for s in prefixes if home(made, s) != homes[s]}
+    assert moved == {s for s in prefixes if homes[s] == "p3"}
 
 
 def test_a_home_with_clearly_more_to_read_is_left_by_what_weighs_less() -> None:
     made = tiers(entry("x", PREFILL), entry("y", PREFILL))
-    subject = b"5c1e07a2"
-    first = home(made, subject, shared=200)
+    prefix = b"5c1e07a2"
+    first = home(made, prefix, shared=200)
     peer = known(made.peer(first))
-    peer.pending_tokens = 200 * AGAIN + SPARE_TOKENS - 200
-    assert home(made, subject, shared=200) == first
-    peer.pending_tokens = 200 * AGAIN + 2 * SPARE_TOKENS
-    assert home(made, subject, shared=200) != first
-    assert home(made, subject, shared=8000) == first  # to read so much again costs more than to wait
+    peer.pending_tokens = 200 * REREAD_WEIGHT + TOKEN_TOLERANCE - 200
+    assert home(made, prefix, shared=200) == first
+    peer.pending_tokens = 200 * REREAD_WEIGHT + 2 * TOKEN_TOLERANCE
+    assert home(made, prefix, shared=200) != first
+    assert home(made, prefix, shared=8000) == first  # prefilling so much again costs more than waiting
 
 
 def test_who_has_read_a_subject_is_preferred_and_the_oldest_are_forgotten() -> None:
     made = tiers(*(entry(n, PREFILL) for n in "wxyz"))
-    subject = b"91bd3f06"
-    other = next(n for n in "wxyz" if n != home(made, subject))
-    assert made.prefix_index.add(subject, other) and not made.prefix_index.add(subject, other)
-    assert {home(made, subject) for _ in range(20)} == {other}
+    prefix = b"91bd3f06"
+    other = next(n for n in "wxyz" if n != home(made, prefix))
+    assert made.prefix_index.add(prefix, other) and not made.prefix_index.add(prefix, other)
+    assert {home(made, prefix) for _ in range(20)} == {other}
     for i in range(MAX_PAIRS):
         made.prefix_index.add(b"%d" % i, other)
-    assert other not in made.prefix_index.holders(subject)
+    assert other not in made.prefix_index.holders(prefix)
     assert not made.prefix_index.add(b"", other)
 
 
@@ -239,11 +247,11 @@
     for number in range(100):
         table.add(b"%d" % (number // 3), f"u{number % 3}")
     left = [s for s in range(34) if table.holders(b"%d" % s)]
-    assert left == [30, 31, 32, 33]  # three of each but the last
-    assert table.add(b"30", "u9") and len(table.holders(b"30")) == 4  # and now it is the latest
+    assert left == [30, 31, 32, 33]  # three holders each, except the last
+    assert table.add(b"30", "u9") and len(table.holders(b"30")) == 4  # now the most recent
     table.add(b"99", "u0")
     assert not table.holders(b"31") and len(table.holders(b"30")) == 4
-    table.forget(["u0", "u1", "u2", "u9"])
+    table.remove_upstreams(["u0", "u1", "u2", "u9"])
     assert not any(table.holders(b"%d" % s) for s in range(100))
     assert all(table.add(b"%d" % number, "u0") for number in range(10)) and table.holders(b"0")
 
@@ -252,7 +260,7 @@
     made = tiers(entry("x", PREFILL), entry("y", PREFILL))
     made.other_loads = lambda name: (0, 50_000 if name == "x" else 0)
     assert {known(made.pick_prefill(SVC, Prompt(900), (), 0.0)).entry.id for _ in range(20)} == {"y"}
-    assert made.outstanding(known(made.peer("x"))) == 50_000
+    assert made.pending_tokens(known(made.peer("x"))) == 50_000
 
 
 # ---- decode
@@ -260,53 +268,53 @@
 
 def test_a_run_stays_in_the_zone_of_its_memory_unless_that_is_clearly_busier() -> None:
     made = tiers(entry("x", zone="a"), entry("y", zone="b"), entry("z", zone="b"))
-    assert {runner(made, zone="b") for _ in range(50)} == {"y", "z"}
-    assert {runner(made, zone="a") for _ in range(20)} == {"x"}
-    known(made.peer("x")).server.in_flight = SPARE_CALLS + 1
-    assert {runner(made, zone="a") for _ in range(50)} == {"y", "z"}
-    assert {runner(made, zone="c") for _ in range(50)} == {"y", "z"}
+    assert {decode_pick(made, zone="b") for _ in range(50)} == {"y", "z"}
+    assert {decode_pick(made, zone="a") for _ in range(20)} == {"x"}
+    known(made.peer("x")).server.in_flight = CALL_TOLERANCE + 1
+    assert {decode_pick(made, zone="a") for _ in range(50)} == {"y", "z"}
+    assert {decode_pick(made, zone="c") for _ in range(50)} == {"y", "z"}
 
 
 def test_runs_with_memory_keep_off_upstreams_that_read_by_themselves() -> None:
     made = tiers(entry("x", zone="a"), entry("y", zone="b"))
-    known(made.peer("x")).tokens = SPARE_TOKENS + 1
-    assert {runner(made, zone="a") for _ in range(20)} == {"y"}
+    known(made.peer("x")).tokens = TOKEN_TOLERANCE + 1
+    assert {decode_pick(made, zone="a") for _ in range(20)} == {"y"}
 
 
 def test_of_many_upstreams_those_with_an_idle_connection_are_drawn_while_they_are_not_busier() -> None:
-    """With 80 balancers and 70 upstreams the price of new connections was the largest of a quiet day."""
+    """With 80 balancers and 70 upstreams, new connections were the largest cost on quiet days."""
     names = [f"u{n:02}" for n in range(20)]
     idle = {"u03", "u07"}
     made = Tiers(random.Random(1), lambda name: True, "a", lambda name: name in idle)
     made.update(tuple(entry(name, DECODE) for name in names), 0.0)
-    assert {runner(made) for _ in range(100)} == idle
+    assert {decode_pick(made) for _ in range(100)} == idle
     made.other_loads = lambda name: (9, 0) if name == "u03" else (0, 0)
-    assert {runner(made) for _ in range(100)} == {"u07"}
+    assert {decode_pick(made) for _ in range(100)} == {"u07"}
     made.other_loads = lambda name: (9, 0) if name in idle else (0, 0)
-    assert len({runner(made) for _ in range(300)}) == 18  # they are busier: to the others
+    assert len({decode_pick(made) for _ in range(300)}) == 18  # they are busier, so the others are drawn
     made.other_loads = lambda name: (0, 0)
     idle.clear()
-    assert len({runner(made) for _ in range(300)}) == 20
+    assert len({decode_pick(made) for _ in range(300)}) == 20
 
 
 def test_of_few_upstreams_each_is_drawn_whatever_connections_there_are() -> None:
-    """Found on the small sites: fc-kitchen-line's scale-1 fell from 0.83 to 0.72."""
-    names = [f"u{n:02}" for n in range(MANY)]
+    """In small groups the preference did harm: scale-1 of fc-kitchen-line fell from 0.83 to 0.72."""
+    names = [f"u{n:02}" for n in range(MANY_UPSTREAMS)]
     made = Tiers(random.Random(1), lambda name: True, "a", lambda name: name == "u03")
     made.update(tuple(entry(name, DECODE) for name in names), 0.0)
-    assert len({runner(made) for _ in range(300)}) == MANY
+    assert len({decode_pick(made) for _ in range(300)}) == MANY_UPSTREAMS
 
 
 def test_without_phases_any_upstream_runs() -> None:
     made = tiers(entry("x", phase=""))
-    assert not made.is_split(SVC) and runner(made) == "x"
+    assert not made.is_split(SVC) and decode_pick(made) == "x"
     assert tiers(entry("x", PREFILL), entry("y")).is_split(SVC)
     assert not tiers(entry("y")).is_split(SVC)
 
 
 @pytest.mark.parametrize("part", [PREFILL, DECODE])
 def test_a_tier_without_a_place_costs_more_than_any_other(part: str) -> None:
-    """With a subject that nobody has read: its home was sought among none, and the client got a 500."""
+    """The home of an uncached prefix was looked up among no upstreams, and the client got a 500."""
     made = tiers(entry("a", PREFILL), entry("b", DECODE), full=("a" if part == PREFILL else "b",))
     told = Prompt(2_000, 1_500, b"subject")
     assert made.prefill_cost(SVC, part, told, 0.0) == math.inf
--- a/tests/test_balancer_draw_properties.py
+++ b/tests/test_balancer_draw_properties.py
@@ -1,4 +1,4 @@
-"""The design's rule by its properties: draws follow capacity, the pick minimises, ties, and the way back."""
+"""Properties of the selection: draws follow capacity, the pick minimizes load, ties, and recovery."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 
 def learn(peer: Peer, rate: float) -> None:
-    """Its capacity is `rate` calls a second of one in flight, with so much evidence that no prior counts."""
-    peer.server.served, peer.server.busy, peer.server.seen = 1e6, 1e9 / rate, 0.0
+    """Set a capacity of `rate` calls per second in flight, with enough evidence to outweigh the prior."""
+    peer.server.served, peer.server.busy, peer.server.updated_at = 1e6, 1e9 / rate, 0.0
 
 
 def draw(made: Tiers) -> str:
@@ -45,7 +45,7 @@
 
 
 def above(degrees: int) -> float:
-    """What chi-square exceeds once in ten thousand times (Wilson and Hilferty's approximation)."""
+    """The value that chi-square exceeds once in 10,000 times (Wilson-Hilferty approximation)."""
     part = 2 / (9 * degrees)
     return float(degrees * (1 - part + 3.719 * math.sqrt(part)) ** 3)
 
@@ -65,7 +65,7 @@
 
 
 def test_the_better_of_d_draws_is_taken_as_often_as_chance_says(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With d draws the least loaded is taken unless none of them hits it, and so on down the order."""
+    """Of d draws the least loaded server wins unless none of them meets it, and so on in order of load."""
     monkeypatch.setattr("umberworks.choice.DRAWS", 2)
     rates, out = {"a": 1.0, "b": 2.0, "c": 3.0, "d": 4.0}, {"a": 0, "b": 3, "c": 8, "d": 15}
     made = tiers("abcd", 4)
@@ -83,7 +83,7 @@
 
 
 def test_the_pick_minimises_whatever_the_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("umberworks.choice.DRAWS", 200)  # so many draws see all of five
+    monkeypatch.setattr("umberworks.choice.DRAWS", 200)  # enough draws to meet all five
     for seed in range(300):
         chance = random.Random(seed)
         made = tiers("vwxyz", seed)
@@ -115,12 +115,12 @@
 @pytest.mark.parametrize("silent_s", [0.5, 2.0, 8.0])
 @pytest.mark.parametrize("calls", [1, 5, 30])
 def test_an_estimate_that_fell_near_zero_comes_back_by_itself(silent_s: float, calls: int) -> None:
-    """It rises without a break and never above the median: nothing pushes it over."""
+    """It rises monotonically and never above the median, so that the server is not overloaded."""
     made = tiers("xyz", 2)
     for name in "xy":
         learn(known(made, name), 4.0)
     group = made._groups[SVC, DECODE]
-    median = group.selector.bring_up(0.0)
+    median = group.selector.refresh_median(0.0)
     peer = known(made, "z")
     for _ in range(calls):
         peer.on_call_sent(0.0, 0)
--- a/tests/test_balancer_once.py
+++ b/tests/test_balancer_once.py
@@ -1,4 +1,4 @@
-"""At most once: what upstreams recorded, with clients that move between balancers and try at both at once."""
+"""At-most-once execution, with clients that change balancers or try at two at once."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def runs(stages: list[Stage]) -> dict[str, list[int]]:
-    """By request: from which event on each of its runs went, as the upstreams recorded them."""
+    """Return by request the first event of each of its runs, as recorded by the upstreams."""
     found = defaultdict(list)
     for stage in stages:
         for got in stage.got:
@@ -38,7 +38,7 @@
 
 
 async def leave_in_the_middle(play: Play, request_id: str) -> None:
-    """A client that moves to another zone: it is gone once its stream has begun."""
+    """A client that disconnects once its stream has begun, as when it moves to another zone."""
     reader, writer = await asyncio.open_connection("127.0.0.1", play.port)
     head = f"POST /run/1 HTTP/1.1\r\nHost: shop.example\r\nMastturn-Request-Id: {request_id}\r\n"
     writer.write(f"{head}{PROMPT}Content-Length: 1\r\n\r\nb".encode())
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("resumable", [False, True])
 def test_no_request_runs_twice_wherever_its_client_goes(seed: int, resumable: bool) -> None:
-    """Each try has its own id: one that may not run again arrives at one upstream that does not reject it."""
+    """Each try has its own id; a request that must not run twice reaches one upstream that accepts it."""
     chance = random.Random(seed)
     bad = [reset, cut_after(0), cut_after(2), answer("500 Broken"), answer("200 OK", sealed=False)]
 
@@ -87,10 +87,10 @@
                 await left
                 for reply in replies:
                     seen = events(reply)
-                    assert seen == list(range(1, len(seen) + 1))  # no piece twice, none missing
+                    assert seen == list(range(1, len(seen) + 1))  # no event repeated or missing
                     assert (
                         not (reply.whole and reply.status == 200) or len(seen) >= 3
-                    )  # a stand-in that cuts may have sent 4
+                    )  # an upstream that cuts may have sent 4
         for request_id, begun in runs(stages).items():
             assert len(begun) <= (3 if resumable else 1), (request_id, begun)
 
@@ -104,14 +104,14 @@
 def test_an_idle_connection_that_was_forgotten_costs_only_what_may_be_repeated(
     kind: str, resumable: bool, status: int, sent: int
 ) -> None:
-    """It is reset at the first write with nothing read: by the page's words the request may have run."""
+    """A stale idle connection is reset at the first write; by the protocol the request may have run."""
 
     async def scene() -> None:
         one, other = Stage("x", "", decode, reset, reset), Stage("y", "", decode)
         config = configuration(1, route(route_type=kind, resumable=resumable))
         async with playing(one, other, config=config) as play:
             play.list(one)
-            assert (await ask(play, "r1")).status == 200  # its connection is kept from here on
+            assert (await ask(play, "r1")).status == 200  # its connection is kept idle from here on
             play.list(one, other)
             while len(one.got) < 2:
                 before = len(one.got) + len(other.got)
--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -1,4 +1,4 @@
-"""What a head says: routes, prompts, requests that are taken or not; events of streams; the budget."""
+"""Routes, prompts, request heads, event streams and the retry budget."""
 
 from __future__ import annotations
 
@@ -169,14 +169,14 @@
     good = (event(1) + event(2)).encode()
     with pytest.raises(BadStreamError) as caught:
         reader.feed(good + event(wrong).encode() + event(3).encode())
-    assert caught.value.good == good and reader.last_event_id == 2
+    assert caught.value.valid == good and reader.last_event_id == 2
 
 
 def test_a_run_that_goes_on_begins_behind_the_last_event_and_drops_half_of_one() -> None:
     reader = EventReader(12)
     assert reader.feed(event(13).encode() + b"id: 14\nda") == event(13).encode()
     assert not reader.is_between()
-    reader.begin_anew()
+    reader.on_new_run()
     assert reader.feed(event(14).encode()) == event(14).encode()
     with pytest.raises(BadStreamError):
         EventReader(12).feed(event(12).encode())
@@ -256,7 +256,7 @@
 def test_a_stop_with_little_time_is_over_in_time(
     grace_s: float, accepts_s: float, last_call_s: float
 ) -> None:
-    """Found by hand: with 1.5 s to end, a balancer went on accepting for 3.2 s."""
+    """With a grace period of 1.5 s, a balancer went on accepting for 3.2 s."""
     chosen = options.client_options(ClientLimits(), grace_s)
     assert chosen.accept_after_stop_s == pytest.approx(accepts_s)
     assert chosen.last_call_s == pytest.approx(last_call_s)
--- a/tests/test_balancer_readiness.py
+++ b/tests/test_balancer_readiness.py
@@ -1,4 +1,4 @@
-"""The platform's questions: connections are bounded, and the newest are served."""
+"""Readiness checks: the number of connections is bounded, and the newest are served."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
             opened.append(await asyncio.open_connection("127.0.0.1", port))
             opened[-1][1].write(b"GET /api/readyz HTTP/1.1\r\n\r\n")
             assert (await opened[-1][0].readline()).startswith(b"HTTP/1.1 200 ")
-        for reader, _ in opened[:3]:  # the oldest gave way
+        for reader, _ in opened[:3]:  # the oldest were closed
             assert (await reader.read(65536)).count(b"HTTP/1.1") == 0
             assert reader.at_eof()
         reader, writer = opened[3]
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -1,4 +1,4 @@
-"""Upstreams are judged by what they do with requests, with the failures that other balancers saw."""
+"""Outlier ejection by the outcome of requests, including failures that other balancers saw."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from balancer.peer import Peer
 from balancer.prompt import Prompt
 from balancer.tiers import Tiers
-from balancer.trust import HARD, KEPT, SILENT, WARY_S, WINDOW_S, is_failure
+from balancer.trust import FAILURE_WEIGHT, MIN_IN_USE, PROBATION_S, SILENCE_WEIGHT, WINDOW_S, is_failure
 from config.configuration import Upstream
 from dissemination.doubts import DoubtSum, pack, unpack
 from dissemination.messages import Doubt, DoubtReport
@@ -40,13 +40,13 @@
 
 
 def served(made: Tiers, calls: int, now: float = 0.0) -> None:
-    """So many calls of ours have gone well, spread over all."""
+    """Count this many successful calls, spread over all upstreams."""
     for n in range(calls):
-        made.outliers.ended(peer(made, f"i-{n % 10}"), now)
+        made.outliers.on_call_ended(peer(made, f"i-{n % 10}"), now)
 
 
 def able(made: Tiers, now: float, repeatable: bool = True) -> set[str]:
-    """Where requests may go: whoever is drawn in many draws."""
+    """Return the upstreams that are selected in many draws."""
     found = set()
     for _ in range(300):
         one = made.pick_decode("pool", None, "z0", (), now, repeatable)
@@ -55,8 +55,8 @@
     return found
 
 
-def heed(made: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
-    made.outliers.heed(told, made.peer, now)
+def set_fleet_failures(made: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
+    made.outliers.set_fleet_failures(told, made.peer, now)
 
 
 # ---- what counts as a failure
@@ -91,26 +91,26 @@
     served(few, 10)
     served(many, 400)
     for made in (few, many):
-        made.outliers.failed(peer(made), 0.0)
-        made.outliers.failed(peer(made), 0.0)
+        made.outliers.on_failure(peer(made), 0.0)
+        made.outliers.on_failure(peer(made), 0.0)
     assert "i-0" not in able(few, 0.1)
     assert "i-0" in able(many, 0.1)
-    many.outliers.failed(peer(many), 0.2, 5 * HARD)
+    many.outliers.on_failure(peer(many), 0.2, 5 * FAILURE_WEIGHT)
     assert "i-0" not in able(many, 0.3)
 
 
 def test_silence_counts_half_as_it_may_be_load() -> None:
-    """Found on a small site's days: two pauses under load took an upstream from all for 4 s."""
+    """At full weight, two pauses under load ejected an upstream for 4 s on a small site."""
     made = tiers()
-    made.outliers.failed(peer(made), 0.0, 3 * SILENT)
+    made.outliers.on_failure(peer(made), 0.0, 3 * SILENCE_WEIGHT)
     assert "i-0" in able(made, 0.1)
-    made.outliers.failed(peer(made), 0.2, SILENT)
+    made.outliers.on_failure(peer(made), 0.2, SILENCE_WEIGHT)
     assert "i-0" not in able(made, 0.3)
 
 
 def test_trust_returns_by_requests_that_may_be_repeated_and_a_relapse_costs_little() -> None:
     made = tiers()
-    made.outliers.failed(peer(made), 0.0, 2 * HARD)
+    made.outliers.on_failure(peer(made), 0.0, 2 * FAILURE_WEIGHT)
     assert "i-0" not in able(made, WINDOW_S - 0.1)
     assert (made.outliers.state("i-0", WINDOW_S - 0.1), made.outliers.failure_count("i-0")) == (
         "distrusted",
@@ -120,10 +120,10 @@
     assert "i-0" in able(made, back)
     assert (made.outliers.state("i-0", back), made.outliers.failure_count("i-0")) == ("wary", 0)
     assert "i-0" not in able(made, back, repeatable=False)
-    made.outliers.failed(peer(made), back + 1)  # one is enough now
+    made.outliers.on_failure(peer(made), back + 1)  # one failure is enough on probation
     assert "i-0" not in able(made, back + 1.1)
-    calm = back + 1 + WINDOW_S + WARY_S + 0.2
-    able(made, back + 1 + WINDOW_S + 0.1)  # its failure is forgotten
+    calm = back + 1 + WINDOW_S + PROBATION_S + 0.2
+    able(made, back + 1 + WINDOW_S + 0.1)  # its failure has expired
     assert "i-0" in able(made, calm, repeatable=False)
     assert made.outliers.state("i-0", calm) == ""
 
@@ -131,41 +131,41 @@
 def test_nine_in_ten_bad_at_once_leave_most_in_use_those_least_doubted() -> None:
     made = tiers()
     for n in range(9):
-        made.outliers.failed(peer(made, f"i-{n}"), 0.0, 20 - n)
+        made.outliers.on_failure(peer(made, f"i-{n}"), 0.0, 20 - n)
     used = able(made, 0.1)
-    assert used == {f"i-{n}" for n in range(2, 10)} and len(used) == math.ceil(KEPT * 10)
+    assert used == {f"i-{n}" for n in range(2, 10)} and len(used) == math.ceil(MIN_IN_USE * 10)
 
 
 @pytest.mark.parametrize(("count", "left"), [(1, 1), (2, 2), (3, 3), (4, 3), (8, 6)])
 def test_a_tier_of_few_is_not_left_to_fewer(count: int, left: int) -> None:
-    """Found on the small site: of two that run, the one left bore all for 4 s after the other paused."""
+    """Ejecting one of two upstreams left the whole load to the other for 4 s on a small site."""
     made = tiers(count)
     for n in range(count // 2 + 1):
-        made.outliers.failed(peer(made, f"i-{n}"), 0.0, 20)
+        made.outliers.on_failure(peer(made, f"i-{n}"), 0.0, 20)
     assert len(able(made, 0.1)) == left
 
 
 def test_one_that_left_the_list_is_forgotten() -> None:
     made = tiers()
-    made.outliers.failed(peer(made), 0.0, 5)
+    made.outliers.on_failure(peer(made), 0.0, 5)
     made.update(tuple(peer(made, f"i-{n}").entry for n in range(1, 10)), 0.1)
-    assert made.outliers.distrusted() == [] and made.outliers.seen(0.2) == {}
+    assert made.outliers.ejected() == [] and made.outliers.own_failures(0.2) == {}
 
 
-# ---- what others saw
+# ---- failures seen by other balancers
 
 
 def test_one_balancers_bad_link_condemns_nothing() -> None:
     made = tiers(zones=2)
     made.outliers.balancers = 80
-    heed(made, {("i-0", "z0"): (1, 50)}, 0.0)
+    set_fleet_failures(made, {("i-0", "z0"): (1, 50)}, 0.0)
     assert "i-0" in able(made, 0.1)
 
 
 def test_two_balancers_of_our_zone_are_enough_and_those_of_one_other_zone_are_not() -> None:
     made = tiers(zones=2)
     made.outliers.balancers = 80
-    heed(made, {("i-0", "z0"): (2, 2 * HARD), ("i-2", "z1"): (9, 50)}, 0.0)
+    set_fleet_failures(made, {("i-0", "z0"): (2, 2 * FAILURE_WEIGHT), ("i-2", "z1"): (9, 50)}, 0.0)
     used = able(made, 0.1)
     assert "i-0" not in used and "i-2" in used
 
@@ -173,13 +173,13 @@
 def test_balancers_of_two_zones_are_enough_and_what_they_take_back_is_over() -> None:
     made = tiers(zones=2)
     made.outliers.balancers = 80
-    heed(made, {("i-0", "z1"): (1, HARD), ("i-0", "z2"): (2, HARD)}, 0.0)
+    set_fleet_failures(made, {("i-0", "z1"): (1, FAILURE_WEIGHT), ("i-0", "z2"): (2, FAILURE_WEIGHT)}, 0.0)
     assert "i-0" not in able(made, 0.1)
-    heed(made, {}, 0.2)
+    set_fleet_failures(made, {}, 0.2)
     assert "i-0" in able(made, 0.3) and "i-0" not in able(made, 0.3, repeatable=False)
 
 
-# ---- on the wire
+# ---- exchange between balancers
 
 
 def test_sums_of_doubts_hold_each_child_once_and_forget_the_gone() -> None:
@@ -240,7 +240,7 @@
 
 
 def test_one_that_can_not_be_reached_counts_as_a_failure() -> None:
-    """Found on a day of flapping upstreams: as half of one it took twice as long to tell."""
+    """At half weight, as for silence, flapping upstreams were detected after twice the time."""
 
     async def scene() -> None:
         gone, good = Stand("i-0", ""), [Stand(f"i-{n}", "") for n in range(1, 4)]
@@ -249,7 +249,7 @@
             stage.list(gone, *good)
             for n in range(30):
                 await stage.ask(f"r{n}")
-            assert stage.balancer.doubts() == {("i-0", "a"): (1, HARD)}
+            assert stage.balancer.doubts() == {("i-0", "a"): (1, FAILURE_WEIGHT)}
 
     asyncio.run(scene())
 
--- a/tests/test_balancer_versions.py
+++ b/tests/test_balancer_versions.py
@@ -1,4 +1,4 @@
-"""A configuration that names another version of a model's weights: who gets requests from then on."""
+"""Required versions of models' weights: which upstreams get requests."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 def body(ver: object) -> bytes:
-    """A configuration that names a version of a model's weights."""
+    """Return a configuration that requires a version of a model's weights."""
     service = {"name": "pool", "backend": {"models": [{"name": "m", "ver": ver}]}}
     return json.dumps({"ver": 7, "routes": [], "svcs": [service]}).encode()
 
 
 def drawn(tiers: Tiers) -> tuple[set[str], set[str]]:
-    """Who reads and who runs, of many draws."""
+    """Return the prefill and decode upstreams that are selected in many draws."""
     readers = [tiers.pick_prefill("pool", PROMPT, (), 0.0) for _ in range(60)]
     runners = [tiers.pick_decode("pool", None, "a", (), 0.0) for _ in range(60)]
     return {p.entry.id for p in readers if p is not None}, {p.entry.id for p in runners if p is not None}
--- a/tests/test_balancer_whole_answers.py
+++ b/tests/test_balancer_whole_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are no streams of events, however long or slow, reach clients as they are."""
+"""Answers other than event streams reach clients unchanged, however long or slow."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 )
 from tests.loopback import Got, Writer, run
 
-LONG = "0123456789abcdef" * 8_192  # twice of what is held of a body whose length is known
+LONG = "0123456789abcdef" * 8_192  # twice of what is held of a body with a known length
 PLAIN = configuration(1, route(route_type="safe", tries=2))
 
 
 def slow(body: str, pieces: int = 4, pause_s: float = 0.15, last: bool = True) -> Act:
-    """In chunks with pauses, so that nobody knows its length when it begins to be passed on."""
+    """Send chunks with pauses, so that the length is unknown when forwarding begins."""
 
     async def act(stage: Stage, got: Got, writer: Writer) -> None:
         writer.write(head(got, "Transfer-Encoding: chunked\r\n\r\n").encode())
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -1,12 +1,9 @@
-"""Upstreams that are slow yet after a start get no more than they bear, summed over all balancers.
-
-Seen: in a release upstreams that had just started got 20 to 25 requests within one second where 18.4 were
-allowed; they fell over, and again each time they came back. How: each of 80 balancers saw a new, empty
-upstream and sent it a request or two before any heard of the others' calls. Cause: the list says which
-upstreams are cold, and control dropped that word before it told the list, so no balancer could heed what a
-cold one bears. Proof: with each call logged, 814 of 903 calls to upstreams that the list named as cold were
-first tries, and 564 were sent by balancers that knew of no call of others there; with shares of the bound
-(`balancer.cold_share`) none is flooded.
+"""Cold upstreams get no more than their warm-up allows, summed over all balancers.
+
+In a release, upstreams that had just started got 20 to 25 requests within a second where 18.4 were allowed,
+and failed again after each restart: each of 80 balancers sent a new, empty upstream one or two requests
+before it knew of the others' calls (564 of 903 calls; 814 were first tries). The control side had dropped the
+list's mark of cold upstreams. Each balancer now has its share of the bound (`balancer.cold_share`).
 """
 
 from __future__ import annotations
@@ -29,8 +26,8 @@
 SVC = "pool"
 PER_S, EXCESS, SLACK = 8.9, 1.5, 5.0
 BOUND = math.floor(PER_S * EXCESS + SLACK)
-TOKENS_S = 48_200.0  # that an upstream reads
-TOLD_S = 0.3  # balancers hear of the others' load so often
+TOKENS_S = 48_200.0  # prefill rate of an upstream
+EXCHANGE_S = 0.3  # interval of the exchange of loads
 
 
 def balancer_of(number: int, count: int) -> Balancer:
@@ -41,41 +38,41 @@
     made = Balancer(settings, number)
     made.configure(Configuration(1, svcs=(Service(SVC, cold_s=3.0, cold_per_s=PER_S),)))
     made.count_balancers(count)
-    made.tiers._has_place = made.tiers._has_idle = lambda name: True  # its connections are up
+    made.tiers._can_connect = made.tiers._has_idle = lambda name: True  # it is connected to all upstreams
     return made
 
 
 @dataclass
 class Fleet:
-    """Balancers that have prompts read, one after the other at each upstream; and what arrives there when."""
+    """Balancers, and upstreams that prefill one prompt after the other and record arrivals."""
 
     balancers: list[Balancer]
     chance: random.Random
     arrivals: dict[str, list[float]] = field(default_factory=dict)
     refused: int = 0
-    free_at: dict[str, float] = field(default_factory=dict)  # when an upstream has read all that it has
-    out: list[tuple[float, int, str, int]] = field(default_factory=list)  # ends, balancer, upstream, tokens
-    total: dict[str, tuple[int, int]] = field(default_factory=dict)  # calls and tokens of all, as last told
-    told_at: float = -math.inf
-    learned_s: float = 0.1  # a list reaches all within this
+    free_at: dict[str, float] = field(default_factory=dict)  # when an upstream has prefilled all its prompts
+    out: list[tuple[float, int, str, int]] = field(default_factory=list)  # end, balancer, upstream, tokens
+    total: dict[str, tuple[int, int]] = field(default_factory=dict)  # calls and tokens, as exchanged
+    exchanged_at: float = -math.inf
+    list_delay_s: float = 0.1  # time within which a list reaches all
 
     def list(self, now: float, warm: int, cold: int = 0, left_ms: float = 3000.0) -> None:
-        """All balancers hear of a list, each in its time."""
+        """Send all balancers a list, each after a random delay."""
         entries = [Upstream(f"w{i}", SVC, f"10.9.0.{i + 1}:80", "a", phase="prefill") for i in range(warm)]
         entries += [
             Upstream(f"c{i}", SVC, f"10.9.1.{i + 1}:80", "a", cold_left_ms=left_ms, phase="prefill")
             for i in range(cold)
         ]
         for balancer in self.balancers:
-            balancer.tiers.update(tuple(entries), now + self.chance.uniform(0.0, self.learned_s))
+            balancer.tiers.update(tuple(entries), now + self.chance.uniform(0.0, self.list_delay_s))
 
     def play(self, begins: float, ends: float, per_s: float) -> None:
-        """So many requests a second of all together, each at a balancer drawn by lot."""
+        """Send requests at this total rate, each to a random balancer."""
         now = begins
         while (now := now + self.chance.expovariate(per_s)) < ends:
             self._end_calls(now)
-            if now - self.told_at >= TOLD_S:
-                self._tell_loads(now)
+            if now - self.exchanged_at >= EXCHANGE_S:
+                self._exchange_loads(now)
             self._take(self.chance.randrange(len(self.balancers)), now)
 
     def _take(self, number: int, now: float) -> None:
@@ -98,8 +95,8 @@
             if peer is not None:
                 peer.on_call_ended(ended, tokens, True)
 
-    def _tell_loads(self, now: float) -> None:
-        self.told_at = now
+    def _exchange_loads(self, now: float) -> None:
+        self.exchanged_at = now
         self.total = {}
         for _, _, name, tokens in self.out:
             calls, held = self.total.get(name, (0, 0))
@@ -130,7 +127,7 @@
 
 
 def test_a_release_floods_no_cold_upstream() -> None:
-    """80 balancers, 28 upstreams and a rush of 350 requests a second; two of them come empty and cold."""
+    """80 balancers, 28 upstreams, 350 requests a second; two upstreams join empty and cold."""
     fleet = fleet_of(80, 1)
     fleet.list(0.0, warm=26)
     fleet.play(0.0, 6.0, per_s=350.0)
@@ -140,14 +137,14 @@
 
 
 def side(fleet: Fleet, numbers: range) -> None:
-    """These balancers hear of each other and of nobody else."""
+    """Make these balancers know each other and no others."""
     for place, number in enumerate(numbers):
         fleet.balancers[number].count_balancers(len(numbers))
         fleet.balancers[number].set_place(Place(place, len(numbers)))
 
 
 def windows(fleet: Fleet, ends: float) -> list[float]:
-    """When the balancers would send to the cold upstream if they wanted to at any moment."""
+    """Return the times at which the balancers, always willing, may send to the cold upstream."""
     found = []
     for balancer in fleet.balancers:
         peer, now = balancer.tiers.peer("c0"), 0.0
@@ -161,7 +158,7 @@
 
 
 def most(times: list[float]) -> int:
-    """The most of them in any second."""
+    """The most of these times in any second."""
     return max((sum(1 for t in times[i:] if t < at + 1.0) for i, at in enumerate(times)), default=0)
 
 
@@ -175,12 +172,12 @@
 def test_two_sides_that_do_not_hear_of_each_other_stay_within_the_bound(
     count: int, cut: float, seed: int, reaches: float
 ) -> None:
-    """Whatever their numbers, and wherever they come to know of it: all who want to send at any moment do."""
+    """Both sides of a partition, of any sizes and with any delay of the list, always willing to send."""
     fleet = fleet_of(count, seed)
     here = round(cut * count)
     side(fleet, range(here))
     side(fleet, range(here, count))
-    fleet.learned_s = reaches
+    fleet.list_delay_s = reaches
     fleet.list(0.0, warm=0, cold=1, left_ms=8000.0)
     assert most(windows(fleet, 8.0)) <= BOUND
 
@@ -202,7 +199,7 @@
     fleet.play(0.0, 6.0, per_s=350.0)
     arrived = [len(fleet.arrivals[f"c{i}"]) for i in range(28)]
     assert max(fleet.most_in_a_second(f"c{i}") for i in range(28)) <= BOUND
-    assert min(arrived) > PER_S  # over six seconds: half of what they bear is used, and more
+    assert min(arrived) > PER_S  # in six seconds: more than half of their capacity is used
     assert fleet.refused
 
 
--- a/tests/test_days_found_late.py
+++ b/tests/test_days_found_late.py
@@ -1,4 +1,4 @@
-"""A request whose deadline passed while an upstream held it: nobody else is asked, nobody is blamed."""
+"""A deadline that passes while an upstream has the request: no other is called, none is marked silent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Clock:
-    """The steady clock of the request's way through the balancer; a test puts it forward."""
+    """The monotonic clock of `active_request`, which a test can advance."""
 
     def __init__(self) -> None:
         self.ahead = 0.0
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -159,7 +159,7 @@
 def test_the_first_event_counts_up_to_its_bound() -> None:
     tally = RequestCounters()
     for seconds in (0.0, FIRST_EVENT_S[0], FIRST_EVENT_S[0] + 1e-9, FIRST_EVENT_S[-1] + 1):
-        tally.first_event(seconds)
+        tally.on_first_event(seconds)
     assert tally.first_events == [2, 1, *[0] * (len(FIRST_EVENT_S) - 2), 1]
     tally.taken()
     tally.ended("r", Final.SERVED)
