--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -89,7 +89,9 @@
         "encode_s": cost_s(lambda: KINDS.encode(news), repeats),
         "decode_s": cost_s(lambda: KINDS.decode(103, frame[HEAD:]), repeats),
         "parse_s": cost_s(lambda: parse_upstreams(page), repeats),
-        "first_take_s": cost_s(lambda: Tiers(random.Random(1), lambda name: True).take(parsed, 0.0), repeats),
+        "first_take_s": cost_s(
+            lambda: Tiers(random.Random(1), lambda name: True).update(parsed, 0.0), repeats
+        ),
         "take_s": cost_s(lambda: tiers.update(next(takes), 1.0), repeats),
         "change_bytes": len(KINDS.encode(change)),
         "change_s": cost_s(lambda: changed(news, change), repeats),
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -234,7 +234,7 @@
             x.stop()
             for i in range(6):
                 assert (await play.ask(f"r{i}")).body == b"y"
-            assert play.balancer.tiers.peer("x").silent  # type: ignore[union-attr]
+            assert play.balancer.tiers.peer("x").is_silent  # type: ignore[union-attr]
 
     run(test())
 
--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -168,13 +168,13 @@
 
 def test_silent_blocked_and_full_upstreams_are_left_out_unless_there_is_no_other() -> None:
     made = tiers(entry("x"), entry("y"), entry("z"), full=("z",))
-    known(made.peer("x")).silent = True
+    known(made.peer("x")).is_silent = True
     assert {decode_pick(made) for _ in range(20)} == {"y"}
-    known(made.peer("y")).avoid(0.0, 0.5)
+    known(made.peer("y")).block(0.0, 0.5)
     assert {decode_pick(made) for _ in range(20)} == {"y"}  # blocked, but not silent
-    known(made.peer("y")).silent = True
+    known(made.peer("y")).is_silent = True
     assert {decode_pick(made) for _ in range(50)} == {"x", "y"}
-    known(made.peer("x")).heard(1.0)
+    known(made.peer("x")).on_data_received(1.0)
     assert {decode_pick(made, now=1.0) for _ in range(20)} == {"x"}
     assert made.pick_decode(SVC, None, "a", ("x", "y"), 1.0) is None
 
@@ -277,7 +277,7 @@
 
 def test_runs_with_memory_keep_off_upstreams_that_read_by_themselves() -> None:
     made = tiers(entry("x", zone="a"), entry("y", zone="b"))
-    known(made.peer("x")).tokens = TOKEN_TOLERANCE + 1
+    known(made.peer("x")).pending_tokens = TOKEN_TOLERANCE + 1
     assert {decode_pick(made, zone="a") for _ in range(20)} == {"y"}
 
 
--- a/tests/test_balancer_pair.py
+++ b/tests/test_balancer_pair.py
@@ -5,7 +5,8 @@
 import itertools
 
 import pytest
-from balancer.machine import (
+
+from balancer.pair import (
     MAX_UNSENT,
     Abort,
     CallEnd,
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -27,7 +27,7 @@
 from balancer.routes import RouteTable
 from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from balancer.tiers import Tiers
-from balancer.wire import free_handle, read_handle
+from balancer.wire import free_handle_call, read_handle
 from config.checking import ConfigurationReader, check, digest, parse_configuration, parse_upstreams
 from config.configuration import ClientLimits
 from config.errors import DiskError, FleetError, InvalidConfigurationError, SettingsError, WireError
@@ -308,7 +308,7 @@
     tiers.update(entries, 0.0)
     for entry in entries:
         # Header lines of ours hold its id and address: nothing in them may end a line, or be no line.
-        head = free_handle(entry.addr, entry.id, "h").head
+        head = free_handle_call(entry.addr, entry.id, "h").head
         assert head.count(b"\r\n") == 5 and head.isascii() and head.count(b"\n") == 5
         peer = tiers.peer(entry.id)
         assert peer is not None and b"\n" not in peer.id_bytes
@@ -347,7 +347,7 @@
     count("handle")
     found = read_handle(body)
     if found is not None:
-        assert free_handle("10.0.0.1:1", "u-1", found[0]).head.count(b"\r\n") == 5
+        assert free_handle_call("10.0.0.1:1", "u-1", found[0]).head.count(b"\r\n") == 5
 
 
 EVENTS = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
@@ -370,9 +370,9 @@
             try:
                 out += reader.feed(piece)
             except BadStreamError as error:
-                return out + error.good, True, reader.last
+                return out + error.valid, True, reader.last_event_id
             assert len(reader._held) <= MAX_EVENT_BYTES
-        return out, False, reader.last
+        return out, False, reader.last_event_id
 
     whole, bad, _ = play([data])
     assert data.startswith(whole) and (bad or not whole or whole[-1:] in b"\r\n")
@@ -441,7 +441,7 @@
 ) -> None:
     count("prompt")
     found = read_prompt(prefix, count_)
-    assert 0 <= found.tokens < 10**12 and found.shared >= 0
+    assert 0 <= found.tokens < 10**12 and found.shared_tokens >= 0
 
 
 class Control:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -76,7 +76,7 @@
             assert (await b.figures())["requests"]["read"]["served"] == 2
             assert (await b.figures())["in_flight"] == 0
             assert not b.node.engine._requests and not b.node.engine._balancer._requests
-            assert b.node.engine._balancer._room.out == 0
+            assert b.node.engine._balancer._limit.in_flight == 0
 
     run(test())
 
--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -281,12 +281,14 @@
             def evidence() -> list[tuple[float, ...]]:
                 peers = [play.balancer.tiers.peer(name) for name in ("d1", "d2")]
                 return [
-                    (p.server.served, p.server.busy, p.server.seen, p.server.owed.out) for p in peers if p
+                    (p.server.served, p.server.busy, p.server.updated_at, p.server.unanswered.calls)
+                    for p in peers
+                    if p
                 ]
 
-            before, state = evidence(), play.balancer._chance.getstate()
+            before, state = evidence(), play.balancer._rng.getstate()
             told = explaining.standing(play.balancer, "edge-1")
-            assert evidence() == before and play.balancer._chance.getstate() == state
+            assert evidence() == before and play.balancer._rng.getstate() == state
             rows = told["groups"][0]["upstreams"]
             assert sum(row["drawn"] for row in rows) == pytest.approx(1, abs=1e-3)
 
--- a/tests/test_orders_clients.py
+++ b/tests/test_orders_clients.py
@@ -258,7 +258,7 @@
         upstream = FakeServer(silent)
         async with balancer(upstream) as b:
             module, room = b.node.engine._balancer, False
-            module._has_room = lambda: room  # type: ignore[method-assign]
+            module._has_capacity = lambda: room  # type: ignore[method-assign]
             b.node.server.acceptor._most = 2 * clients
             raws = await come(b, clients, asks=False)
             for i, raw in enumerate(raws):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -8,7 +8,7 @@
 
 from passpost import config
 from passpost.reports import LoadReports
-from tests.helpers import READ, Desk, sent
+from tests.helpers import READ, Harness, sent
 from tests.loopback import config_data
 from umberworks import wire
 from umberworks.interface import AttemptEnded, LoadReport, Outcome, Probed
@@ -91,20 +91,24 @@
 
     `silent`: a server has fallen silent just before.
     """
-    desk = Desk(8, balancers=8, may_duplicate=False, may_probe=True)
+    harness = Harness(8, balancers=8, may_duplicate=False, may_probe=True)
     out: list[tuple[float, int, str]] = []
     for step, seconds in ((10.0, 8), (1.0, 1)):
-        until = desk.now + seconds * 1_000
+        until = harness.now + seconds * 1_000
         if silent and seconds == 1:
-            desk.tell(Probed("s7", False))
-        while desk.now < until:
-            desk.now += step
-            while out and out[0][0] <= desk.now:
+            harness.handle(Probed("s7", False))
+        while harness.now < until:
+            harness.now += step
+            while out and out[0][0] <= harness.now:
                 _, request, server = out.pop(0)
                 report = None if util is None else LoadReport(util)
                 event = AttemptEnded(request, 0, server, Outcome.SERVED, True, report=report)
-                out += [(desk.now + 100.0, send.request, send.server) for send in sent(desk.tell(event))]
-            out += [(desk.now + 100.0, send.request, send.server) for send in sent(desk.ask(READ)[1])]
+                out += [
+                    (harness.now + 100.0, send.request, send.server) for send in sent(harness.handle(event))
+                ]
+            out += [
+                (harness.now + 100.0, send.request, send.server) for send in sent(harness.arrive(READ)[1])
+            ]
     return len(out)
 
 
