--- a/config/checking.py
+++ b/config/checking.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Checked:
+class CheckedConfiguration:
     """A configuration that may be taken, the body as it was sent, and the digest of what the body says."""
 
     configuration: Configuration
@@ -52,10 +52,10 @@
     def __init__(self) -> None:
         self._items: dict[type, dict[bytes, Any]] = {}  # of the last one: by type, by what stands in the body
 
-    def check(self, body: bytes) -> Checked:
+    def check(self, body: bytes) -> CheckedConfiguration:
         """The configuration of a body and its digest, from one reading; raises InvalidConfigurationError."""
         raw = read_object(body)
-        return Checked(_configuration(raw, self._each), body, digest_of(raw))
+        return CheckedConfiguration(_configuration(raw, self._each), body, digest_of(raw))
 
     def parse(self, body: bytes) -> Configuration:
         """The configuration that a body holds; raises InvalidConfigurationError naming field and remedy.
@@ -78,7 +78,7 @@
         return tuple(found)
 
 
-def check(body: bytes) -> Checked:
+def check(body: bytes) -> CheckedConfiguration:
     """As `ConfigurationReader.check`, by itself."""
     return ConfigurationReader().check(body)
 
--- a/config/errors.py
+++ b/config/errors.py
@@ -6,9 +6,9 @@
 class FleetError(Exception):
     """Something that a person can put right: what is wrong, and what to do about it."""
 
-    def __init__(self, wrong: str, remedy: str) -> None:
-        super().__init__(f"{wrong}; {remedy}")
-        self.wrong, self.remedy = wrong, remedy
+    def __init__(self, problem: str, remedy: str) -> None:
+        super().__init__(f"{problem}; {remedy}")
+        self.problem, self.remedy = problem, remedy
 
 
 class SettingsError(FleetError):
--- a/config/patching.py
+++ b/config/patching.py
@@ -11,7 +11,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from config.checking import Checked, ConfigurationReader, digest_of, json_type, read_object, shown
+from config.checking import (
+    CheckedConfiguration,
+    ConfigurationReader,
+    digest_of,
+    json_type,
+    read_object,
+    shown,
+)
 from config.errors import InvalidConfigurationError
 
 LISTS = ("routes", "svcs")  # whose items have names
@@ -53,7 +60,7 @@
     return Patch(ver, upsert, remove, digest_of(raw))
 
 
-def apply_patch(body: bytes, patch: Patch, reader: ConfigurationReader) -> Checked:
+def apply_patch(body: bytes, patch: Patch, reader: ConfigurationReader) -> CheckedConfiguration:
     """The configuration after a patch; raises InvalidConfigurationError for one that can't be taken."""
     raw = read_object(body) if body else {"routes": [], "svcs": []}
     for name in LISTS:
--- a/config/settings.py
+++ b/config/settings.py
@@ -216,7 +216,7 @@
             try:
                 parse_address(address)
             except SettingsError as error:
-                raise SettingsError(f"{name}: {error.wrong}", error.remedy) from None
+                raise SettingsError(f"{name}: {error.problem}", error.remedy) from None
     first, last = settings.port_range
     if not 0 < first <= last < 65536:
         raise SettingsError(f"port_range is {_shown(first)} to {_shown(last)}", _PORTS)
--- a/fleet/membership/count.py
+++ b/fleet/membership/count.py
@@ -9,28 +9,28 @@
 
 import math
 
-FADE_MS = 10_000.0  # what is counted beyond those who are seen falls to 1/e in so long
+DECAY_MS = 10_000.0  # what is counted beyond those who are seen falls to 1/e in so long
 
 
-class Counted:
+class BalancerCount:
     """One process's number."""
 
     def __init__(self, balancers: int = 1) -> None:
         """`balancers`: those that were set up, until views say more."""
-        self._level, self._seen, self._at = float(balancers), balancers, 0.0
+        self._level, self._present, self._updated_at = float(balancers), balancers, 0.0
 
-    def see(self, count: int, left: int, now: float) -> None:
+    def update(self, count: int, left: int, now: float) -> None:
         """So many are present or suspected, `left` have gone by their own word since the last time."""
-        self._fade(now)
+        self._decay(now)
         self._level = max(self._level - left, float(count))
-        self._seen = count
+        self._present = count
 
-    def number(self, now: float) -> int:
+    def value(self, now: float) -> int:
         """How many to go by."""
-        self._fade(now)
+        self._decay(now)
         return max(math.ceil(self._level - 0.05), 1)
 
-    def _fade(self, now: float) -> None:
-        gap = max(now - self._at, 0.0)
-        self._level = self._seen + max(self._level - self._seen, 0.0) * math.exp(-gap / FADE_MS)
-        self._at = max(now, self._at)
+    def _decay(self, now: float) -> None:
+        elapsed = max(now - self._updated_at, 0.0)
+        self._level = self._present + max(self._level - self._present, 0.0) * math.exp(-elapsed / DECAY_MS)
+        self._updated_at = max(now, self._updated_at)
--- a/fleet/membership/states.py
+++ b/fleet/membership/states.py
@@ -30,26 +30,26 @@
     LEFT = "left"
 
 
-class Word(enum.Enum):
+class Trigger(enum.Enum):
     """What moves a member, as in the table above."""
 
     VOUCHED = "vouched"
     ACCUSED = "accused"
-    REFUTES = "refutes"
-    JUDGED = "judged"
-    GOES = "goes"
-    NEWER = "newer"
-
-
-MOVES: dict[tuple[State, Word], State] = {
-    (State.JOINING, Word.VOUCHED): State.PRESENT,
-    (State.JOINING, Word.ACCUSED): State.SUSPECTED,
-    (State.PRESENT, Word.ACCUSED): State.SUSPECTED,
-    (State.SUSPECTED, Word.REFUTES): State.PRESENT,
-    **{(state, Word.JUDGED): State.FAILED for state in (State.JOINING, State.PRESENT, State.SUSPECTED)},
-    (State.FAILED, Word.REFUTES): State.PRESENT,
-    **{(state, Word.GOES): State.LEFT for state in State if state is not State.LEFT},
-    **{(state, Word.NEWER): State.JOINING for state in State if state is not State.JOINING},
+    REFUTED = "refuted"
+    FAILED = "failed"
+    LEFT = "left"
+    SUPERSEDED = "superseded"
+
+
+TRANSITIONS: dict[tuple[State, Trigger], State] = {
+    (State.JOINING, Trigger.VOUCHED): State.PRESENT,
+    (State.JOINING, Trigger.ACCUSED): State.SUSPECTED,
+    (State.PRESENT, Trigger.ACCUSED): State.SUSPECTED,
+    (State.SUSPECTED, Trigger.REFUTED): State.PRESENT,
+    **{(state, Trigger.FAILED): State.FAILED for state in (State.JOINING, State.PRESENT, State.SUSPECTED)},
+    (State.FAILED, Trigger.REFUTED): State.PRESENT,
+    **{(state, Trigger.LEFT): State.LEFT for state in State if state is not State.LEFT},
+    **{(state, Trigger.SUPERSEDED): State.JOINING for state in State if state is not State.JOINING},
 }
 
 COUNTED = frozenset({State.PRESENT, State.SUSPECTED})
--- a/fleet/registry/entries.py
+++ b/fleet/registry/entries.py
@@ -21,13 +21,13 @@
 import math
 from dataclasses import dataclass, replace
 
-LARGEST = 2**53 - 1  # what every JSON reader holds exactly
-LONGEST_NAME = 200
-LEASE_MS = (500.0, 3_600_000.0)
+MAX_SAFE_INTEGER = 2**53 - 1  # what every JSON reader holds exactly
+MAX_NAME_LENGTH = 200
+LEASE_RANGE_MS = (500.0, 3_600_000.0)
 """The shortest and the longest lease; 0 stands for none."""
 
 
-class Word(enum.IntEnum):
+class Lifecycle(enum.IntEnum):
     """What its registrant or an operator last said of an incarnation."""
 
     ACTIVE = 0
@@ -35,20 +35,24 @@
     REMOVED = 2
 
 
-PHASES = {"active": Word.ACTIVE, "leaving": Word.LEAVING, "left": Word.REMOVED}
+PHASES = {"active": Lifecycle.ACTIVE, "leaving": Lifecycle.LEAVING, "left": Lifecycle.REMOVED}
 
 
-class BadEntryError(ValueError):
+class InvalidEntryError(ValueError):
     """A value that no entry can have; the text names the field and what is allowed."""
 
 
 def _require(condition: bool, field: str, allowed: str) -> None:
     if not condition:
-        raise BadEntryError(f"{field}: allowed is {allowed}")
+        raise InvalidEntryError(f"{field}: allowed is {allowed}")
 
 
-def _is_name(text: str, least: int) -> bool:
-    return least <= len(text) <= LONGEST_NAME and text.isprintable() and not any(c.isspace() for c in text)
+def _is_name(text: str, min_length: int) -> bool:
+    return (
+        min_length <= len(text) <= MAX_NAME_LENGTH
+        and text.isprintable()
+        and not any(c.isspace() for c in text)
+    )
 
 
 def _is_address(text: str) -> bool:
@@ -77,26 +81,30 @@
     size: float = 1.0
     up_since_ms: float = 0.0
     incarnation: int = 0
-    word: Word = Word.ACTIVE
+    lifecycle: Lifecycle = Lifecycle.ACTIVE
     lease_ms: float = 0.0
     holder: str = ""  # the replica that was told last: it alone says that the lease has lapsed
     turn: int = 0
     lapsed: bool = False
 
     def __post_init__(self) -> None:
-        _require(_is_name(self.id, 1), "id", f"1 to {LONGEST_NAME} printable characters without blanks")
+        _require(_is_name(self.id, 1), "id", f"1 to {MAX_NAME_LENGTH} printable characters without blanks")
         for field in ("list", "locality", "flavor", "holder"):
             value = getattr(self, field)
-            _require(_is_name(value, 0), field, f"at most {LONGEST_NAME} printable characters without blanks")
-        gone = self.word is Word.REMOVED and not self.host_port
+            _require(
+                _is_name(value, 0), field, f"at most {MAX_NAME_LENGTH} printable characters without blanks"
+            )
+        gone = self.lifecycle is Lifecycle.REMOVED and not self.host_port
         _require(
             gone or _is_address(self.host_port), "host_port", "an IP address and a port, as 10.0.0.4:7070"
         )
         for field in ("incarnation", "turn", "cell"):
-            _require(0 <= getattr(self, field) <= LARGEST, field, "a whole number from 0 to 2^53 - 1")
+            _require(
+                0 <= getattr(self, field) <= MAX_SAFE_INTEGER, field, "a whole number from 0 to 2^53 - 1"
+            )
         _require(math.isfinite(self.size) and self.size > 0, "size", "a finite number above 0")
         _require(math.isfinite(self.up_since_ms), "up_since_ms", "a finite number of milliseconds")
-        low, high = LEASE_MS
+        low, high = LEASE_RANGE_MS
         _require(
             self.lease_ms == 0 or low <= self.lease_ms <= high,
             "lease_ms",
@@ -111,19 +119,19 @@
     @property
     def is_gone(self) -> bool:
         """Whether readers see it as `left`."""
-        return self.lapsed or self.word is Word.REMOVED
+        return self.lapsed or self.lifecycle is Lifecycle.REMOVED
 
     @property
     def phase(self) -> str:
         """The published form's word."""
-        return "left" if self.is_gone else "leaving" if self.word is Word.LEAVING else "active"
+        return "left" if self.is_gone else "leaving" if self.lifecycle is Lifecycle.LEAVING else "active"
 
     @property
     def order(self) -> tuple[object, ...]:
         """Greater is later; see the top of the file."""
         return (
             self.incarnation,
-            self.word,
+            self.lifecycle,
             self.turn,
             not self.lapsed,
             self.holder,
@@ -136,11 +144,11 @@
             self.lease_ms,
         )
 
-    def says_as(self, other: Entry) -> bool:
+    def has_same_values(self, other: Entry) -> bool:
         """Whether both say the same of the instance, whoever holds it and whatever its phase."""
-        return self._said() == other._said()
+        return self._values() == other._values()
 
-    def _said(self) -> tuple[object, ...]:
+    def _values(self) -> tuple[object, ...]:
         return (
             self.host_port,
             self.locality,
@@ -152,11 +160,11 @@
         )
 
 
-def later(one: Entry, other: Entry) -> Entry:
+def later_entry(one: Entry, other: Entry) -> Entry:
     """The one that wins; commutative, associative and idempotent, as `order` is total."""
     return one if one.order >= other.order else other
 
 
-def held_by(entry: Entry, holder: str) -> Entry:
+def with_holder(entry: Entry, holder: str) -> Entry:
     """The same, alive, with its lease at another holder."""
     return replace(entry, holder=holder, turn=entry.turn + 1, lapsed=False)
--- a/fleet/registry/history.py
+++ b/fleet/registry/history.py
@@ -21,11 +21,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fleet.registry.entries import LARGEST, Entry, Key
+from fleet.registry.entries import MAX_SAFE_INTEGER, Entry, Key
 
 SLOTS = 16
-PER_SECOND = 2**18
-MOST_AHEAD_S = 86_400  # by which a number may lie ahead of our clock and still be one of ours
+REVISIONS_PER_SECOND = 2**18
+MAX_CLOCK_AHEAD_S = 86_400  # by which a number may lie ahead of our clock and still be one of ours
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,22 +36,24 @@
     """
 
     revision: int
-    whole: bool
+    is_full: bool
     entries: tuple[Entry, ...]
-    at: tuple[int, ...] = ()
+    revisions: tuple[int, ...] = ()
 
-    def only(self, list_name: str) -> Changes:
+    def for_list(self, list_name: str) -> Changes:
         """What a reader of one list is told: of a whole list, only what there is."""
-        kept = [
+        listed = [
             (entry, at)
-            for entry, at in zip(self.entries, self.at, strict=True)
-            if entry.list == list_name and not (self.whole and entry.is_gone)
+            for entry, at in zip(self.entries, self.revisions, strict=True)
+            if entry.list == list_name and not (self.is_full and entry.is_gone)
         ]
-        return Changes(self.revision, self.whole, tuple(e for e, _ in kept), tuple(at for _, at in kept))
+        return Changes(
+            self.revision, self.is_full, tuple(e for e, _ in listed), tuple(at for _, at in listed)
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Saved:
+class HistoryState:
     """What outlives a process: last revision, holes, and each entry with its revision."""
 
     revision: int = 0
@@ -63,26 +65,26 @@
 class History:
     """Every entry at its latest, gone ones included until they are forgotten."""
 
-    def __init__(self, slot: int, start_s: float, saved: Saved | None = None) -> None:
+    def __init__(self, slot: int, start_s: float, state: HistoryState | None = None) -> None:
         """`slot`: of the keeper, 0 to SLOTS - 1; `start_s`: Unix time of this start."""
         if not 0 <= slot < SLOTS:
             raise ValueError(f"slot: allowed is 0 to {SLOTS - 1}")
-        saved = saved or Saved()
+        state = state or HistoryState()
         self._slot, self._start_s = slot, start_s
         self._entries: dict[Key, Entry] = {}
-        self._at: dict[Key, int] = {}  # the revision of an entry's latest change
+        self._revisions: dict[Key, int] = {}  # the revision of an entry's latest change
         self._log: list[tuple[int, Key]] = []  # ascending; an older change of an entry is passed over
-        self._floor = saved.floor  # the log holds what came after it
-        self._holes = list(saved.holes)
-        self.revision = saved.revision
-        for revision, entry in sorted(saved.entries, key=lambda item: item[0]):
-            self._entries[entry.key], self._at[entry.key] = entry, revision
+        self._floor = state.floor  # the log holds what came after it
+        self._holes = list(state.holes)
+        self.revision = state.revision
+        for revision, entry in sorted(state.entries, key=lambda item: item[0]):
+            self._entries[entry.key], self._revisions[entry.key] = entry, revision
             self._log.append((revision, entry.key))
-        self._jump(max(int(start_s * PER_SECOND), saved.revision // SLOTS + 1))
-        if not saved.revision:
+        self._advance_to(max(int(start_s * REVISIONS_PER_SECOND), state.revision // SLOTS + 1))
+        if not state.revision:
             self._floor = self.revision  # nobody knows an empty list of ours
 
-    def _jump(self, tick: int) -> None:
+    def _advance_to(self, tick: int) -> None:
         """Go on from a later number; those in between were never ours to promise anything of."""
         to = tick * SLOTS + self._slot
         if to > self.revision:
@@ -104,9 +106,9 @@
         """The entry as it stands, gone ones included."""
         return self._entries.get(key)
 
-    def at(self, key: Key) -> int:
+    def revision_of(self, key: Key) -> int:
         """The revision of an entry's latest change."""
-        return self._at[key]
+        return self._revisions[key]
 
     def entries(self) -> Iterable[Entry]:
         """All, gone ones included."""
@@ -115,55 +117,55 @@
     def put(self, entry: Entry) -> None:
         """Take a change; it gets the next revision."""
         self.revision += SLOTS
-        self._entries[entry.key], self._at[entry.key] = entry, self.revision
+        self._entries[entry.key], self._revisions[entry.key] = entry, self.revision
         self._log.append((self.revision, entry.key))
         if len(self._log) > 4 * len(self._entries) + 1024:
-            self._log = [(r, k) for r, k in self._log if self._at.get(k) == r]
+            self._log = [(r, k) for r, k in self._log if self._revisions.get(k) == r]
 
-    def forget(self, key: Key) -> None:
+    def purge(self, key: Key) -> None:
         """Drop a gone entry that everybody has heard of."""
         entry = self._entries[key]
         if not entry.is_gone:
             raise ValueError(f"{entry.id}: is {entry.phase}, not gone")
-        self._floor = max(self._floor, self._at.pop(key))
+        self._floor = max(self._floor, self._revisions.pop(key))
         del self._entries[key]
 
     def compact(self) -> None:
         """Keep no changes: whoever is not up to date is answered with the whole list."""
         self._log, self._floor = [], self.revision
 
-    def is_ours(self, after: int) -> bool:
+    def can_resume_from(self, after: int) -> bool:
         """Whether changes after that number can be told: ours, in the log's reach and in no hole."""
         if after % SLOTS != self._slot or not self._floor <= after <= self.revision:
             return False
         return not any(low < after < high for low, high in self._holes)
 
-    def is_ahead(self, after: int) -> bool:
+    def is_lost_revision(self, after: int) -> bool:
         """Whether a number looks like one that an earlier life of ours gave out and we have lost."""
-        most = (int(self._start_s) + MOST_AHEAD_S) * PER_SECOND * SLOTS
-        return after % SLOTS == self._slot and self.revision < after < most
+        limit = (int(self._start_s) + MAX_CLOCK_AHEAD_S) * REVISIONS_PER_SECOND * SLOTS
+        return after % SLOTS == self._slot and self.revision < after < limit
 
-    def skip_past(self, after: int) -> None:
+    def advance_past(self, after: int) -> None:
         """Somebody holds a later number of ours: nothing that we tell may seem older than that."""
-        if not 0 <= after <= LARGEST:
+        if not 0 <= after <= MAX_SAFE_INTEGER:
             raise ValueError("after: allowed is 0 to 2^53 - 1")
-        self._jump(after // SLOTS + 1)
+        self._advance_to(after // SLOTS + 1)
 
-    def after(self, revision: int | None) -> Changes:
+    def changes_since(self, revision: int | None) -> Changes:
         """What to tell somebody who knows the list as of `revision`; None: nothing is known."""
-        if revision is None or not self.is_ours(revision):
-            keys, whole = list(self._entries), True
+        if revision is None or not self.can_resume_from(revision):
+            keys, is_full = list(self._entries), True
         else:
             begin = bisect_right(self._log, revision, key=lambda item: item[0])
-            keys, whole = [k for r, k in self._log[begin:] if self._at.get(k) == r], False
+            keys, is_full = [k for r, k in self._log[begin:] if self._revisions.get(k) == r], False
         entries = tuple(self._entries[key] for key in keys)
-        return Changes(self.revision, whole, entries, tuple(self._at[key] for key in keys))
+        return Changes(self.revision, is_full, entries, tuple(self._revisions[key] for key in keys))
 
-    def marks(self) -> Saved:
+    def state_without_entries(self) -> HistoryState:
         """What has to be kept to go on from here, without the entries."""
-        return Saved(self.revision, self._floor, tuple(self._holes))
+        return HistoryState(self.revision, self._floor, tuple(self._holes))
 
-    def saved(self) -> Saved:
+    def state(self) -> HistoryState:
         """What has to be kept to go on from here."""
-        entries = tuple((self._at[key], entry) for key, entry in self._entries.items())
-        return Saved(self.revision, self._floor, tuple(self._holes), entries)
+        entries = tuple((self._revisions[key], entry) for key, entry in self._entries.items())
+        return HistoryState(self.revision, self._floor, tuple(self._holes), entries)
--- a/mastturn/allowance_check/search.py
+++ b/mastturn/allowance_check/search.py
@@ -14,7 +14,7 @@
 
 from quota.account import Account
 from quota.ledger import Ledger
-from quota.messages import Ask, Grant, Recall
+from quota.messages import Grant, Recall, TokenRequest
 
 TENANT = "t"
 DEFECTS = {
@@ -127,7 +127,7 @@
             yield from self._replica(state, number)
         for number, holder in enumerate(state.holders):
             for message in state.messages:
-                if isinstance(message, Ask) and not holder.waits:
+                if isinstance(message, TokenRequest) and not holder.waits:
                     yield f"holder {holder.epoch} hears {_text(message)}", self._asked(state, number, message)
         if len(state.holders) <= self.bounds.takeovers:
             epoch = state.backup[0] + 1
@@ -149,7 +149,7 @@
             if account.reserve(1):
                 yield f"replica {number} sends a request", _with(counted, number, account)
             else:
-                asks = state.messages | {account.ask(1)}
+                asks = state.messages | {account.request_tokens(1)}
                 yield f"replica {number} asks for one", replace(counted, messages=asks)
         for used in (0, 1):
             account = _account(state, number)
@@ -174,28 +174,28 @@
                     yield f"replica {number} gives back", replace(found, messages=found.messages | {told})
 
     def _take(self, account: Account, grant: Grant) -> None:
-        if self.defect == "delta" and grant.life == account.life:
+        if self.defect == "delta" and grant.incarnation == account.incarnation:
             account.granted += grant.granted
         else:
-            account.take(grant)
+            account.apply_grant(grant)
 
-    def _recalled(self, account: Account, recall: Recall) -> Ask | None:
-        told = account.recalled(recall)
+    def _recalled(self, account: Account, recall: Recall) -> TokenRequest | None:
+        told = account.handle_recall(recall)
         if self.defect == "generous" and told is not None:
             account.returned += account.reserved
-            return account.ask(0)
+            return account.request_tokens(0)
         return told
 
-    def _asked(self, state: State, number: int, ask: Ask) -> State:
+    def _asked(self, state: State, number: int, ask: TokenRequest) -> State:
         holder = state.holders[number]
-        ledger = Ledger.of(holder.state)
+        ledger = Ledger.from_state(holder.state)
         tenant = ledger.tenant(TENANT)
         assert tenant is not None
         if self.defect == "reborn":
-            for (replica, life), drawn in tenant.drawn.items():
-                if replica == ask.replica and life != ask.life:
+            for (replica, life), drawn in tenant.allocations.items():
+                if replica == ask.replica and life != ask.incarnation:
                     drawn.returned = drawn.granted
-        grant, recall = ledger.ask(ask, self.bounds.replicas)
+        grant, recall = ledger.handle_request(ask, self.bounds.replicas)
         if self.defect == "delta" and grant is not None:
             grant = replace(grant, granted=grant.granted - ask.granted)
         then = tuple(m for m in (grant, recall) if m is not None)
@@ -240,8 +240,8 @@
 
 def _text(message: Any) -> str:
     match message:
-        case Ask():
-            return f"ask of {message.replica}: {message.granted} known, {message.need} wanted"
+        case TokenRequest():
+            return f"ask of {message.replica}: {message.granted} known, {message.needed} wanted"
         case Grant():
             return f"grant to {message.replica}: {message.granted} in all"
         case Write():
--- a/mastturn/allowance_check/week.py
+++ b/mastturn/allowance_check/week.py
@@ -16,7 +16,7 @@
 
 from quota.account import Account
 from quota.ledger import Ledger
-from quota.messages import Ask, Recall
+from quota.messages import Recall, TokenRequest
 
 DAY_S, DAYS = 86_400.0, 7
 WAY_S = 0.005  # one way, between a replica and the ledger
@@ -120,12 +120,12 @@
             used, life, window = self._chance.randint(most // 2, most), replica.life, account.window
             self._at(ANSWER_S, lambda: self._ended(replica, life, name, most, used, window))
             soon = self._soon(replica, name)
-            if account.free() < soon // 2 and account.left > 0:
-                self._ask(replica, account.ask(0, soon))
+            if account.available() < soon // 2 and account.remaining > 0:
+                self._ask(replica, account.request_tokens(0, soon))
         elif self._is_short(replica, name, most):
             self._refuse(replica, name, most)
         elif patience:
-            self._ask(replica, account.ask(most, self._soon(replica, name)))
+            self._ask(replica, account.request_tokens(most, self._soon(replica, name)))
             wait = 2 * WAY_S + 1e-6 if patience == PATIENCE else AGAIN_S
             self._at(wait, lambda: self._decide(replica, name, most, patience - 1))
         else:
@@ -154,8 +154,8 @@
         """Tokens of a tenant that some request could still have: at the ledger, or free at a replica."""
         tenant = self.ledger.tenant(name)
         assert tenant is not None
-        free = sum(r.accounts[name].free() for r in self.replicas if name in r.accounts)
-        return tenant.left() + free
+        free = sum(r.accounts[name].available() for r in self.replicas if name in r.accounts)
+        return tenant.remaining() + free
 
     def _ended(self, replica: Replica, life: int, name: str, most: int, used: int, window: int) -> None:
         if replica.life != life:
@@ -167,23 +167,26 @@
         account = replica.accounts.get(name)
         if account is None:
             account = replica.accounts[name] = Account(replica.name, str(replica.life), name)
-            account.window, account.left = 1, 1
+            account.window, account.remaining = 1, 1
         return account
 
     # ---- the ledger
 
-    def _ask(self, replica: Replica, ask: Ask) -> None:
+    def _ask(self, replica: Replica, ask: TokenRequest) -> None:
         self.figures.asks += 1
         if not replica.is_out:
             self._at(WAY_S, lambda: self._heard(replica, ask))
 
-    def _heard(self, replica: Replica, ask: Ask) -> None:
+    def _heard(self, replica: Replica, ask: TokenRequest) -> None:
         if self._now < self._holderless_until:
             return
-        grant, recall = self.ledger.ask(ask, len(self.replicas))
+        grant, recall = self.ledger.handle_request(ask, len(self.replicas))
         if grant is not None:
             told = grant
-            self._at(WAY_S, lambda: None if replica.is_out else self._account(replica, ask.tenant).take(told))
+            self._at(
+                WAY_S,
+                lambda: None if replica.is_out else self._account(replica, ask.tenant).apply_grant(told),
+            )
         if recall is not None and self._now - self._recalled_at[ask.tenant] >= RECALL_S:
             self._recalled_at[ask.tenant] = self._now
             due = recall
@@ -193,7 +196,7 @@
 
     def _recalled(self, replica: Replica, recall: Recall) -> None:
         account = replica.accounts.get(recall.tenant)
-        if account is not None and not replica.is_out and (told := account.recalled(recall)) is not None:
+        if account is not None and not replica.is_out and (told := account.handle_recall(recall)) is not None:
             self._ask(replica, told)
 
     # ---- faults
@@ -206,7 +209,7 @@
         """One starts anew: what it had is gone, and what its requests had reserved counts as run on."""
         self._fault()
         replica = self._chance.choice(self.replicas)
-        self.figures.lost += sum(a.free() for a in replica.accounts.values())
+        self.figures.lost += sum(a.available() for a in replica.accounts.values())
         replica.accounts.clear()
         replica.life += 1
 
@@ -225,4 +228,4 @@
         """Another holds the ledger: it goes on from what was written."""
         self._fault()
         self._holderless_until = self._now + HOLDERLESS_S
-        self.ledger = Ledger.of(self.ledger.state())
+        self.ledger = Ledger.from_state(self.ledger.state())
--- a/mastturn/chaos/watchers.py
+++ b/mastturn/chaos/watchers.py
@@ -22,7 +22,7 @@
 
 def seen(entry: Entry) -> tuple[str, int, int, int, str]:
     """What a history keeps of an entry."""
-    return (entry.id, entry.incarnation, int(entry.word), entry.turn, entry.phase)
+    return (entry.id, entry.incarnation, int(entry.lifecycle), entry.turn, entry.phase)
 
 
 async def read(client: ClientSession, recorder: Recorder, source: str, address: str, list_name: str) -> None:
@@ -35,7 +35,7 @@
             await asyncio.sleep(PAUSE_S)
             continue
         after = got.changes.revision
-        if got.changes.entries or got.changes.whole:
+        if got.changes.entries or got.changes.is_full:
             _write(recorder, f"reader of {source}", source, got)
 
 
@@ -43,7 +43,7 @@
     members = [seen(entry) for entry in got.changes.entries]
     changes = got.changes
     recorder.write(
-        who, "told", source=source, revision=changes.revision, whole=changes.whole, members=members
+        who, "told", source=source, revision=changes.revision, whole=changes.is_full, members=members
     )
 
 
--- a/mastturn/emulator/listing.py
+++ b/mastturn/emulator/listing.py
@@ -103,7 +103,7 @@
         """Give the decisions an event."""
         events = self._world.events
         for action in self.core.handle(event, events.now):
-            if isinstance(action, replica.Told) and not self._waking:
+            if isinstance(action, replica.ListsChanged) and not self._waking:
                 self._waking = True
                 events.at(max(self._woken + WAKE_MS, events.now), self._wake)
             elif isinstance(action, replica.SetTimer) and isinstance(event, replica.TimeDue):
@@ -118,16 +118,16 @@
     def asked(self, watch: _Waiting) -> None:
         """A reader's or a peer's question has come."""
         if watch.peer and watch.after is not None:
-            self.do(replica.PeerAsked(watch.peer, watch.after))
+            self.do(replica.PeerRequest(watch.peer, watch.after))
         self._answer(watch, final=watch.after is None or watch.ends_ms <= self._world.events.now)
 
     def _answer(self, watch: _Waiting, final: bool) -> None:
         if watch.over:
             return
-        changes = self.core.history.after(watch.after)
-        if changes.whole or changes.entries or final:
+        changes = self.core.history.changes_since(watch.after)
+        if changes.is_full or changes.entries or final:
             watch.over = True
-            self._world.send("answers", watch.reader, (self, changes, self.core.vector()))
+            self._world.send("answers", watch.reader, (self, changes, self.core.version_vector()))
             return
         self._waiting.append(watch)
         self._world.events.at(watch.ends_ms, partial(self._ended, watch))
@@ -148,8 +148,8 @@
 
     def _told(self, peer: str, answer: tuple[_Replica, Any, dict[str, int]]) -> None:
         source, changes, seen = answer
-        leases = source.core.late_and_held(self._world.events.now)
-        self.do(replica.PeerTold(peer, changes, seen, *leases))
+        leases = source.core.lease_counts(self._world.events.now)
+        self.do(replica.PeerResponse(peer, changes, seen, *leases))
         self._ask_peer(peer)
 
     def _lost(self, peer: str) -> None:
@@ -187,14 +187,14 @@
         """Give the decisions an event."""
         world = self._world
         for action in self.core.handle(event, world.events.now):
-            if isinstance(action, follower.Ask):
+            if isinstance(action, follower.FetchList):
                 self._ask(action)
-            elif isinstance(action, follower.Pause):
-                world.events.after(action.wait_ms, lambda _: self.do(follower.PauseOver()))
+            elif isinstance(action, follower.Backoff):
+                world.events.after(action.wait_ms, lambda _: self.do(follower.BackoffElapsed()))
 
-    def _ask(self, ask: follower.Ask) -> None:
+    def _ask(self, ask: follower.FetchList) -> None:
         world, name = self._world, ask.replica
-        lost = partial(self.do, follower.Failed(name, "no answer"))
+        lost = partial(self.do, follower.FetchFailed(name, "no answer"))
         call = _Call(world, ask.wait_ms + ANSWER_MS, self._told, lost)
         watch = _Waiting(call.answer, ask.after, world.events.now + ask.wait_ms)
         world.send("questions of agents", self._replicas[name].asked, watch)
@@ -207,7 +207,7 @@
             begun = world.begun.get((entry.id, entry.incarnation))
             if begun is not None and (known is None or known.incarnation < entry.incarnation):
                 world.waits.append(world.events.now - begun)
-        self.do(follower.Told(source.name, source.name, changes, source.core.history.epoch, seen))
+        self.do(follower.ListReceived(source.name, source.name, changes, source.core.history.epoch, seen))
 
 
 def play(setup: Setup) -> Outcome:
--- a/mastturn/emulator/presence.py
+++ b/mastturn/emulator/presence.py
@@ -147,9 +147,9 @@
             match action:
                 case core.Check():
                     self._check(action)
-                case core.Ask():
+                case core.FetchView():
                     self._ask(action)
-                case core.Write(address, entry):
+                case core.SendEntry(address, entry):
                     other = self.world.hosts[name_at(address)]
                     written = partial(other.take, other.written)
                     self.world.send(self.name, other.name, ENTRY_BYTES, written, entry)
@@ -164,7 +164,7 @@
 
     def written(self, entry: Entry) -> None:
         """Another tells us its entry."""
-        self.do(core.Written(entry))
+        self.do(core.EntryReceived(entry))
 
     def _due(self, timer: int) -> None:
         if timer == self._timer:
@@ -188,11 +188,11 @@
 
     # ---- views -----------------------------------------------------------------------------------
 
-    def _ask(self, ask: core.Ask) -> None:
+    def _ask(self, ask: core.FetchView) -> None:
         world, name = self.world, name_at(ask.host_port)
         other = world.hosts[name]
-        told = partial(self.take, lambda changes: self.do(core.Told(ask.host_port, name, changes)))
-        lost = partial(self.take, lambda _: self.do(core.Lost(ask.host_port)))
+        told = partial(self.take, lambda changes: self.do(core.ViewReceived(ask.host_port, name, changes)))
+        lost = partial(self.take, lambda _: self.do(core.ViewFetchFailed(ask.host_port)))
         call = _Call(world, ask.wait_ms + ANSWER_MS, told, lambda: lost(None))
 
         def asked(until: float) -> None:
@@ -210,8 +210,8 @@
             self.world.events.at(until, partial(self.take, self._over), watch)
 
     def _answer(self, watch: _Watch, at_once: bool) -> bool:
-        changes = self.core.view.history.after(watch.after)
-        if not (changes.whole or changes.entries or at_once):
+        changes = self.core.view.history.changes_since(watch.after)
+        if not (changes.is_full or changes.entries or at_once):
             return False
         size = ENTRY_BYTES * len(changes.entries)
         self.world.send(self.name, watch.asker, size, watch.call.answer, changes)
@@ -368,7 +368,9 @@
 
 def _count(world: _World, begin: float, _: Any) -> None:
     now = world.events.now
-    numbers = [h.core.number(now) for h in world.hosts.values() if isinstance(h, _Member) and not h.dead]
+    numbers = [
+        h.core.balancer_count(now) for h in world.hosts.values() if isinstance(h, _Member) and not h.dead
+    ]
     world.outcome.counts.append((now - begin, min(numbers), max(numbers)))
 
 
--- a/mastturn/registry/agent.py
+++ b/mastturn/registry/agent.py
@@ -20,7 +20,7 @@
 
 from fleet.registry import follower as core
 from fleet.registry.entries import Entry
-from fleet.registry.history import Changes, Saved
+from fleet.registry.history import Changes, HistoryState
 from mastturn.registry.form import PATH, Detail, FormError, Source, as_detail, as_entry, write_listing
 from mastturn.registry.http import (
     WRITTEN,
@@ -65,7 +65,7 @@
     entries: tuple[tuple[int, Detail], ...]
 
 
-def read_snapshot(path: Path, list_name: str) -> core.Kept:
+def read_snapshot(path: Path, list_name: str) -> core.FollowerState:
     """What an earlier process has kept; nothing, with a line in the log, if that is spoilt."""
     try:
         told = msgspec.json.decode(path.read_bytes(), type=Snapshot)
@@ -73,14 +73,14 @@
             raise FormError(f"it is of format {told.format} and of list {told.list!r}")
         entries: tuple[tuple[int, Entry], ...] = tuple((r, as_entry(e, e.id)) for r, e in told.entries)
     except FileNotFoundError:
-        return core.Kept()
+        return core.FollowerState()
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError, FormError) as error:
         log.error("discovery: snapshot %s can't be used: %s", path, error)
-        return core.Kept()
-    return core.Kept(Saved(told.revision, told.floor, told.holes, entries), told.seen)
+        return core.FollowerState()
+    return core.FollowerState(HistoryState(told.revision, told.floor, told.holes, entries), told.seen)
 
 
-def write_snapshot(path: Path, list_name: str, kept: core.Kept) -> None:
+def write_snapshot(path: Path, list_name: str, kept: core.FollowerState) -> None:
     """Write it whole or not at all; raises OSError."""
     entries = tuple((revision, as_detail(entry)) for revision, entry in kept.history.entries)
     marks = kept.history
@@ -135,34 +135,34 @@
     def _do(self, event: core.Event) -> None:
         loop = asyncio.get_running_loop()
         actions = self.follower.handle(event, now_ms())
-        if isinstance(event, core.Told) and self.follower.heard_at is not None:
+        if isinstance(event, core.ListReceived) and self.follower.last_response_at is not None:
             self._has_list.set()
         if self.follower.is_down:
             self._up.clear()
-        elif self.follower.heard_at is not None:
+        elif self.follower.last_response_at is not None:
             self._up.set()
         for action in actions:
             match action:
-                case core.Ask():
+                case core.FetchList():
                     self._asking = loop.create_task(self._ask(action))
                     self._pace_s = 0.0
-                case core.Pause(wait):
-                    self._pausing = loop.call_later(wait / 1000, self._do, core.PauseOver())
+                case core.Backoff(wait):
+                    self._pausing = loop.call_later(wait / 1000, self._do, core.BackoffElapsed())
                 case core.Changed():
                     self._save()  # first of all: a new process must not begin before what was told
                     self.waiters.wake(None)
                 case core.Log(text):
                     log.info("%s", text)
 
-    async def _ask(self, ask: core.Ask) -> None:
+    async def _ask(self, ask: core.FetchList) -> None:
         event: core.Event
         if self._pace_s:
             await asyncio.sleep(self._pace_s)
         try:
             got = await ask_list(self._client, ask.replica, ask.after, ask.wait_ms, list=self._options.list)
-            event = core.Told(ask.replica, got.replica, got.changes, got.epoch, got.seen)
+            event = core.ListReceived(ask.replica, got.replica, got.changes, got.epoch, got.seen)
         except AskError as error:
-            event = core.Failed(ask.replica, str(error))
+            event = core.FetchFailed(ask.replica, str(error))
         self._do(event)
 
     def _save(self) -> None:
@@ -170,7 +170,7 @@
             return
         began = time.monotonic()
         try:
-            write_snapshot(self._options.snapshot, self._options.list, self.follower.kept())
+            write_snapshot(self._options.snapshot, self._options.list, self.follower.state())
         except OSError as error:
             log.error("discovery: no snapshot: %s", error)
         self._pace_s = PACE * (time.monotonic() - began)
@@ -178,7 +178,7 @@
     # ---- readers ---------------------------------------------------------------------------------
 
     def _age_ms(self) -> float:
-        heard = self.follower.heard_at
+        heard = self.follower.last_response_at
         return now_ms() - heard if heard is not None else 0.0
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
@@ -188,9 +188,9 @@
         await self._has_list.wait()  # silent until there is something to say
         history = self.follower.history
         after = question.after
-        if after is not None and history.is_ahead(after):
-            history.skip_past(after)
-        if after is not None and history.is_ours(after):
+        if after is not None and history.is_lost_revision(after):
+            history.advance_past(after)
+        if after is not None and history.can_resume_from(after):
             if question.wait_s and not self._changes(after).entries:
                 tell = partial(self._tell, request, after, question.detail)
                 if await self.waiters.wait("", question.wait_s, tell):
@@ -218,7 +218,7 @@
             self._shared.clear()
             self._bodies.clear()
         if (found := self._shared.get(after)) is None:
-            found = self._shared[after] = history.after(after)
+            found = self._shared[after] = history.changes_since(after)
         return found
 
     def _body(self, after: int | None, detail: bool) -> tuple[bytes, float]:
--- a/mastturn/registry/committer.py
+++ b/mastturn/registry/committer.py
@@ -132,10 +132,10 @@
             reply: core.Reply | None = None
             for action in self.replica.handle(event, now_ms()):
                 match action:
-                    case core.Store(entries, forgotten):
+                    case core.Persist(entries, forgotten):
                         self.remember(entries, forgotten)
                         batch.is_changed = True
-                    case core.Told(lists):
+                    case core.ListsChanged(lists):
                         batch.lists |= lists
                     case core.Reply():
                         reply = action
@@ -195,7 +195,12 @@
         replica = self.replica
         seen, acked = dict(replica.seen), dict(replica.acked)
         await self._thread.run(
-            self._store.write, list(rows.values()), list(gone), replica.history.marks(), seen, acked
+            self._store.write,
+            list(rows.values()),
+            list(gone),
+            replica.history.state_without_entries(),
+            seen,
+            acked,
         )
         for key, row in rows.items():
             if self._unstored.get(key) == row:
--- a/mastturn/registry/figures.py
+++ b/mastturn/registry/figures.py
@@ -11,7 +11,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.openmetrics.exposition import generate_latest
 
-from fleet.registry.history import PER_SECOND, SLOTS
+from fleet.registry.history import REVISIONS_PER_SECOND, SLOTS
 from fleet.registry.replica import Replica
 from mastturn.registry.http import now_ms
 
@@ -46,11 +46,15 @@
         yield entries
         plain = (
             ("registry_changes", "Changes in this life", (history.revision - history.epoch) // SLOTS),
-            ("registry_epoch_seconds", "Begin of this life", history.epoch // SLOTS // PER_SECOND),
+            ("registry_epoch_seconds", "Begin of this life", history.epoch // SLOTS // REVISIONS_PER_SECOND),
             ("registry_watches", "Watches that wait", state.watches),
             ("registry_leases", "Leases held here", len(replica.leases)),
-            ("registry_leases_late", "Of those, late ones", replica.leases.late(now_ms())),
-            ("registry_in_doubt", "1: too many are late, nobody is taken off", float(replica.doubts())),
+            ("registry_leases_late", "Of those, late ones", replica.leases.late_count(now_ms())),
+            (
+                "registry_in_doubt",
+                "1: too many are late, nobody is taken off",
+                float(replica.is_expiry_suspended()),
+            ),
             ("registry_disk_failing", "1: writes are refused", float(state.failing)),
         )
         for name, words, value in plain:
--- a/mastturn/registry/form.py
+++ b/mastturn/registry/form.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from fleet.registry.entries import PHASES, BadEntryError, Entry, Word
+from fleet.registry.entries import PHASES, Entry, InvalidEntryError, Lifecycle
 from fleet.registry.history import Changes
 from mastturn.files import place_and_words
 
@@ -99,7 +99,7 @@
     return f"{where or 'body'}: {said}"
 
 
-def _phase(phase: str, field: str = "phase") -> Word:
+def _phase(phase: str, field: str = "phase") -> Lifecycle:
     if phase not in PHASES:
         raise FormError(f"{field}: allowed is one of {', '.join(PHASES)}")
     return PHASES[phase]
@@ -128,7 +128,7 @@
         raise FormError(_plain(error)) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise FormError(f"body: no JSON: {error}") from None
-    except BadEntryError as error:
+    except InvalidEntryError as error:
         raise FormError(str(error)) from None
     return entry, told.incarnation
 
@@ -146,7 +146,7 @@
         entry.up_since_ms,
         entry.list,
         entry.incarnation,
-        entry.word.name.lower(),
+        entry.lifecycle.name.lower(),
         entry.turn,
         entry.lapsed,
         entry.holder,
@@ -171,7 +171,7 @@
 
 def as_entry(told: Detail, field: str) -> Entry:
     """An entry that a replica told; raises FormError with the place."""
-    words = {word.name.lower(): word for word in Word}
+    words = {word.name.lower(): word for word in Lifecycle}
     if told.word not in words:
         raise FormError(f"{field}.word: allowed is one of {', '.join(words)}")
     try:
@@ -191,7 +191,7 @@
             told.turn,
             told.lapsed,
         )
-    except BadEntryError as error:
+    except InvalidEntryError as error:
         raise FormError(f"{field}.{error}") from None
 
 
@@ -253,12 +253,14 @@
 ) -> bytes:
     """An answer; whole lists for readers hold nobody who has left."""
     if detail:
-        members: list[Any] = [as_detail(e, at) for e, at in zip(changes.entries, changes.at, strict=True)]
+        members: list[Any] = [
+            as_detail(e, at) for e, at in zip(changes.entries, changes.revisions, strict=True)
+        ]
     else:
-        members = [as_instance(entry) for entry in changes.entries if not (changes.whole and entry.is_gone)]
+        members = [as_instance(entry) for entry in changes.entries if not (changes.is_full and entry.is_gone)]
     shown = Shown(
         changes.revision,
-        changes.whole,
+        changes.is_full,
         members,
         epoch,
         source.replica,
--- a/mastturn/registry/registrant.py
+++ b/mastturn/registry/registrant.py
@@ -10,7 +10,7 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
-from fleet.registry.leases import RENEW_PARTS
+from fleet.registry.leases import RENEWALS_PER_LEASE
 from mastturn.registry.form import PATH
 from mastturn.registry.http import plain
 
@@ -95,7 +95,7 @@
                         log.warning("registry: %s: %s", address, plain(error))
 
     async def _run(self) -> None:
-        pause = self.values["lease_ms"] / 1000 / RENEW_PARTS
+        pause = self.values["lease_ms"] / 1000 / RENEWALS_PER_LEASE
         async with ClientSession() as client:
             while True:
                 self._again.clear()
--- a/mastturn/registry/service.py
+++ b/mastturn/registry/service.py
@@ -193,7 +193,9 @@
                 )
                 if got.replica != peer:
                     raise AskError(f"it calls itself {got.replica!r}")
-                await self._committer.submit(core.PeerTold(peer, got.changes, got.seen, got.late, got.held))
+                await self._committer.submit(
+                    core.PeerResponse(peer, got.changes, got.seen, got.late, got.held)
+                )
                 if not self.failing:  # what the answer held is stored, or was known
                     self._committer.stored_seen[peer] = self.replica.seen[peer]
                 self.peers_heard[peer] = time.monotonic()
@@ -221,14 +223,14 @@
             raise FormError(f"replica: {question.replica!r} is no peer of {self._options.name!r}")
         after = question.after
         if after is not None:
-            if history.is_ahead(after):
-                history.skip_past(after)
+            if history.is_lost_revision(after):
+                history.advance_past(after)
                 log.warning("registry: a reader knows revision %d, which we have lost: a new epoch", after)
             if is_peer:
-                self._committer.submit(core.PeerAsked(question.replica, after))
+                self._committer.submit(core.PeerRequest(question.replica, after))
         await self._committer.settled()
         changes, body = self._answer(after, question, is_peer)
-        if not changes.whole and not changes.entries and question.wait_s:
+        if not changes.is_full and not changes.entries and question.wait_s:
             tell = partial(self._tell, request, question, is_peer)
             if await self.waiters.wait(None if is_peer else question.list, question.wait_s, tell):
                 return WRITTEN
@@ -240,7 +242,7 @@
     def _tell(self, request: web.Request, question: Question, is_peer: bool) -> bool:
         """Answer a watch at once."""
         changes, body = self._answer(question.after, question, is_peer)
-        told = (changes.whole or bool(changes.entries)) and send_small(request, body)
+        told = (changes.is_full or bool(changes.entries)) and send_small(request, body)
         self.answers += told
         return told
 
@@ -250,16 +252,18 @@
         if self._answers_at != history.revision:
             self._answers.clear()
             self._answers_at = history.revision
-        leases = self.replica.late_and_held(now_ms()) if is_peer else (0, 0)
+        leases = self.replica.lease_counts(now_ms()) if is_peer else (0, 0)
         place = (after, "\n" if is_peer else question.list, question.detail, leases)
         if (found := self._answers.get(place)) is None:
-            changes = history.after(after)
+            changes = history.changes_since(after)
             if not is_peer:
-                changes = changes.only(question.list)
+                changes = changes.for_list(question.list)
             who = Source()
             if question.detail:
-                who = Source(self._options.name, self.replica.vector(), *leases)
-            body = write_listing(changes, history.epoch, question.detail, who, doubt=self.replica.doubts())
+                who = Source(self._options.name, self.replica.version_vector(), *leases)
+            body = write_listing(
+                changes, history.epoch, question.detail, who, doubt=self.replica.is_expiry_suspended()
+            )
             found = self._answers[place] = (changes, body)
         return found
 
@@ -297,7 +301,7 @@
             "id": entry.id,
             "incarnation": entry.incarnation,
             "phase": entry.phase,
-            "revision": self.replica.history.at(entry.key),
+            "revision": self.replica.history.revision_of(entry.key),
             "replica": self._options.name,
         }
         return web.json_response(values)
--- a/mastturn/registry/store.py
+++ b/mastturn/registry/store.py
@@ -19,8 +19,8 @@
 import msgspec
 
 from fleet.registry.entries import Entry, Key
-from fleet.registry.history import Saved
-from fleet.registry.replica import Kept
+from fleet.registry.history import HistoryState
+from fleet.registry.replica import ReplicaState
 from mastturn.registry.form import Detail, FormError, as_detail, as_entry
 
 log = logging.getLogger(__name__)
@@ -74,7 +74,7 @@
 
     # ---- opening ---------------------------------------------------------------------------------
 
-    def open(self) -> Kept:
+    def open(self) -> ReplicaState:
         """Read what is whole; raises StoreError only if no file can be made there."""
         read = self._read(self._path) if self._path.exists() else None
         if read is not None and read.facts is not None and read.facts.replica not in ("", self._replica):
@@ -83,11 +83,13 @@
             read = self._salvage(read)
         self._connect()
         if read is None:
-            return Kept()
+            return ReplicaState()
         facts = read.facts or Facts()
         entries = tuple(sorted(read.entries.values(), key=lambda item: item[0]))
         newest = max([facts.revision, *(revision for revision, _ in entries)])
-        kept = Kept(Saved(newest, facts.floor, facts.holes, entries), dict(facts.seen), dict(facts.acked))
+        kept = ReplicaState(
+            HistoryState(newest, facts.floor, facts.holes, entries), dict(facts.seen), dict(facts.acked)
+        )
         if self.lost:
             self.write(entries, (), kept.history, kept.seen, kept.acked)
         return kept
@@ -164,7 +166,7 @@
         self,
         entries: Iterable[tuple[int, Entry]],
         forgotten: Iterable[Key],
-        history: Saved,
+        history: HistoryState,
         seen: dict[str, int],
         acked: dict[str, int],
     ) -> None:
--- a/mastturnd/__main__.py
+++ b/mastturnd/__main__.py
@@ -84,7 +84,7 @@
         try:
             rest, log_level = role_flags.parse(argv)
         except WrongCallError as error:
-            print(f"{error.wrong}; {USAGE}", file=sys.stderr)
+            print(f"{error.problem}; {USAGE}", file=sys.stderr)
             return 2
     role = current_name(rest[0]) if len(rest) == 1 else ""
     if role not in ROLES:
--- a/mastturnd/asking.py
+++ b/mastturnd/asking.py
@@ -55,7 +55,7 @@
     try:
         host, port = parse_address(text)
     except SettingsError as error:
-        raise WrongCallError(error.wrong, error.remedy) from None
+        raise WrongCallError(error.problem, error.remedy) from None
     return f"{host}:{port}"
 
 
--- a/mastturnd/configuring.py
+++ b/mastturnd/configuring.py
@@ -49,7 +49,7 @@
     try:
         check(body)
     except InvalidConfigurationError as error:
-        raise FailedError(f"{name}: {error.wrong}", error.remedy) from None
+        raise FailedError(f"{name}: {error.problem}", error.remedy) from None
     raw: dict[str, Any] = json.loads(body)
     if names_of(raw) is None:
         raise FailedError(f"{name}: {FIELD} is no list of names", f'write it as "{FIELD}": ["edge-1"]')
@@ -97,7 +97,7 @@
             patch = parse_patch(body)
         result = apply_patch(now.body, patch, ConfigurationReader())
     except InvalidConfigurationError as error:
-        raise FailedError(f"{name}: {error.wrong}", error.remedy) from None
+        raise FailedError(f"{name}: {error.problem}", error.remedy) from None
     return body, patch, json.loads(result.body)
 
 
--- a/passpost/followed.py
+++ b/passpost/followed.py
@@ -15,15 +15,15 @@
 from typing import Any
 
 from fleet.registry import follower as core
-from fleet.registry.entries import Entry, Word
-from fleet.registry.history import Changes, Saved
+from fleet.registry.entries import Entry, Lifecycle
+from fleet.registry.history import Changes, HistoryState
 from passpost.discovery import CALL_TIMEOUT, PATH, Line, Listing, parse_address
 from passpost.http1 import Address, BadAnswerError
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
 log = logging.getLogger(__name__)
 
-WORDS = {word.name.lower(): word for word in Word}
+WORDS = {word.name.lower(): word for word in Lifecycle}
 
 
 def read_entry(told: dict[str, Any]) -> Entry:
@@ -39,14 +39,14 @@
         size=float(told.get("size", 1.0)),
         up_since_ms=float(told.get("up_since_ms", 0)),
         incarnation=int(told["incarnation"]),
-        word=WORDS[told["word"]],
+        lifecycle=WORDS[told["word"]],
         holder=str(told.get("holder", "")),
         turn=int(told.get("turn", 0)),
         lapsed=bool(told.get("lapsed", False)),
     )
 
 
-def read_answer(data: Any, replica: str, after: int | None) -> core.Told:
+def read_answer(data: Any, replica: str, after: int | None) -> core.ListReceived:
     """An answer; raises ValueError, TypeError or LookupError on what a list can't be."""
     revision, whole = int(data["revision"]), bool(data["complete"])
     if revision < 0 or (not whole and (after is None or revision < after)):
@@ -56,25 +56,25 @@
         raise ValueError("an id stands there twice")
     seen = {str(name): int(number) for name, number in data.get("seen", {}).items()}
     changes = Changes(revision, whole, entries)
-    return core.Told(replica, str(data.get("replica", "")), changes, int(data.get("epoch", 0)), seen)
+    return core.ListReceived(replica, str(data.get("replica", "")), changes, int(data.get("epoch", 0)), seen)
 
 
 def as_member(entry: Entry) -> Member:
     """What the module is told of an entry."""
     phase = Readiness.GONE if entry.is_gone else Readiness.READY
-    if phase is Readiness.READY and entry.word is Word.LEAVING:
+    if phase is Readiness.READY and entry.lifecycle is Lifecycle.LEAVING:
         phase = Readiness.DRAINING
     return Member(entry.id, phase, entry.locality, entry.cell, entry.size, entry.up_since_ms)
 
 
-def _kept(known: Listing) -> core.Kept:
+def _kept(known: Listing) -> core.FollowerState:
     """The saved list as the oldest report of all: any other replaces it, an empty one needs two witnesses."""
     entries = []
     for member in known.members:
         if member.readiness is not Readiness.GONE:
             host, port = known.addresses[member.server]
             place = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-            word = Word.LEAVING if member.readiness is Readiness.DRAINING else Word.ACTIVE
+            word = Lifecycle.LEAVING if member.readiness is Readiness.DRAINING else Lifecycle.ACTIVE
             entry = Entry(
                 member.server,
                 place,
@@ -84,10 +84,10 @@
                 member.cell,
                 member.size,
                 member.up_since_ms,
-                word=word,
+                lifecycle=word,
             )
             entries.append((0, entry))
-    return core.Kept(Saved(entries=tuple(entries)))
+    return core.FollowerState(HistoryState(entries=tuple(entries)))
 
 
 class Followed:
@@ -101,7 +101,7 @@
         self._begin(addresses, _kept(known))
         self.heard = asyncio.Event()  # discovery has answered
 
-    def _begin(self, addresses: tuple[Address, ...], kept: core.Kept) -> None:
+    def _begin(self, addresses: tuple[Address, ...], kept: core.FollowerState) -> None:
         self._places = {f"{host}:{port}": (host, port) for host, port in addresses}
         self._follower = core.Follower(tuple(self._places), "", self._seed, time.time(), kept)
         self._told = self._follower.history.revision
@@ -123,7 +123,7 @@
 
     def figures(self) -> dict[str, Any]:
         """Where the list comes from, the life of that place, and how long ago it answered."""
-        heard = self._follower.heard_at
+        heard = self._follower.last_response_at
         age = round(_now_ms() - heard) if heard is not None else None
         return {"source": self._follower.source, "epoch": self._follower.epoch, "age_ms": age}
 
@@ -139,7 +139,7 @@
             return
         self.stop()
         self._task = None
-        self._begin(addresses, core.Kept(self._follower.history.saved()))
+        self._begin(addresses, core.FollowerState(self._follower.history.state()))
         self.subscribe()
 
     def stop(self) -> None:
@@ -154,7 +154,7 @@
             while True:
                 was_down = self._follower.is_down
                 actions = self._follower.handle(event, _now_ms())
-                if isinstance(event, core.Told) and self._follower.heard_at is not None:
+                if isinstance(event, core.ListReceived) and self._follower.last_response_at is not None:
                     self._pass_on()
                 for action in actions:
                     if isinstance(action, core.Log):
@@ -169,14 +169,14 @@
     async def _carry_out(self, actions: list[core.Action], lines: dict[str, Line]) -> core.Event:
         """Ask, or pause: one of the two is always due."""
         for action in actions:
-            if isinstance(action, core.Pause):
+            if isinstance(action, core.Backoff):
                 await asyncio.sleep(action.wait_ms / 1000)
-                return core.PauseOver()
-            if isinstance(action, core.Ask):
+                return core.BackoffElapsed()
+            if isinstance(action, core.FetchList):
                 return await self._ask(action, lines[action.replica])
         raise AssertionError("the follower neither asks nor pauses")
 
-    async def _ask(self, ask: core.Ask, line: Line) -> core.Event:
+    async def _ask(self, ask: core.FetchList, line: Line) -> core.Event:
         target = f"{PATH}?detail=1"
         if ask.after is not None:
             target += f"&after={ask.after}&wait_ms={ask.wait_ms:.0f}"
@@ -189,10 +189,10 @@
             return read_answer(json.loads(answer.body), ask.replica, ask.after)
         except TimeoutError:
             line.hang_up()
-            return core.Failed(ask.replica, f"no answer within {seconds:g} s")
+            return core.FetchFailed(ask.replica, f"no answer within {seconds:g} s")
         except Exception as error:  # whatever is spoilt: the old list stands, and the next address is asked
             line.hang_up()
-            return core.Failed(ask.replica, f"{type(error).__name__}: {error}")
+            return core.FetchFailed(ask.replica, f"{type(error).__name__}: {error}")
 
     def _pass_on(self) -> None:
         history = self._follower.history
@@ -200,7 +200,7 @@
             entries = tuple(entry for entry in history.entries() if not entry.is_gone)
             self._addresses, kind = {}, ListKind.WHOLE
         elif history.revision != self._told:
-            entries, kind = history.after(self._told).entries, ListKind.CHANGES
+            entries, kind = history.changes_since(self._told).entries, ListKind.CHANGES
         else:
             return
         self._owes_whole, self._told = False, history.revision
--- a/quota/account.py
+++ b/quota/account.py
@@ -2,27 +2,37 @@
 
 from __future__ import annotations
 
-from quota.messages import Ask, Grant, Recall
+from quota.messages import Grant, Recall, TokenRequest
 
 
 class Account:
-    """Tokens of one tenant at one life of a replica; all figures are totals of the window."""
+    """Tokens of one tenant at one incarnation of a replica; all figures are totals of the window."""
 
-    __slots__ = ("granted", "left", "life", "replica", "reserved", "returned", "spent", "tenant", "window")
+    __slots__ = (
+        "granted",
+        "incarnation",
+        "remaining",
+        "replica",
+        "reserved",
+        "returned",
+        "spent",
+        "tenant",
+        "window",
+    )
 
-    def __init__(self, replica: str, life: str, tenant: str) -> None:
-        self.replica, self.life, self.tenant = replica, life, tenant
+    def __init__(self, replica: str, incarnation: str, tenant: str) -> None:
+        self.replica, self.incarnation, self.tenant = replica, incarnation, tenant
         self.window = 0
         self.granted = self.returned = self.spent = self.reserved = 0
-        self.left = 0  # that the ledger had when it last answered
+        self.remaining = 0  # that the ledger had when it last answered
 
-    def free(self) -> int:
+    def available(self) -> int:
         """What a request may reserve now."""
         return self.granted - self.returned - self.spent - self.reserved
 
     def reserve(self, tokens: int) -> bool:
         """Put aside the most that a request may use; False where that has to be asked for first."""
-        if tokens > self.free():
+        if tokens > self.available():
             return False
         self.reserved += tokens
         return True
@@ -33,33 +43,33 @@
             self.reserved -= reserved
             self.spent += min(used, reserved)
 
-    def ask(self, need: int, more: int = 0) -> Ask:
+    def request_tokens(self, needed: int, extra: int = 0) -> TokenRequest:
         """Ask for so many tokens, and so many more if there is plenty."""
-        return Ask(
+        return TokenRequest(
             self.replica,
-            self.life,
+            self.incarnation,
             self.tenant,
             self.window,
             self.granted,
             self.returned,
             self.spent,
-            need,
-            more,
+            needed,
+            extra,
         )
 
-    def take(self, grant: Grant) -> None:
+    def apply_grant(self, grant: Grant) -> None:
         """The ledger's word; that of a later window begins it here."""
-        if grant.life != self.life or grant.window < self.window:
+        if grant.incarnation != self.incarnation or grant.window < self.window:
             return
         if grant.window > self.window:
             self.window = grant.window
             self.granted = self.returned = self.spent = self.reserved = 0
         self.granted = max(self.granted, grant.granted)
-        self.left = grant.left
+        self.remaining = grant.remaining
 
-    def recalled(self, recall: Recall) -> Ask | None:
+    def handle_recall(self, recall: Recall) -> TokenRequest | None:
         """Give back what no request has reserved; None for another window."""
         if recall.window != self.window:
             return None
-        self.returned += self.free()
-        return self.ask(0)
+        self.returned += self.available()
+        return self.request_tokens(0)
--- a/quota/ledger.py
+++ b/quota/ledger.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from quota.messages import Ask, Grant, Recall
+from quota.messages import Grant, Recall, TokenRequest
 
-SPARE = 4  # what is granted beyond need is at most a part in so many, for each replica, of what is left
+SURPLUS_DIVISOR = 4  # beyond need, each replica is granted at most one part in so many of what remains
 
 
 @dataclass(slots=True)
-class Drawn:
+class Allocation:
     """What one life of a replica has drawn, in tokens."""
 
     granted: int = 0
@@ -25,34 +25,34 @@
 
 
 @dataclass(slots=True)
-class Tenant:
+class TenantWindow:
     """One tenant's window."""
 
     tokens: int  # its allowance in a window
     window: int = 1
-    drawn: dict[tuple[str, str], Drawn] = field(default_factory=dict)  # by replica and life
+    allocations: dict[tuple[str, str], Allocation] = field(default_factory=dict)  # by replica and life
 
-    def left(self) -> int:
+    def remaining(self) -> int:
         """What was not granted, or came back; less than 0 after the allowance was cut."""
-        return self.tokens - sum(d.granted - d.returned for d in self.drawn.values())
+        return self.tokens - sum(d.granted - d.returned for d in self.allocations.values())
 
 
 class Ledger:
     """All tenants."""
 
     def __init__(self, allowances: Mapping[str, int]) -> None:
-        self._tenants = {name: Tenant(tokens) for name, tokens in allowances.items()}
+        self._tenants = {name: TenantWindow(tokens) for name, tokens in allowances.items()}
 
-    def tenant(self, name: str) -> Tenant | None:
+    def tenant(self, name: str) -> TenantWindow | None:
         """One tenant's window, for a report."""
         return self._tenants.get(name)
 
-    def allow(self, allowances: Mapping[str, int]) -> None:
+    def set_allowances(self, allowances: Mapping[str, int]) -> None:
         """Other allowances are in force, also in mid-window; who is named no more is bound by none."""
         for name, tokens in allowances.items():
             known = self._tenants.get(name)
             if known is None:
-                self._tenants[name] = Tenant(tokens)
+                self._tenants[name] = TenantWindow(tokens)
             else:
                 known.tokens = tokens
         self._tenants = {name: t for name, t in self._tenants.items() if name in allowances}
@@ -61,34 +61,51 @@
         """The tenant's next window begins: all of its allowance is there again."""
         tenant = self._tenants[name]
         tenant.window += 1
-        tenant.drawn.clear()
+        tenant.allocations.clear()
 
-    def ask(self, ask: Ask, replicas: int) -> tuple[Grant | None, Recall | None]:
+    def handle_request(self, request: TokenRequest, replicas: int) -> tuple[Grant | None, Recall | None]:
         """Grant what is asked for as far as it is there; the recall that is due if it is not.
 
         `replicas`: how many there are. None for a tenant that has no allowance: it draws freely.
         """
-        tenant = self._tenants.get(ask.tenant)
-        if tenant is None or ask.window > tenant.window:  # a later one: no ledger of ours said so
+        tenant = self._tenants.get(request.tenant)
+        if tenant is None or request.window > tenant.window:  # a later one: no ledger of ours said so
             return None, None
-        drawn = tenant.drawn.setdefault((ask.replica, ask.life), Drawn())
+        allocation = tenant.allocations.setdefault((request.replica, request.incarnation), Allocation())
         recall = None
-        if ask.window == tenant.window:
-            drawn.granted = max(drawn.granted, ask.granted)
-            drawn.returned = max(drawn.returned, min(ask.returned, drawn.granted))
-            drawn.spent = max(drawn.spent, ask.spent)
-            recall = self._grant(tenant, drawn, ask, max(replicas, 1))
-        grant = Grant(ask.replica, ask.life, ask.tenant, tenant.window, drawn.granted, tenant.left())
+        if request.window == tenant.window:
+            allocation.granted = max(allocation.granted, request.granted)
+            allocation.returned = max(allocation.returned, min(request.returned, allocation.granted))
+            allocation.spent = max(allocation.spent, request.spent)
+            recall = self._grant(tenant, allocation, request, max(replicas, 1))
+        grant = Grant(
+            request.replica,
+            request.incarnation,
+            request.tenant,
+            tenant.window,
+            allocation.granted,
+            tenant.remaining(),
+        )
         return grant, recall
 
-    def _grant(self, tenant: Tenant, drawn: Drawn, ask: Ask, replicas: int) -> Recall | None:
-        unheard = drawn.granted - ask.granted  # in an answer that was lost, or is on its way
-        need, left = max(ask.need - unheard, 0), tenant.left()
-        if need > left:
-            outside = any(d.granted - d.returned > d.spent for d in tenant.drawn.values() if d is not drawn)
-            return Recall(ask.tenant, tenant.window) if outside else None
-        more = max(min(ask.more - max(unheard - ask.need, 0), (left - need) // (SPARE * replicas)), 0)
-        drawn.granted += need + more
+    def _grant(
+        self, tenant: TenantWindow, allocation: Allocation, request: TokenRequest, replicas: int
+    ) -> Recall | None:
+        unacknowledged = allocation.granted - request.granted  # in an answer that was lost, or is on its way
+        needed, remaining = max(request.needed - unacknowledged, 0), tenant.remaining()
+        if needed > remaining:
+            is_recallable = any(
+                d.granted - d.returned > d.spent for d in tenant.allocations.values() if d is not allocation
+            )
+            return Recall(request.tenant, tenant.window) if is_recallable else None
+        extra = max(
+            min(
+                request.extra - max(unacknowledged - request.needed, 0),
+                (remaining - needed) // (SURPLUS_DIVISOR * replicas),
+            ),
+            0,
+        )
+        allocation.granted += needed + extra
         return None
 
     # ---- as it is written
@@ -100,20 +117,21 @@
                 name,
                 t.tokens,
                 t.window,
-                tuple((*k, d.granted, d.returned, d.spent) for k, d in sorted(t.drawn.items())),
+                tuple((*k, d.granted, d.returned, d.spent) for k, d in sorted(t.allocations.items())),
             )
             for name, t in sorted(self._tenants.items())
         )
 
     @classmethod
-    def of(cls, state: Iterable[tuple[object, ...]]) -> Ledger:
+    def from_state(cls, state: Iterable[tuple[object, ...]]) -> Ledger:
         """The ledger of such a state."""
         found = cls({})
         for name, tokens, window, drawn in state:
             assert isinstance(name, str) and isinstance(tokens, int) and isinstance(window, int)
             assert isinstance(drawn, tuple)
-            lives = {
-                (r, life): Drawn(granted, returned, spent) for r, life, granted, returned, spent in drawn
+            allocations = {
+                (replica, incarnation): Allocation(granted, returned, spent)
+                for replica, incarnation, granted, returned, spent in drawn
             }
-            found._tenants[name] = Tenant(tokens, window, lives)
+            found._tenants[name] = TenantWindow(tokens, window, allocations)
         return found
--- a/quota/messages.py
+++ b/quota/messages.py
@@ -10,30 +10,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A replica's account of one tenant, in tokens. `life`: it has a new one with each start."""
+class TokenRequest:
+    """A replica's account of one tenant, in tokens. `incarnation`: it has a new one with each start."""
 
     replica: str
-    life: str
+    incarnation: str
     tenant: str
     window: int
     granted: int  # that it knows of
     returned: int
     spent: int  # by requests that have ended
-    need: int  # for requests that wait
-    more: int  # that it would use soon
+    needed: int  # for requests that wait
+    extra: int  # that it would use soon
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The ledger's answer: all that this life of a replica was ever granted in the window."""
+    """The ledger's answer: all that this incarnation of a replica was ever granted in the window."""
 
     replica: str
-    life: str
+    incarnation: str
     tenant: str
     window: int
     granted: int
-    left: int  # that the ledger has not granted
+    remaining: int  # that the ledger has not granted
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -8,8 +8,8 @@
 
 from mastturn.allowance_check.week import Week
 from quota.account import Account
-from quota.ledger import SPARE, Ledger
-from quota.messages import Ask, Recall
+from quota.ledger import SURPLUS_DIVISOR, Ledger
+from quota.messages import Recall, TokenRequest
 
 
 def account(name: str, life: str = "1") -> Account:
@@ -18,9 +18,9 @@
     return found
 
 
-def grant(ledger: Ledger, ask: Ask, replicas: int = 1) -> int:
+def grant(ledger: Ledger, ask: TokenRequest, replicas: int = 1) -> int:
     """What a replica has in all by the ledger's answer."""
-    answer, _ = ledger.ask(ask, replicas)
+    answer, _ = ledger.handle_request(ask, replicas)
     assert answer is not None
     return answer.granted
 
@@ -28,126 +28,129 @@
 def left(ledger: Ledger) -> int:
     tenant = ledger.tenant("audits")
     assert tenant is not None
-    return tenant.left()
+    return tenant.remaining()
 
 
 def test_an_ask_that_comes_twice_grants_once() -> None:
     ledger, here = Ledger({"audits": 100}), account("a")
-    ask = here.ask(30)
+    ask = here.request_tokens(30)
     assert grant(ledger, ask) == grant(ledger, ask) == 30 and left(ledger) == 70
 
 
 def test_a_grant_that_was_lost_is_told_again_with_the_next_ask() -> None:
     ledger, here = Ledger({"audits": 100}), account("a")
-    ledger.ask(here.ask(30), 1)  # the answer never comes
-    answer, _ = ledger.ask(here.ask(40), 1)
+    ledger.handle_request(here.request_tokens(30), 1)  # the answer never comes
+    answer, _ = ledger.handle_request(here.request_tokens(40), 1)
     assert answer is not None and answer.granted == 40  # not 70
-    here.take(answer)
-    assert here.free() == 40 and left(ledger) == 60
+    here.apply_grant(answer)
+    assert here.available() == 40 and left(ledger) == 60
 
 
 def test_late_answers_of_either_order_or_life_change_nothing() -> None:
     ledger, here = Ledger({"audits": 100}), account("a")
-    first, _ = ledger.ask(here.ask(10), 1)
-    second, _ = ledger.ask(here.ask(25), 1)
+    first, _ = ledger.handle_request(here.request_tokens(10), 1)
+    second, _ = ledger.handle_request(here.request_tokens(25), 1)
     assert first is not None and second is not None
-    here.take(second)
-    here.take(first)
-    here.take(replace(second, life="0", granted=90))
-    assert here.free() == 25
+    here.apply_grant(second)
+    here.apply_grant(first)
+    here.apply_grant(replace(second, incarnation="0", granted=90))
+    assert here.available() == 25
 
 
 def test_what_comes_back_is_counted_once_and_no_more_than_was_granted() -> None:
     ledger, here = Ledger({"audits": 100}), account("a")
-    answer, _ = ledger.ask(here.ask(60), 1)
+    answer, _ = ledger.handle_request(here.request_tokens(60), 1)
     assert answer is not None
-    here.take(answer)
+    here.apply_grant(answer)
     assert here.reserve(20)
-    told = here.recalled(Recall("audits", 1))
-    assert told is not None and told.returned == 40 and here.free() == 0
+    told = here.handle_recall(Recall("audits", 1))
+    assert told is not None and told.returned == 40 and here.available() == 0
     for _ in range(3):
-        ledger.ask(told, 1)
+        ledger.handle_request(told, 1)
     assert left(ledger) == 80
-    ledger.ask(replace(told, returned=500), 1)
+    ledger.handle_request(replace(told, returned=500), 1)
     assert left(ledger) == 100  # a replica's word can take back no more than it got
 
 
 def test_more_than_is_needed_is_granted_only_while_there_is_plenty() -> None:
     ledger = Ledger({"audits": 1_000})
-    assert grant(ledger, account("a").ask(0, 900), 10) == 1_000 // (SPARE * 10)
-    assert grant(ledger, account("b").ask(500, 900), 10) == 500 + 475 // (SPARE * 10)
+    assert grant(ledger, account("a").request_tokens(0, 900), 10) == 1_000 // (SURPLUS_DIVISOR * 10)
+    assert grant(ledger, account("b").request_tokens(500, 900), 10) == 500 + 475 // (SURPLUS_DIVISOR * 10)
 
 
 def test_tokens_that_others_do_not_need_are_recalled_where_one_lacks_them() -> None:
     ledger, here, there = Ledger({"audits": 100}), account("a"), account("b")
-    answer, _ = ledger.ask(here.ask(80), 2)
+    answer, _ = ledger.handle_request(here.request_tokens(80), 2)
     assert answer is not None
-    here.take(answer)
+    here.apply_grant(answer)
     assert here.reserve(10)
-    _, recall = ledger.ask(there.ask(50), 2)
+    _, recall = ledger.handle_request(there.request_tokens(50), 2)
     assert recall == Recall("audits", 1)
-    told = here.recalled(recall)
+    told = here.handle_recall(recall)
     assert told is not None
-    ledger.ask(told, 2)
-    answer, _ = ledger.ask(there.ask(50), 2)
+    ledger.handle_request(told, 2)
+    answer, _ = ledger.handle_request(there.request_tokens(50), 2)
     assert answer is not None and answer.granted == 50
-    there.take(answer)
+    there.apply_grant(answer)
     here.settle(10, 10, 1)
-    ledger.ask(here.ask(0), 2)
-    answer, _ = ledger.ask(there.ask(40), 2)
+    ledger.handle_request(here.request_tokens(0), 2)
+    answer, _ = ledger.handle_request(there.request_tokens(40), 2)
     assert answer is not None
-    there.take(answer)
+    there.apply_grant(answer)
     assert there.reserve(90)
     there.settle(90, 90, 1)
-    answer, recall = ledger.ask(there.ask(1), 2)
+    answer, recall = ledger.handle_request(there.request_tokens(1), 2)
     assert answer is not None and answer.granted == 90 and recall is None  # nobody has any: all was used
 
 
 def test_a_life_that_is_over_keeps_what_it_was_granted() -> None:
     ledger = Ledger({"audits": 100})
-    grant(ledger, account("a", "1").ask(30))
-    grant(ledger, account("a", "2").ask(20))
+    grant(ledger, account("a", "1").request_tokens(30))
+    grant(ledger, account("a", "2").request_tokens(20))
     assert left(ledger) == 50
 
 
 def test_an_allowance_that_is_cut_in_mid_window_grants_nothing_more_and_one_that_grows_does() -> None:
     ledger, here = Ledger({"audits": 100}), account("a")
-    grant(ledger, here.ask(60))
-    ledger.allow({"audits": 50, "tags": 7})
-    assert left(ledger) == -10 and grant(ledger, account("b").ask(1)) == 0
-    ledger.allow({"audits": 80})
-    assert grant(ledger, account("b").ask(20)) == 20 and ledger.tenant("tags") is None
-    assert ledger.ask(replace(here.ask(1), tenant="tags"), 1) == (None, None)
+    grant(ledger, here.request_tokens(60))
+    ledger.set_allowances({"audits": 50, "tags": 7})
+    assert left(ledger) == -10 and grant(ledger, account("b").request_tokens(1)) == 0
+    ledger.set_allowances({"audits": 80})
+    assert grant(ledger, account("b").request_tokens(20)) == 20 and ledger.tenant("tags") is None
+    assert ledger.handle_request(replace(here.request_tokens(1), tenant="tags"), 1) == (None, None)
 
 
 def test_a_window_begins_with_the_whole_and_what_runs_across_is_paid_in_the_one_before() -> None:
     ledger, here = Ledger({"audits": 100}), account("a")
-    answer, _ = ledger.ask(here.ask(90), 1)
+    answer, _ = ledger.handle_request(here.request_tokens(90), 1)
     assert answer is not None
-    here.take(answer)
+    here.apply_grant(answer)
     assert here.reserve(90)
     ledger.begin_window("audits")
-    answer, _ = ledger.ask(here.ask(50), 1)
+    answer, _ = ledger.handle_request(here.request_tokens(50), 1)
     assert (
         answer is not None and answer.granted == 0
     )  # it asked within the old window: it is told of the new one
-    here.take(answer)
+    here.apply_grant(answer)
     here.settle(90, 40, 1)
-    assert here.free() == 0 and here.window == 2
-    answer, _ = ledger.ask(here.ask(50), 1)
+    assert here.available() == 0 and here.window == 2
+    answer, _ = ledger.handle_request(here.request_tokens(50), 1)
     assert answer is not None
-    here.take(answer)
-    assert here.free() == 50 and left(ledger) == 50
+    here.apply_grant(answer)
+    assert here.available() == 50 and left(ledger) == 50
 
 
 def test_an_ask_of_a_window_that_nobody_has_begun_is_no_ask() -> None:
-    assert Ledger({"audits": 9}).ask(replace(account("a").ask(1), window=3), 1) == (None, None)
+    assert Ledger({"audits": 9}).handle_request(replace(account("a").request_tokens(1), window=3), 1) == (
+        None,
+        None,
+    )
 
 
 def test_the_ledger_goes_on_from_what_was_written() -> None:
     ledger = Ledger({"audits": 100, "tags": 5})
-    grant(ledger, account("a").ask(30))
-    again = Ledger.of(ledger.state())
+    grant(ledger, account("a").request_tokens(30))
+    again = Ledger.from_state(ledger.state())
     assert again.state() == ledger.state() and left(again) == 70
 
 
--- a/tests/test_config_settings.py
+++ b/tests/test_config_settings.py
@@ -113,7 +113,7 @@
 def test_fields_that_are_needed_are_named(path: str, value: Any) -> None:
     with pytest.raises(SettingsError) as told:
         parse(changed(path, value))
-    assert told.value.wrong == f"there is no {path}"
+    assert told.value.problem == f"there is no {path}"
     assert told.value.remedy == f"add {path.rpartition('.')[2]}"
 
 
@@ -164,7 +164,7 @@
 def test_wrong_fields_are_named_with_their_remedy(path: str, value: Any, remedy: str) -> None:
     with pytest.raises(SettingsError) as told:
         parse(changed(path, value))
-    assert path in told.value.wrong
+    assert path in told.value.problem
     assert told.value.remedy.startswith(remedy)
     assert "\n" not in str(told.value) and len(str(told.value)) < 200
 
--- a/tests/test_membership_core.py
+++ b/tests/test_membership_core.py
@@ -9,11 +9,11 @@
 import pytest
 
 from fleet.membership import detector as core
-from fleet.membership.count import FADE_MS, Counted
-from fleet.membership.settings import PERIOD_MS, STANDSTILL_MS, Settings, suspicion_ms
-from fleet.membership.states import MOVES, State, Word
-from fleet.membership.view import FORGET_MS, REFUSED, SILENT, View
-from fleet.registry.entries import BadEntryError, Entry
+from fleet.membership.count import DECAY_MS, BalancerCount
+from fleet.membership.settings import MAX_STALL_MS, PERIOD_MS, Settings, suspicion_ms
+from fleet.membership.states import TRANSITIONS, State, Trigger
+from fleet.membership.view import REFUSED, SILENT, TOMBSTONE_MS, View
+from fleet.registry.entries import Entry, InvalidEntryError
 
 START_S = 1_700_000_000.0
 FLEET = "shop"
@@ -29,7 +29,7 @@
 
 def tell(reader: View, *sources: View, now: float = 0.0) -> None:
     for source in sources:
-        reader.merge(source.history.after(None).entries, source.own.id, now)
+        reader.merge(source.history.changes_since(None).entries, source.own.id, now)
 
 
 def met(*names: str) -> dict[str, View]:
@@ -46,10 +46,16 @@
 
 
 def test_the_table_moves_nobody_back_from_leaving_but_by_a_newer_process() -> None:
-    assert {word for (before, word) in MOVES if before is State.LEFT} == {Word.NEWER}
-    assert {before for (before, word) in MOVES if word is Word.GOES} == set(State) - {State.LEFT}
-    assert MOVES[State.SUSPECTED, Word.REFUTES] is State.PRESENT is MOVES[State.FAILED, Word.REFUTES]
-    assert all(MOVES[key] is not key[0] for key in MOVES)
+    assert {trigger for (before, trigger) in TRANSITIONS if before is State.LEFT} == {Trigger.SUPERSEDED}
+    assert {before for (before, trigger) in TRANSITIONS if trigger is Trigger.LEFT} == set(State) - {
+        State.LEFT
+    }
+    assert (
+        TRANSITIONS[State.SUSPECTED, Trigger.REFUTED]
+        is State.PRESENT
+        is TRANSITIONS[State.FAILED, Trigger.REFUTED]
+    )
+    assert all(TRANSITIONS[key] is not key[0] for key in TRANSITIONS)
 
 
 def test_what_one_tells_who_is_not_present_counts_when_we_have_reached_it() -> None:
@@ -59,7 +65,7 @@
     assert {state(views["a"], entry.id) for entry in strangers} == {State.JOINING}
     assert views["a"].count(State.PRESENT, State.SUSPECTED) == 3
     views["a"].merge(strangers[:1], "c", 2.0)
-    views["a"].reached("x1", 3.0)
+    views["a"].mark_reached("x1", 3.0)
     assert state(views["a"], "x0") is State.PRESENT is state(views["a"], "x1")
     assert state(views["a"], "x2") is State.JOINING
 
@@ -70,8 +76,8 @@
     asked = 0
     for i in range(50):
         entry = Entry(f"x{i}", f"10.0.0.9:{1 + i}", f"members.{FLEET}")
-        asked += sum(isinstance(a, core.Ask) for a in part.handle(core.Written(entry), 1.0))
-    assert asked == core.MOST_ASKED and set(part.view.members) == {"a"}
+        asked += sum(isinstance(a, core.FetchView) for a in part.handle(core.EntryReceived(entry), 1.0))
+    assert asked == core.MAX_FETCHES and set(part.view.members) == {"a"}
 
 
 def test_two_fleets_that_share_an_address_do_not_merge() -> None:
@@ -107,11 +113,11 @@
     for order in itertools.permutations(range(3)):
         views = met("a", "b", "c", "d")
         views["a"].accuse("b", SILENT, 1.0)
-        accused = views["a"].history.after(None).entries
-        views["a"].judge("b", 2.0)
-        judged = views["a"].history.after(None).entries
+        accused = views["a"].history.changes_since(None).entries
+        views["a"].mark_failed("b", 2.0)
+        judged = views["a"].history.changes_since(None).entries
         tell(views["b"], views["a"], now=3.0)
-        refuted = views["b"].history.after(None).entries
+        refuted = views["b"].history.changes_since(None).entries
         for place in order:
             views["d"].merge((accused, judged, refuted)[place], "a", 4.0)
         assert state(views["d"], "b") is State.PRESENT
@@ -122,7 +128,7 @@
     views = met("a", "b", "c")
     views["a"].accuse("b", SILENT, 1.0)
     tell(views["b"], views["a"], now=2.0)
-    views["a"].judge("b", 2.0)
+    views["a"].mark_failed("b", 2.0)
     assert state(views["a"], "b") is State.FAILED
     tell(views["a"], views["b"], now=3.0)
     assert state(views["a"], "b") is State.PRESENT
@@ -153,9 +159,9 @@
     views["a"].accuse("b", SILENT, 0.0)
     views["a"].withdraw("b", 0.0)
     views["b"].leave(0.0)
-    views["b"].write(replace(views["b"].own, lapsed=True, turn=views["b"].own.turn + 1), 0.0)
+    views["b"].publish(replace(views["b"].own, lapsed=True, turn=views["b"].own.turn + 1), 0.0)
     tell(views["a"], views["b"])
-    views["a"].forget(FORGET_MS)
+    views["a"].purge(TOMBSTONE_MS)
     assert set(views["a"].members) == {"a"} and len(views["a"].history) == 1
 
 
@@ -169,13 +175,13 @@
     ],
 )
 def test_settings_that_no_process_can_have_are_refused(more: dict[str, Any], field: str) -> None:
-    with pytest.raises(BadEntryError, match=field):
+    with pytest.raises(InvalidEntryError, match=field):
         replace(settings("a"), **more)
 
 
 def test_suspicion_grows_with_the_fleet_and_with_loss() -> None:
-    assert suspicion_ms(10) == suspicion_ms(200) == STANDSTILL_MS
-    assert suspicion_ms(2_000, loss=0.2) > suspicion_ms(200, loss=0.2) > STANDSTILL_MS
+    assert suspicion_ms(10) == suspicion_ms(200) == MAX_STALL_MS
+    assert suspicion_ms(2_000, loss=0.2) > suspicion_ms(200, loss=0.2) > MAX_STALL_MS
     with pytest.raises(ValueError, match="loss"):
         suspicion_ms(10, loss=0.9)
 
@@ -184,16 +190,16 @@
 
 
 def test_the_number_rises_at_once_falls_slowly_and_at_once_for_those_who_said_so() -> None:
-    counted = Counted(1)
-    counted.see(10, 0, 0.0)
-    assert counted.number(0.0) == 10
-    counted.see(3, 0, 1.0)
-    assert counted.number(1.0) == 10 and 5 <= counted.number(FADE_MS) <= 6
-    assert counted.number(10 * FADE_MS) == 3
-    counted.see(2, 1, 10 * FADE_MS)
-    assert counted.number(10 * FADE_MS) == 2
-    counted.see(20, 0, 10 * FADE_MS)
-    assert counted.number(10 * FADE_MS) == 20
+    counted = BalancerCount(1)
+    counted.update(10, 0, 0.0)
+    assert counted.value(0.0) == 10
+    counted.update(3, 0, 1.0)
+    assert counted.value(1.0) == 10 and 5 <= counted.value(DECAY_MS) <= 6
+    assert counted.value(10 * DECAY_MS) == 3
+    counted.update(2, 1, 10 * DECAY_MS)
+    assert counted.value(10 * DECAY_MS) == 2
+    counted.update(20, 0, 10 * DECAY_MS)
+    assert counted.value(10 * DECAY_MS) == 20
 
 
 # ---- the detector ---------------------------------------------------------------------------------
@@ -218,24 +224,24 @@
             match action:
                 case core.Check(other, _, _):
                     self.do(name, core.Checked(other, self.unreached.get((name, other), "")))
-                case core.Ask(address, after, _):
+                case core.FetchView(address, after, _):
                     other = self.named[address]
                     if self.unreached.get((name, other)):
-                        self.do(name, core.Lost(address))
+                        self.do(name, core.ViewFetchFailed(address))
                         continue
                     source = self.parts[other]
-                    changes = source.view.history.after(after)
-                    if changes.whole or changes.entries:
-                        self.do(name, core.Told(address, other, changes))
+                    changes = source.view.history.changes_since(after)
+                    if changes.is_full or changes.entries:
+                        self.do(name, core.ViewReceived(address, other, changes))
                     else:
-                        self.do(name, core.Lost(address))  # in place of a watch that waits
-                case core.Write(address, entry):
+                        self.do(name, core.ViewFetchFailed(address))  # in place of a watch that waits
+                case core.SendEntry(address, entry):
                     target = self.named[address]
                     if not self.unreached.get((name, target)):
-                        self.do(target, core.Written(entry))
+                        self.do(target, core.EntryReceived(entry))
                 case core.Log(text):
                     self.log.append(f"{name}: {text}")
-                case core.Balancers(count):
+                case core.BalancerCountChanged(count):
                     self.numbers[name] = count
 
     def wait(self, ms: float) -> None:
@@ -265,7 +271,7 @@
     table = Table("a", "b", "c", "d", "e")
     table.wait(4_000.0)
     table.cut("e")
-    table.wait(STANDSTILL_MS - PERIOD_MS)
+    table.wait(MAX_STALL_MS - PERIOD_MS)
     assert table.state("a", "e") is State.SUSPECTED
     table.wait(3_000.0)
     assert [table.state(name, "e") for name in "abcd"] == [State.FAILED] * 4
@@ -290,7 +296,7 @@
     table.wait(6_000.0)
     table.cut("a", "b")
     table.wait(12_000.0)
-    assert table.parts["a"].doubts and not table.parts["c"].doubts
+    assert table.parts["a"].is_isolated and not table.parts["c"].is_isolated
     assert {table.state("a", name) for name in "cdefghi"} == {State.SUSPECTED}
     assert {table.state("c", name) for name in "ab"} == {State.FAILED}
     table.unreached.clear()
@@ -350,7 +356,7 @@
                 if what == "accuse":
                     views[who].accuse(whom, SILENT, now)
                 elif what == "judge" and state(views[who], whom) is not State.LEFT:
-                    views[who].judge(whom, now)
+                    views[who].mark_failed(whom, now)
                 elif what == "hear":
                     tell(views[who], views[whom], now=now)
                 elif what == "leave":
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,8 +19,8 @@
 
 from fleet.registry import replica as core
 from fleet.registry.entries import Entry
-from fleet.registry.follower import Kept
-from fleet.registry.history import Saved
+from fleet.registry.follower import FollowerState
+from fleet.registry.history import HistoryState
 from mastturn.registry import agent as agents
 from mastturn.registry import http, service
 from mastturn.registry.committer import Committer
@@ -230,13 +230,13 @@
 from pathlib import Path
 from fleet.registry import replica as core
 from fleet.registry.entries import Entry
-from fleet.registry.follower import Kept
-from fleet.registry.history import Saved
+from fleet.registry.follower import FollowerState
+from fleet.registry.history import HistoryState
 from mastturn.registry.store import Store
 store = Store(Path({str(tmp_path / "a.db")!r}), "a")
 store.open()
 for i in range(10**6):
-    store.write([(i, Entry(f"s-{{i}}", "127.0.0.1:1"))], [], Saved(i), {{}}, {{}})
+    store.write([(i, Entry(f"s-{{i}}", "127.0.0.1:1"))], [], HistoryState(i), {{}}, {{}})
     print(i, flush=True)
 """
     for _ in range(3):
@@ -556,7 +556,7 @@
             assert [m["id"] for m in answer["members"]] == ["s-1"] and answer["revision"] > revision
             watch.cancel()
             await fleet.start("b")
-            await until(lambda: not again.follower.is_down and again.follower.heard_at is not None)
+            await until(lambda: not again.follower.is_down and again.follower.last_response_at is not None)
             await again.stop()
 
     run(test())
@@ -567,7 +567,7 @@
     assert not agents.read_snapshot(path, "").history.entries
     path.write_bytes(b'{"format":1,"list":')
     assert not agents.read_snapshot(path, "").history.entries
-    kept = Kept(Saved(16, 0, (), ((16, Entry("x", "127.0.0.1:1")),)), {"a": 3})
+    kept = FollowerState(HistoryState(16, 0, (), ((16, Entry("x", "127.0.0.1:1")),)), {"a": 3})
     agents.write_snapshot(path, "", kept)
     assert agents.read_snapshot(path, "") == kept
     assert not agents.read_snapshot(path, "kitchen").history.entries
@@ -711,7 +711,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("fleet.registry.follower.WAIT_MS", 200.0)
-    monkeypatch.setattr("fleet.registry.follower.LONGEST_PAUSE_MS", 1_000.0)
+    monkeypatch.setattr("fleet.registry.follower.MAX_BACKOFF_MS", 1_000.0)
 
     async def test() -> None:
         async with three(tmp_path) as (fleet, client):
@@ -721,7 +721,7 @@
             found = [agents.Agent(agents.Options(ANY, places, seed=i)) for i in range(200)]
             for agent in found:
                 await agent.start()
-            await until(lambda: all(agent.follower.heard_at is not None for agent in found))
+            await until(lambda: all(agent.follower.last_response_at is not None for agent in found))
             for name in list(fleet.running):
                 await fleet.stop(name)
             await until(lambda: all(agent.follower.is_down for agent in found))
--- a/tests/test_registry_core.py
+++ b/tests/test_registry_core.py
@@ -10,20 +10,20 @@
 import pytest
 
 from fleet.registry import follower as follow
-from fleet.registry.entries import BadEntryError, Entry, Key, Word
+from fleet.registry.entries import Entry, InvalidEntryError, Key, Lifecycle
 from fleet.registry.follower import Follower
-from fleet.registry.history import PER_SECOND, SLOTS, Changes, History
+from fleet.registry.history import REVISIONS_PER_SECOND, SLOTS, Changes, History
 from fleet.registry.leases import Leases
 from fleet.registry.replica import (
-    LEAST_KEPT_MS,
-    LOOK_MS,
+    MAINTENANCE_MS,
+    MIN_TOMBSTONE_MS,
     ORPHAN_LEASES,
-    Kept,
-    PeerAsked,
-    PeerTold,
+    PeerRequest,
+    PeerResponse,
     Put,
     Remove,
     Replica,
+    ReplicaState,
     Reply,
     Settings,
     TimeDue,
@@ -46,7 +46,7 @@
         self.replicas = {name: self.make(name) for name in names}
         self._calls = itertools.count()
 
-    def make(self, name: str, kept: Kept | None = None, start_s: float = START_S) -> Replica:
+    def make(self, name: str, kept: ReplicaState | None = None, start_s: float = START_S) -> Replica:
         peers = tuple(n for n in self.names if n != name)
         return Replica(Settings(name, peers), start_s, self.now, kept)
 
@@ -67,9 +67,9 @@
             told = self.replicas[source]
             after = self.replicas[reader].seen.get(source)
             if after is not None:
-                told.handle(PeerAsked(reader, after), self.now)
-            leases = told.late_and_held(self.now)
-            answer = PeerTold(source, told.history.after(after), told.vector(), *leases)
+                told.handle(PeerRequest(reader, after), self.now)
+            leases = told.lease_counts(self.now)
+            answer = PeerResponse(source, told.history.changes_since(after), told.version_vector(), *leases)
             self.replicas[reader].handle(answer, self.now)
 
     def wait(self, ms: float, step: float = 250.0) -> None:
@@ -87,8 +87,8 @@
         return [{e.key: e for e in r.history.entries()} for r in self.replicas.values()]
 
 
-def kept(replica: Replica) -> Kept:
-    return Kept(replica.history.saved(), dict(replica.seen), dict(replica.acked))
+def kept(replica: Replica) -> ReplicaState:
+    return ReplicaState(replica.history.state(), dict(replica.seen), dict(replica.acked))
 
 
 # ---- entries and history ---------------------------------------------------------------------------
@@ -101,7 +101,7 @@
             entry(
                 port=chance.randint(1, 3),
                 incarnation=chance.randint(0, 2),
-                word=Word(chance.randint(0, 2)),
+                lifecycle=Lifecycle(chance.randint(0, 2)),
                 turn=chance.randint(0, 2),
                 lapsed=chance.random() < 0.5,
                 holder=chance.choice("ab"),
@@ -124,7 +124,7 @@
      ("up_since_ms", float("inf")), ("locality", "a\nb")],
 )  # fmt: skip
 def test_a_value_that_no_entry_can_have_is_named(field: str, value: Any) -> None:
-    with pytest.raises(BadEntryError, match=f"^{field}: allowed is "):
+    with pytest.raises(InvalidEntryError, match=f"^{field}: allowed is "):
         replace(entry(), **{field: value})
 
 
@@ -140,19 +140,19 @@
             elif act < 0.95:
                 gone = [e.key for e in history.entries() if e.is_gone]
                 if gone:
-                    history.forget(chance.choice(gone))
+                    history.purge(chance.choice(gone))
             elif act < 0.97:
                 history.compact()
             else:  # a new process, sometimes from nothing but an older state and with a clock set back
-                saved = history.saved()
+                saved = history.state()
                 before = history.revision
                 history = History(history.revision % SLOTS, START_S - chance.randrange(60), saved)
                 assert history.revision > before
             now = {e.key: e for e in history.entries() if not e.is_gone}
             known[history.revision] = now
             after = chance.choice(list(known))
-            answer = history.after(after)
-            told = {} if answer.whole else dict(known[after])
+            answer = history.changes_since(after)
+            told = {} if answer.is_full else dict(known[after])
             told |= {e.key: e for e in answer.entries}
             assert {k: e for k, e in told.items() if not e.is_gone} == now
             assert answer.revision >= after
@@ -161,37 +161,41 @@
 def test_a_reader_who_knows_more_than_an_old_snapshot_gets_the_whole_list() -> None:
     history = History(2, START_S)
     history.put(entry("a"))
-    old = history.saved()
+    old = history.state()
     for i in range(5):
         history.put(entry("b", port=i + 1))
     lost = history.revision
     restored = History(2, START_S - 3_600, old)  # its clock is an hour behind as well
-    assert restored.after(old.revision).whole is False  # what both have is a place to go on from
-    if restored.is_ahead(lost):
-        restored.skip_past(lost)
+    assert restored.changes_since(old.revision).is_full is False  # what both have is a place to go on from
+    if restored.is_lost_revision(lost):
+        restored.advance_past(lost)
     for i in range(9):
         restored.put(entry("c", port=i + 1))
-    answer = restored.after(lost)
-    assert answer.whole and answer.revision > lost and restored.epoch > lost
+    answer = restored.changes_since(lost)
+    assert answer.is_full and answer.revision > lost and restored.epoch > lost
 
 
 def test_two_lives_that_begin_in_one_second_use_no_number_twice() -> None:
     first = History(1, START_S)
-    old = first.saved()
+    old = first.state()
     second = History(1, START_S + 0.1, old)
     second.put(entry())
     third = History(1, START_S + 0.3, old)  # the same old state once more, in the same second
     third.put(entry("other"))
-    assert third.revision > second.revision and third.after(second.revision).whole
+    assert third.revision > second.revision and third.changes_since(second.revision).is_full
 
 
 def test_another_keepers_number_and_a_list_of_other_make_get_the_whole_list() -> None:
     one, two = History(1, START_S), History(2, START_S)
     for history in (one, two):
         history.put(entry())
-    assert one.after(two.revision).whole and one.after(41).whole and one.after(0).whole
-    assert not one.after(one.revision).whole
-    assert one.revision < 2**53 and one.revision // SLOTS >= START_S * PER_SECOND
+    assert (
+        one.changes_since(two.revision).is_full
+        and one.changes_since(41).is_full
+        and one.changes_since(0).is_full
+    )
+    assert not one.changes_since(one.revision).is_full
+    assert one.revision < 2**53 and one.revision // SLOTS >= START_S * REVISIONS_PER_SECOND
 
 
 # ---- replicas --------------------------------------------------------------------------------------
@@ -206,7 +210,7 @@
             if act < 0.35:
                 fleet.put(name, entry(id_, chance.randint(1, 2), lease_ms=LEASE), chance.randint(0, 3))
             elif act < 0.45:
-                fleet.put(name, entry(id_, word=Word.LEAVING), chance.randint(0, 3))
+                fleet.put(name, entry(id_, lifecycle=Lifecycle.LEAVING), chance.randint(0, 3))
             elif act < 0.55:
                 fleet.remove(name, id_)
             elif act < 0.65:
@@ -253,7 +257,7 @@
     ("second", "number", "reason"),
     [
         (entry(port=7), 4, "incarnation: 4 is older"),
-        (entry(port=7, word=Word.LEAVING), 5, "incarnation: 5 is listed with other values"),
+        (entry(port=7, lifecycle=Lifecycle.LEAVING), 5, "incarnation: 5 is listed with other values"),
         (entry(), 5, "phase: incarnation 5 is leaving already"),
     ],
 )
@@ -262,7 +266,7 @@
 ) -> None:
     fleet = Fleet("a")
     fleet.put("a", entry(), 5)
-    fleet.put("a", entry(word=Word.LEAVING), 5)
+    fleet.put("a", entry(lifecycle=Lifecycle.LEAVING), 5)
     before = fleet.replicas["a"].history.revision
     reply = fleet.put("a", second, number)
     assert reply.status == 409 and reply.reason.startswith(reason)
@@ -300,14 +304,14 @@
         fleet.wait(100.0, 100.0)
     fleet.wait(20 * LEASE)
     assert {fleet.phase("a", id_) for id_ in ids} == {"active"}
-    assert fleet.replicas["a"].doubts()
+    assert fleet.replicas["a"].is_expiry_suspended()
     fleet.wait(20 * LEASE)
-    assert fleet.replicas["a"].doubts()  # time alone ends no doubt
+    assert fleet.replicas["a"].is_expiry_suspended()  # time alone ends no doubt
     for _ in range(8):
         for id_ in ids[1:]:
             fleet.put("a", entry(id_, lease_ms=LEASE), 1)
         fleet.wait(LEASE / 3)
-    assert not fleet.replicas["a"].doubts()
+    assert not fleet.replicas["a"].is_expiry_suspended()
     assert fleet.phase("a", ids[0]) == "left"
     assert {fleet.phase("a", id_) for id_ in ids[1:]} == {"active"}
 
@@ -351,7 +355,7 @@
     assert fleet.put("a", entry(lease_ms=600.0)).status == 200  # knows nothing of b's
     fleet.sync(("c", "a"))
     held = fleet.replicas["a"].history.get(("", "x"))
-    assert held is not None and (held.holder, held.turn) == ("b", 1)  # of equal turns the greater name wins
+    assert held is not None and (held.holder, held.turn) == ("b", 1)  # the greater name wins
     fleet.wait(300.0)
     assert fleet.phase("a") == "active"
     assert fleet.put("a", entry(lease_ms=600.0)).status == 200
@@ -378,11 +382,11 @@
     fleet.remove("a", "x")
     for _ in range(2):
         fleet.sync(("a", "b"), ("b", "a"))
-    fleet.wait(LEAST_KEPT_MS + LOOK_MS, LOOK_MS)
+    fleet.wait(MIN_TOMBSTONE_MS + MAINTENANCE_MS, MAINTENANCE_MS)
     assert fleet.phase("a") == "left"  # c could still bring it back
     for _ in range(2):
         fleet.sync()
-    fleet.wait(LEAST_KEPT_MS + LOOK_MS, LOOK_MS)
+    fleet.wait(MIN_TOMBSTONE_MS + MAINTENANCE_MS, MAINTENANCE_MS)
     assert [fleet.phase(name) for name in fleet.names] == ["unknown"] * 3
 
 
@@ -397,7 +401,7 @@
     fleet.remove("a", "removed")
     for _ in range(3):
         fleet.sync()
-    fleet.wait(LEAST_KEPT_MS + LOOK_MS, LOOK_MS)
+    fleet.wait(MIN_TOMBSTONE_MS + MAINTENANCE_MS, MAINTENANCE_MS)
     assert fleet.phase("b", "removed") == "unknown"
     fleet.replicas["a"] = fleet.make("a", old, START_S + 3_600)
     fleet.replicas["a"].seen.clear()  # it asks for the whole list
@@ -424,8 +428,8 @@
     for now in (400.0, 800.0):
         for i in range(18):
             leases.renew(("", str(i)), 1_000.0, now)
-    assert sorted(leases.run_out(1_000.0)) == [("", "18"), ("", "19")]
-    assert leases.run_out(1_100.0) == [] and len(leases) == 18
+    assert sorted(leases.expire(1_000.0)) == [("", "18"), ("", "19")]
+    assert leases.expire(1_100.0) == [] and len(leases) == 18
 
 
 # ---- the agent -------------------------------------------------------------------------------------
@@ -434,7 +438,9 @@
 class Desk:
     """A follower and what it asked last."""
 
-    def __init__(self, *replicas: str, kept_: follow.Kept | None = None, start_s: float = START_S) -> None:
+    def __init__(
+        self, *replicas: str, kept_: follow.FollowerState | None = None, start_s: float = START_S
+    ) -> None:
         self.follower = Follower(replicas, "", 7, start_s, kept_)
         self.now, self.actions = 0.0, list[follow.Action]()
         self.do(follow.Begin())
@@ -442,23 +448,25 @@
     def do(self, event: follow.Event) -> None:
         self.actions = self.follower.handle(event, self.now)
 
-    def asked(self) -> follow.Ask:
-        while not any(isinstance(a, follow.Ask) for a in self.actions):
-            (pause,) = [a for a in self.actions if isinstance(a, follow.Pause)]
+    def asked(self) -> follow.FetchList:
+        while not any(isinstance(a, follow.FetchList) for a in self.actions):
+            (pause,) = [a for a in self.actions if isinstance(a, follow.Backoff)]
             self.now += pause.wait_ms
-            self.do(follow.PauseOver())
-        return next(a for a in self.actions if isinstance(a, follow.Ask))
+            self.do(follow.BackoffElapsed())
+        return next(a for a in self.actions if isinstance(a, follow.FetchList))
 
     def hear(self, source: Replica, name: str) -> None:
         """The answer of a replica to what was asked."""
         ask = self.asked()
-        changes = source.history.after(ask.after)
-        if changes.whole:
+        changes = source.history.changes_since(ask.after)
+        if changes.is_full:
             changes = replace(changes, entries=tuple(e for e in changes.entries if not e.is_gone))
-        self.do(follow.Told(ask.replica, name, changes, source.history.epoch, source.vector()))
+        self.do(
+            follow.ListReceived(ask.replica, name, changes, source.history.epoch, source.version_vector())
+        )
 
     def fail(self) -> None:
-        self.do(follow.Failed(self.asked().replica, "cut"))
+        self.do(follow.FetchFailed(self.asked().replica, "cut"))
 
     def listed(self) -> set[str]:
         return {e.id for e in self.follower.history.entries() if not e.is_gone}
@@ -518,15 +526,15 @@
     began = desk.now
     while desk.listed() != {"y"}:
         desk.hear(fleet.replicas["a"], "a")
-        assert desk.now < began + 2 * follow.UNSURE_MS
-    assert desk.now >= began + follow.UNSURE_MS / 2
+        assert desk.now < began + 2 * follow.MAX_UNCONFIRMED_MS
+    assert desk.now >= began + follow.MAX_UNCONFIRMED_MS / 2
 
 
 def test_an_empty_list_after_a_full_one_is_believed_from_two_replicas_alone() -> None:
     def empty(desk: Desk) -> None:
         ask = desk.asked()
         seen = {name: 2**50 for name in "ab"}
-        desk.do(follow.Told(ask.replica, ask.replica, Changes(2**50, True, ()), 0, seen))
+        desk.do(follow.ListReceived(ask.replica, ask.replica, Changes(2**50, True, ()), 0, seen))
 
     fleet = Fleet("a", "b")
     for replicas, believed in ((("a", "b"), True), (("a",), False)):
@@ -536,7 +544,7 @@
         desk.hear(fleet.replicas[name], name)
         desk.fail()
         for _ in range(6):
-            desk.follower.handle(follow.PauseOver(), desk.now)
+            desk.follower.handle(follow.BackoffElapsed(), desk.now)
             empty(desk)
             if "x" not in desk.listed():
                 break
@@ -552,11 +560,11 @@
     pauses = []
     for _ in range(30):
         desk.fail()
-        pauses += [a.wait_ms for a in desk.actions if isinstance(a, follow.Pause)]
+        pauses += [a.wait_ms for a in desk.actions if isinstance(a, follow.Backoff)]
     assert desk.follower.is_down and desk.listed() == {"x"}
-    assert max(pauses[:1]) <= follow.SPREAD_MS and 1_000 < max(pauses) <= follow.LONGEST_PAUSE_MS
+    assert max(pauses[:1]) <= follow.INITIAL_BACKOFF_MS and 1_000 < max(pauses) <= follow.MAX_BACKOFF_MS
     told = desk.follower.history.revision
-    again = Desk("a", "b", "c", kept_=desk.follower.kept(), start_s=START_S - 60)
+    again = Desk("a", "b", "c", kept_=desk.follower.state(), start_s=START_S - 60)
     assert again.listed() == {"x"} and again.follower.history.revision > told
     again.hear(fleet.replicas[again.asked().replica], again.asked().replica)
     assert again.listed() == {"x"} and not again.follower.is_down
@@ -565,7 +573,7 @@
 def test_an_entry_of_another_list_spoils_the_answer() -> None:
     desk = Desk("a")
     changes = Changes(16, True, (entry(list="kitchen"),))
-    desk.do(follow.Told("a", "a", changes, 0, {"a": 16}))
+    desk.do(follow.ListReceived("a", "a", changes, 0, {"a": 16}))
     assert desk.listed() == set() and desk.follower.is_down
 
 
@@ -575,13 +583,13 @@
     history = fleet.replicas["a"].history
     asleep = history.revision
     fleet.put("a", entry("y"), 1)
-    fleet.put("a", entry("x", word=Word.LEAVING), 1)
-    two = history.after(asleep)  # two changes in one answer
-    assert not two.whole and {(e.id, e.phase) for e in two.entries} == {("x", "leaving"), ("y", "active")}
+    fleet.put("a", entry("x", lifecycle=Lifecycle.LEAVING), 1)
+    two = history.changes_since(asleep)  # two changes in one answer
+    assert not two.is_full and {(e.id, e.phase) for e in two.entries} == {("x", "leaving"), ("y", "active")}
     history.compact()
-    answer = history.after(asleep)
-    assert answer.whole and {e.id for e in answer.entries} == {"x", "y"}
-    assert not history.after(answer.revision).whole
+    answer = history.changes_since(asleep)
+    assert answer.is_full and {e.id for e in answer.entries} == {"x", "y"}
+    assert not history.changes_since(answer.revision).is_full
 
 
 def test_leases_do_not_depend_on_what_time_another_replica_has() -> None:
@@ -593,6 +601,6 @@
         fleet.put("a", entry(lease_ms=LEASE), 1)
         fleet.wait(LEASE / 3)
     assert fleet.phase("a") == fleet.phase("b") == "active"
-    fleet.wait(LEASE + LOOK_MS)
+    fleet.wait(LEASE + MAINTENANCE_MS)
     fleet.sync()
     assert fleet.phase("a") == fleet.phase("b") == "left"
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -570,7 +570,7 @@
     with pytest.raises(DiskError) as refused:
         Store.open(FOLDER, disk).load()
     assert refused.value.remedy.startswith("empty the folder and start again")
-    return refused.value.wrong
+    return refused.value.problem
 
 
 @pytest.mark.parametrize("steps", [[b"one"], [b"one", (b"a",)], [(b"a",), b"one"]])
