--- a/config/__init__.py
+++ b/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a process and the operators' configuration: read, checked, with errors that name a remedy."""
+"""Parses and validates process settings and the operators' configuration; every error names a remedy."""
--- a/config/checking.py
+++ b/config/checking.py
@@ -1,7 +1,7 @@
-"""Reading and checking of what operators send and of the platform's list: bytes in, typed values out.
+"""Parses and validates operator configurations and pages of the platform's upstream list.
 
-What can't be taken raises an error that names the field and the remedy; nothing here raises anything else,
-whatever the bytes are. Unknown fields are skipped in the types and kept in the body, stored as it was sent.
+Invalid input raises an error that names the field and the remedy; no other exception is raised, whatever
+the bytes are. Unknown fields are ignored in the typed values and kept in the body, which is stored as sent.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 from config.errors import InvalidConfigurationError, SettingsError, WireError
 from config.settings import parse_address
 
-MOST_NESTED = 32
-MOST_VERSION = 2**63 - 1
+MAX_NESTING = 32
+MAX_VERSION = 2**63 - 1
 ROUTE_TYPES = ("safe", "unsafe", "stream")
 STATES = ("up", "draining")
 T = TypeVar("T", Route, Service, ClientLimits)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckedConfiguration:
-    """A configuration that may be taken, the body as it was sent, and the digest of what the body says."""
+    """A valid configuration, its body as it was sent, and the digest of the body's canonical form."""
 
     configuration: Configuration
     body: bytes
@@ -47,58 +47,59 @@
 
 
 class ConfigurationReader:
-    """Reads one configuration after another; items that are as they were before are not read again."""
+    """Parses successive configurations and reuses the values of unchanged items."""
 
     def __init__(self) -> None:
-        self._items: dict[type, dict[bytes, Any]] = {}  # of the last one: by type, by what stands in the body
+        # Items of the last configuration, by type and by hash of their content.
+        self._cached_items: dict[type, dict[bytes, Any]] = {}
 
     def check(self, body: bytes) -> CheckedConfiguration:
-        """The configuration of a body and its digest, from one reading; raises InvalidConfigurationError."""
+        """Parses a body once into its configuration and digest; raises InvalidConfigurationError."""
         raw = read_object(body)
-        return CheckedConfiguration(_configuration(raw, self._each), body, digest_of(raw))
+        return CheckedConfiguration(_configuration(raw, self._read_items), body, digest_of(raw))
 
     def parse(self, body: bytes) -> Configuration:
-        """The configuration that a body holds; raises InvalidConfigurationError naming field and remedy.
+        """Returns the configuration in a body; raises InvalidConfigurationError.
 
-        A field with a default may be missing or null. Hosts come back in lower case. Spans are in the unit
-        that their names end with.
+        A field with a default may be missing or null. Hosts are returned in lower case. Durations are in the
+        unit that their names end with.
         """
-        return _configuration(read_object(body), self._each)
+        return _configuration(read_object(body), self._read_items)
 
-    def _each(self, kind: type[T], raw: Mapping[str, Any], name: str) -> tuple[T, ...]:
-        known, read = self._items.get(kind, {}), dict[bytes, T]()
+    def _read_items(self, kind: type[T], raw: Mapping[str, Any], name: str) -> tuple[T, ...]:
+        known, read = self._cached_items.get(kind, {}), dict[bytes, T]()
         found = []
         for at, entry in enumerate(_list_of(raw, name)):
-            text = repr(entry).encode("utf-8", "surrogatepass")  # tells 1, 1.0 and true apart
+            text = repr(entry).encode("utf-8", "surrogatepass")  # repr distinguishes 1, 1.0 and true
             key = hashlib.blake2b(text, digest_size=16).digest()
             value = known.get(key) or _typed(kind, entry, f"{name}[{at}]")
             read[key] = value
             found.append(value)
-        self._items[kind] = read
+        self._cached_items[kind] = read
         return tuple(found)
 
 
 def check(body: bytes) -> CheckedConfiguration:
-    """As `ConfigurationReader.check`, by itself."""
+    """As `ConfigurationReader.check`, without a cache."""
     return ConfigurationReader().check(body)
 
 
 def parse_configuration(body: bytes) -> Configuration:
-    """As `ConfigurationReader.parse`, by itself."""
+    """As `ConfigurationReader.parse`, without a cache."""
     return ConfigurationReader().parse(body)
 
 
 def canonical(body: bytes) -> bytes:
-    """What a body says, written in one way: the same for other spacing, escapes or order of keys.
+    """Returns the canonical JSON of a body, independent of its spacing, escapes and order of keys.
 
-    The order of lists and the way a number is written (2 or 2.0) count. Raises InvalidConfigurationError
-    for bytes that are no JSON object; whether it is a configuration is not checked.
+    The order of lists and the form of a number (2 or 2.0) are significant. Raises InvalidConfigurationError
+    for bytes that are not a JSON object; the object is not validated as a configuration.
     """
     return _canonical(read_object(body))
 
 
 def digest(body: bytes) -> str:
-    """The SHA-256 of the canonical form in hex; raises InvalidConfigurationError as `canonical` does."""
+    """Returns the hex SHA-256 of the canonical form; raises InvalidConfigurationError as `canonical` does."""
     return digest_of(read_object(body))
 
 
@@ -106,24 +107,24 @@
 
 
 def read_object(body: bytes) -> dict[str, Any]:
-    """A body's JSON object; raises InvalidConfigurationError."""
+    """Returns the JSON object in a body; raises InvalidConfigurationError."""
     try:
         raw = json.loads(
             body.decode("utf-8"),
-            object_pairs_hook=_object,
-            parse_float=_finite,
-            parse_constant=_constant,
+            object_pairs_hook=_unique_keys,
+            parse_float=_parse_finite,
+            parse_constant=_reject_constant,
         )
     except UnicodeDecodeError:
-        raise InvalidConfigurationError("the body is no UTF-8", "send JSON in UTF-8") from None
+        raise InvalidConfigurationError("the body is not valid UTF-8", "send JSON in UTF-8") from None
     except json.JSONDecodeError as error:
         raise InvalidConfigurationError(
-            f"the body is no whole JSON ({error.msg} at {error.pos} of {len(body)} bytes)",
-            "send the configuration whole",
+            f"the body is not complete JSON ({error.msg} at {error.pos} of {len(body)} bytes)",
+            "send the complete configuration",
         ) from None
     except RecursionError:
-        raise _nested() from None
-    except ValueError:  # an integer of thousands of digits
+        raise _nesting_error() from None
+    except ValueError:  # an integer beyond Python's limit of 4,300 digits
         raise InvalidConfigurationError("a number of the body is too long", "send smaller numbers") from None
     if not isinstance(raw, dict):
         raise InvalidConfigurationError(
@@ -133,41 +134,43 @@
     return raw
 
 
-def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
-        twice = next(key for key, count in Counter(key for key, _ in pairs).items() if count > 1)
-        raise InvalidConfigurationError(f"an object has the key {shown(twice)} twice", "give each key once")
+        duplicate = next(key for key, count in Counter(key for key, _ in pairs).items() if count > 1)
+        raise InvalidConfigurationError(
+            f"an object has the key {shown(duplicate)} twice", "give each key once"
+        )
     return found
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise InvalidConfigurationError(f"the number {text[:20]} is too large", "send numbers below 1e308")
     return value
 
 
-def _constant(text: str) -> float:
-    raise InvalidConfigurationError(f"{text} is no JSON number", "send a finite number")
+def _reject_constant(text: str) -> float:
+    raise InvalidConfigurationError(f"{text} is not a JSON number", "send a finite number")
 
 
-def _nested() -> InvalidConfigurationError:
-    return InvalidConfigurationError("the body is nested too deep", f"nest at most {MOST_NESTED} levels")
+def _nesting_error() -> InvalidConfigurationError:
+    return InvalidConfigurationError("the body is nested too deeply", f"nest at most {MAX_NESTING} levels")
 
 
 def _check_nesting(raw: object) -> None:
     level = [raw]
-    for _ in range(MOST_NESTED):
+    for _ in range(MAX_NESTING):
         below: list[Any] = []
-        for holder in level:
-            for value in holder.values() if isinstance(holder, dict) else holder:  # type: ignore[attr-defined]
+        for container in level:
+            for value in container.values() if isinstance(container, dict) else container:  # type: ignore[attr-defined]
                 if isinstance(value, dict | list):
                     below.append(value)
         if not below:
             return
         level = below
-    raise _nested()
+    raise _nesting_error()
 
 
 def _canonical(raw: object) -> bytes:
@@ -175,25 +178,25 @@
 
 
 def digest_of(raw: object) -> str:
-    """The SHA-256 of what a JSON value says, in hex: the same however it is written."""
+    """Returns the hex SHA-256 of a JSON value's canonical form."""
     return hashlib.sha256(_canonical(raw)).hexdigest()
 
 
 def json_type(value: object) -> str:
-    """What a JSON value is, in words."""
+    """Returns the name of a JSON value's type for use in messages."""
     if value is None:
         return "null"
-    names = {dict: "an object", list: "a list", tuple: "a list", str: "a text", bool: "a truth value"}
+    names = {dict: "an object", list: "a list", tuple: "a list", str: "a string", bool: "a boolean"}
     return names.get(type(value), "a number")
 
 
 def shown(value: object) -> str:
-    """A value in a message: short, whatever was sent."""
+    """Returns a value for use in a message, truncated to 60 characters."""
     if isinstance(value, dict | list | tuple):
         return json_type(value)
     try:
         text = json.dumps(value)
-    except ValueError:  # an integer too long to write
+    except ValueError:  # an integer beyond Python's limit of 4,300 digits, or a value that is not JSON
         return json_type(value)
     return text if len(text) <= 60 else text[:60] + "..."
 
@@ -202,29 +205,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Unfit:
-    """A value of the wrong type, which dacite then refuses with the field's path."""
+class _WrongType:
+    """Wraps a value of the wrong type, so that dacite rejects it and reports the field's path."""
 
     value: object
 
 
 def _to_float(value: object) -> object:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        return _Unfit(value)
+        return _WrongType(value)
     try:
         return float(value)
     except OverflowError:
-        return _Unfit(value)
+        return _WrongType(value)
 
 
 def _to_int(value: object) -> object:
     if isinstance(value, float) and value.is_integer():
         return int(value)
-    return value if isinstance(value, int) and not isinstance(value, bool) else _Unfit(value)
+    return value if isinstance(value, int) and not isinstance(value, bool) else _WrongType(value)
 
 
 def _to_tuple(value: object) -> object:
-    return tuple(value) if isinstance(value, list) else _Unfit(value)
+    return tuple(value) if isinstance(value, list) else _WrongType(value)
 
 
 _TYPES = dacite.Config(
@@ -237,9 +240,9 @@
 )
 _EXPECTED: Mapping[Any, str] = {
     float: "a number",
-    int: "a whole number",
-    str: "a text",
-    str | None: "a text",
+    int: "an integer",
+    str: "a string",
+    str | None: "a string",
     bool: "true or false",
     tuple[Split, ...]: "a list of objects with svc and wt",
     tuple[Model, ...]: "a list of objects with name",
@@ -250,7 +253,7 @@
 
 
 def _typed(kind: type[T], raw: object, where: str) -> T:
-    """An object of the body as a value of `kind`; raises InvalidConfigurationError."""
+    """Converts an object of the body to `kind`; raises InvalidConfigurationError."""
     if not isinstance(raw, dict):
         raise InvalidConfigurationError(f"{where} is {json_type(raw)}", f"make {where} an object")
     present = {key: value for key, value in raw.items() if value is not None}
@@ -260,42 +263,44 @@
         field = error.field_path
         raise InvalidConfigurationError(f"{where} has no {field}", f"add {field}") from None
     except dacite.WrongTypeError as error:
-        value = error.value.value if isinstance(error.value, _Unfit) else error.value
-        expected = _EXPECTED.get(error.field_type, "a value of its type")
+        value = error.value.value if isinstance(error.value, _WrongType) else error.value
+        expected = _EXPECTED.get(error.field_type, "a value of the right type")
         raise InvalidConfigurationError(
             f"{error.field_path} of {where} is {shown(value)}", f"make it {expected}"
         ) from None
     except dacite.DaciteError:
-        raise InvalidConfigurationError(f"{where} can't be read", "give its fields their types") from None
+        raise InvalidConfigurationError(
+            f"{where} can't be parsed", "give its fields values of the right types"
+        ) from None
 
 
 def _list_of(raw: Mapping[str, Any], name: str) -> list[Any]:
     value = raw.get(name)
     if value is None:
-        raise InvalidConfigurationError(f"there is no {name}", f"add {name}: a whole configuration is sent")
+        raise InvalidConfigurationError(f"{name} is missing", f"add {name}: a configuration must be complete")
     if not isinstance(value, list):
         raise InvalidConfigurationError(f"{name} is {json_type(value)}", f"make {name} a list")
     return value
 
 
-# --- what a configuration must hold
+# --- validation of a configuration
 
 
-class _ReadEach(Protocol):
-    """Reads the items of one list of a body."""
+class _ItemReader(Protocol):
+    """Parses the items of one list of a body."""
 
     def __call__(self, kind: type[T], raw: Mapping[str, Any], name: str) -> tuple[T, ...]:
-        """The items as values of `kind`; raises InvalidConfigurationError."""
+        """Returns the items as values of `kind`; raises InvalidConfigurationError."""
 
 
-def _configuration(raw: Mapping[str, Any], read_each: _ReadEach) -> Configuration:
+def _configuration(raw: Mapping[str, Any], read_items: _ItemReader) -> Configuration:
     ver = raw.get("ver")
     if ver is None:
-        raise InvalidConfigurationError("there is no ver", "add the version as a whole number from 1")
-    if isinstance(ver, bool) or not isinstance(ver, int) or not 1 <= ver <= MOST_VERSION:
-        raise InvalidConfigurationError(f"ver is {shown(ver)}", "make it a whole number from 1 to 2^63 - 1")
-    services = read_each(Service, raw, "svcs")
-    routes = tuple(_with_lower_host(route) for route in read_each(Route, raw, "routes"))
+        raise InvalidConfigurationError("ver is missing", "add the version as an integer from 1")
+    if isinstance(ver, bool) or not isinstance(ver, int) or not 1 <= ver <= MAX_VERSION:
+        raise InvalidConfigurationError(f"ver is {shown(ver)}", "make it an integer from 1 to 2^63 - 1")
+    services = read_items(Service, raw, "svcs")
+    routes = tuple(_with_lower_host(route) for route in read_items(Route, raw, "routes"))
     limits = raw.get("limits")
     client_limits = ClientLimits() if limits is None else _typed(ClientLimits, limits, "limits")
     _check_names((service.name for service in services), "svcs")
@@ -305,7 +310,7 @@
     known = frozenset(service.name for service in services)
     for route in routes:
         _check_route(route, known)
-    _check_places(routes)
+    _check_unique_prefixes(routes)
     _check_limits(client_limits)
     return Configuration(ver=ver, routes=routes, svcs=services, limits=client_limits)
 
@@ -322,7 +327,7 @@
             raise InvalidConfigurationError(f"an entry of {where} has an empty name", "give it a name")
         if name in seen:
             raise InvalidConfigurationError(
-                f"two entries of {where} have the name {shown(name)}", "name each of them once"
+                f"two entries of {where} have the name {shown(name)}", "give each of them a unique name"
             )
         seen.add(name)
 
@@ -331,7 +336,7 @@
     where = f"service {shown(service.name)}"
     if not service.health_path.startswith("/"):
         raise InvalidConfigurationError(
-            f"health_path of {where} is {shown(service.health_path)}", "begin it with a slash"
+            f"health_path of {where} is {shown(service.health_path)}", "start it with a slash"
         )
     if service.max_conns < 1:
         raise InvalidConfigurationError(f"max_conns of {where} is {service.max_conns:g}", "make it 1 or more")
@@ -346,10 +351,10 @@
 def _check_route(route: Route, known: frozenset[str]) -> None:
     where = f"route {shown(route.name)}"
     if not route.host:
-        raise InvalidConfigurationError(f"host of {where} is empty", "name the host")
+        raise InvalidConfigurationError(f"host of {where} is empty", "set the host name")
     if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
         raise InvalidConfigurationError(
-            f"path_prefix of {where} is {shown(route.path_prefix)}", "begin and end it with a slash"
+            f"path_prefix of {where} is {shown(route.path_prefix)}", "start and end it with a slash"
         )
     if route.route_type not in ROUTE_TYPES:
         raise InvalidConfigurationError(
@@ -362,35 +367,39 @@
             raise InvalidConfigurationError(f"{name} of {where} is negative", "make it 0 or more")
     if route.tries < 1:
         raise InvalidConfigurationError(f"tries of {where} is {shown(route.tries)}", "make it 1 or more")
-    _check_services_of(route, known, where)
+    _check_route_targets(route, known, where)
 
 
-def _check_services_of(route: Route, known: frozenset[str], where: str) -> None:
+def _check_route_targets(route: Route, known: frozenset[str], where: str) -> None:
     if not route.split and route.svc is None:
-        raise InvalidConfigurationError(f"{where} has neither svc nor split", "name its service in svc")
+        raise InvalidConfigurationError(
+            f"{where} has neither svc nor split", "set svc to the name of a service"
+        )
     named = [part.svc for part in route.split] + ([] if route.svc is None else [route.svc])
     for name in named:
         if name not in known:
             raise InvalidConfigurationError(
-                f"{where} names the unknown service {shown(name)}", "add it to svcs or name one of svcs"
+                f"{where} names the unknown service {shown(name)}",
+                "add it to svcs or use a service that is in svcs",
             )
     if any(part.wt < 0 for part in route.split):
         raise InvalidConfigurationError(f"a wt in split of {where} is negative", "make every wt 0 or more")
     total = sum(part.wt for part in route.split)
     if route.split and not (0 < total < math.inf):
         raise InvalidConfigurationError(
-            f"the weights in split of {where} sum to {total:g}", "give a finite wt above 0 to one of them"
+            f"the weights in split of {where} sum to {total:g}",
+            "give at least one of them a finite wt above 0",
         )
 
 
-def _check_places(routes: tuple[Route, ...]) -> None:
+def _check_unique_prefixes(routes: tuple[Route, ...]) -> None:
     seen: dict[tuple[str, str], str] = {}
     for route in routes:
         first = seen.setdefault((route.host, route.path_prefix), route.name)
         if first != route.name:
             raise InvalidConfigurationError(
                 f"routes {shown(first)} and {shown(route.name)} have the same host and path_prefix",
-                "drop one of them or change its path_prefix",
+                "remove one of them or change its path_prefix",
             )
 
 
@@ -402,28 +411,30 @@
             )
 
 
-# --- the platform's list
+# --- the platform's upstream list
 
 
 def parse_upstreams(
     body: bytes, skipped: Counter[str] | None = None
 ) -> tuple[tuple[Upstream, ...], str | None]:
-    """The upstreams of one page of the platform's list, and the token of the next page (None on the last).
+    """Returns the upstreams of one page of the platform's list, and the next page's token (None on the last).
 
-    An entry that can't be read is left out, and the field that is to blame is counted in `skipped`. Raises
-    WireError for a page that is no list of upstreams. Plain dictionaries, not dacite: a list may hold 2,800
-    entries and is read again and again, and dacite takes many times as long for each of them.
+    An invalid entry is skipped, and the field that made it invalid is counted in `skipped`. Raises WireError
+    for a page that is not a list of upstreams. Entries are parsed by hand, not by dacite: a list may hold
+    2,800 entries and is parsed frequently, and dacite takes many times as long per entry.
     """
     try:
         page = json.loads(body)
     except (ValueError, RecursionError):
-        raise WireError("the page of upstreams is no whole JSON", "ask the platform for it again") from None
+        raise WireError(
+            "the page of upstreams is not complete JSON", "request it from the platform again"
+        ) from None
     entries = page.get("upstreams") if isinstance(page, dict) else None
     if not isinstance(entries, list):
-        raise WireError("the page holds no list `upstreams`", "ask the platform for it again")
+        raise WireError("the page has no list `upstreams`", "request it from the platform again")
     cursor = page.get("next_cursor")
     if not isinstance(cursor, str | None):
-        raise WireError("next_cursor is no text", "ask the platform for the page again")
+        raise WireError("next_cursor is not a string", "request the page from the platform again")
     found = []
     for entry in entries:
         upstream = _upstream(entry)
@@ -435,52 +446,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Unreadable:
-    """An entry that is left out, and the field to blame."""
+class _InvalidEntry:
+    """The reason for skipping an entry: the field that is invalid."""
 
     field: str
 
 
-_ENTRY = _Unreadable("entry")
-_TEXTS = (("id", True), ("svc", True), ("addr", True), ("zone", False), ("ver", False), ("phase", False))
-_IN_LINES = ("id", "addr")  # header lines of ours hold them
+_NOT_AN_OBJECT = _InvalidEntry("entry")
+_STRING_FIELDS = (
+    ("id", True),
+    ("svc", True),
+    ("addr", True),
+    ("zone", False),
+    ("ver", False),
+    ("phase", False),
+)
+_IN_HEADERS = ("id", "addr")  # sent in header lines, so they must be printable ASCII without spaces
 
 
-def _upstream(entry: object) -> Upstream | _Unreadable:
+def _upstream(entry: object) -> Upstream | _InvalidEntry:
     if not isinstance(entry, dict):
-        return _ENTRY
-    texts = []
-    for name, needed in _TEXTS:
+        return _NOT_AN_OBJECT
+    values = []
+    for name, is_required in _STRING_FIELDS:
         text = entry.get(name)
-        if text is None and not needed:
+        if text is None and not is_required:
             text = ""
-        if not isinstance(text, str) or (needed and not text):
-            return _Unreadable(name)
-        if name in _IN_LINES and not (text.isascii() and text.isprintable() and " " not in text):
-            return _Unreadable(name)
-        texts.append(text)
-    id_, svc, addr, zone, ver, phase = texts
+        if not isinstance(text, str) or (is_required and not text):
+            return _InvalidEntry(name)
+        if name in _IN_HEADERS and not (text.isascii() and text.isprintable() and " " not in text):
+            return _InvalidEntry(name)
+        values.append(text)
+    id_, svc, addr, zone, ver, phase = values
     state = entry.get("state", "up")
     if state not in STATES:
-        return _Unreadable("state")
-    capacity = _amount(entry.get("capacity", 1.0))
+        return _InvalidEntry("state")
+    capacity = _non_negative(entry.get("capacity", 1.0))
     if not capacity:
-        return _Unreadable("capacity")
-    cold_left_ms = _amount(entry.get("cold_left_ms", 0.0))
+        return _InvalidEntry("capacity")
+    cold_left_ms = _non_negative(entry.get("cold_left_ms", 0.0))
     if cold_left_ms is None:
-        return _Unreadable("cold_left_ms")
+        return _InvalidEntry("cold_left_ms")
     models = _loaded_models(entry.get("models"))
     if models is None:
-        return _Unreadable("models")
+        return _InvalidEntry("models")
     try:
         parse_address(addr)
     except SettingsError:
-        return _Unreadable("addr")
+        return _InvalidEntry("addr")
     return Upstream(id_, svc, addr, zone, ver, capacity, state, cold_left_ms, phase, models)
 
 
-def _amount(value: object) -> float | None:
-    """A number of 0 or more, or None where it is none."""
+def _non_negative(value: object) -> float | None:
+    """Returns a finite number of 0 or more, or None if the value is not one."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
     try:
@@ -491,7 +509,7 @@
 
 
 def _loaded_models(raw: object) -> tuple[LoadedModel, ...] | None:
-    """The models of an entry, none where there is no such field, or None where they can't be read."""
+    """Returns the models of an entry (empty if the field is absent), or None if they are invalid."""
     if raw is None:
         return ()
     if not isinstance(raw, list):
--- a/config/configuration.py
+++ b/config/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as typed values: routes, services and limits of one version."""
+"""Typed values of the operator's configuration and of the platform's upstream list."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """A part of a route's requests goes to this service."""
+    """One weighted target of a route: the share `wt` of its requests goes to the service `svc`."""
 
     svc: str
     wt: float
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests to `host` (lower case) whose path begins with `path_prefix`; spans in milliseconds.
+    """Requests to `host` (lower case) whose path begins with `path_prefix`; durations in milliseconds.
 
-    A split goes before `svc` where a route has both. `target_ms` and `gap_aim_ms` are 0 where none is set.
+    `split` takes precedence over `svc` where a route has both. `target_ms` and `gap_aim_ms` are 0 if unset.
     """
 
     name: str
@@ -35,17 +35,17 @@
     gap_aim_ms: float = 0.0
 
     def services(self) -> tuple[str, ...]:
-        """The services that a request may go to."""
+        """Returns the services that a request may be sent to."""
         return tuple(s.svc for s in self.split if s.wt > 0) if self.split else (self.svc or "",)
 
     def is_idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Returns whether a request may safely run more than once."""
         return self.route_type == "safe" or (self.route_type == "stream" and self.resumable)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model that a service runs; `ver`: the version of its weights that is to be used, 0 for any."""
+    """A model that a service runs. `ver` is the required version of its weights, 0 for any."""
 
     name: str
     ver: int = 0
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backend:
-    """The engine behind a service: slots, memory in tokens, what moving it costs."""
+    """The inference engine behind a service: slots, KV cache capacity in tokens, transfer costs."""
 
     capacity: float = 1.0
     kv_cap: float = 0.0
@@ -69,8 +69,8 @@
 class Service:
     """A pool of upstreams.
 
-    For `cold_s` after a start an upstream bears `cold_per_s` requests a second of all balancers together;
-    0: no such bound.
+    For `cold_s` after its start an upstream accepts at most `cold_per_s` requests per second from all
+    balancers together; 0 sets no limit.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take or stay idle."""
+    """Limits on request size, header read time and idle time of client connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of everything that operators set."""
+    """One version of the complete operator configuration."""
 
     ver: int
     routes: tuple[Route, ...] = ()
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedModel:
-    """A model whose weights an upstream holds, their version and the adapters beside them."""
+    """A model loaded by an upstream: its name, weight version and LoRA adapters."""
 
     name: str
     ver: int = 0
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """One entry of the platform's list. `cold_left_ms`: how long it is slow yet."""
+    """One upstream of the platform's list. `cold_left_ms` is the remaining warm-up time."""
 
     id: str
     svc: str
@@ -124,5 +124,5 @@
     capacity: float = 1.0
     state: str = "up"  # up or draining
     cold_left_ms: float = 0.0
-    phase: str = ""  # prefill, decode; empty where the service knows no phases
+    phase: str = ""  # prefill or decode; empty for services without separate phases
     models: tuple[LoadedModel, ...] = ()
--- a/config/errors.py
+++ b/config/errors.py
@@ -1,10 +1,10 @@
-"""Errors as typed kinds; each message names the remedy."""
+"""Exception types for errors that a person can fix; each message states the problem and the remedy."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """Something that a person can put right: what is wrong, and what to do about it."""
+    """Base class for errors that a person can fix: the `problem`, and the `remedy` for it."""
 
     def __init__(self, problem: str, remedy: str) -> None:
         super().__init__(f"{problem}; {remedy}")
@@ -12,24 +12,24 @@
 
 
 class SettingsError(FleetError):
-    """The settings file of this process can't be used."""
+    """The settings file of this process is missing or invalid."""
 
 
 class InvalidConfigurationError(FleetError):
-    """An operator's configuration can't be taken."""
+    """An operator's configuration or patch is rejected."""
 
 
 class WireError(FleetError):
-    """Another process sent what can't be read as one of our messages."""
+    """Another process sent bytes that can't be decoded as a protocol message."""
 
 
 class DiskError(FleetError):
-    """The disk refuses a write, or holds what we never wrote."""
+    """A disk write failed, or the stored data is corrupt."""
 
 
 class GapError(FleetError):
-    """A change has come whose beginning we do not have."""
+    """A delta has arrived whose base version is not held here."""
 
 
 class InvalidTallyError(FleetError):
-    """An application's call on a tally can't be taken."""
+    """An application's request on a tally is rejected."""
--- a/config/patching.py
+++ b/config/patching.py
@@ -1,7 +1,7 @@
-"""Changes of a configuration by named items: the bytes of an operator's patch in, those of the result out.
+"""Applies an operator's patch to a configuration: adds, replaces and removes items by name.
 
-A patch names its version, items to add or to replace by their names (`upsert`) and names to remove
-(`remove`), each by the list that holds them. The result is a whole configuration and is checked as one.
+A patch holds the new version, items to add or replace (`upsert`) and names of items to remove (`remove`),
+each under the list they belong to. The result is a complete configuration and is validated as one.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 )
 from config.errors import InvalidConfigurationError
 
-LISTS = ("routes", "svcs")  # whose items have names
+LISTS = ("routes", "svcs")  # the lists whose items are identified by name
 FIELDS = ("ver", "upsert", "remove")
 
 
 @dataclass(frozen=True, slots=True)
 class Patch:
-    """A patch as it was sent; `digest` is that of what it says, for repeats."""
+    """A parsed patch; `digest` is that of its canonical form and identifies retries of the same patch."""
 
     ver: int
     upsert: dict[str, dict[str, dict[str, Any]]]  # by list, by name
@@ -36,56 +36,56 @@
 
 
 def parse_patch(body: bytes) -> Patch:
-    """The patch that a body holds; raises InvalidConfigurationError naming the field and the remedy."""
+    """Returns the patch in a body; raises InvalidConfigurationError naming the field and the remedy."""
     raw = read_object(body)
     for field in raw:
         if field not in FIELDS:
             raise InvalidConfigurationError(
                 f"a patch has no field {shown(field)}",
-                f"send {', '.join(FIELDS)}; put what else changes whole",
+                f"send {', '.join(FIELDS)}; use PUT with a complete configuration for other changes",
             )
     ver = raw.get("ver")
     if isinstance(ver, bool) or not isinstance(ver, int):
         raise InvalidConfigurationError(
-            f"ver is {shown(ver)}" if "ver" in raw else "there is no ver", "add the version as a whole number"
+            f"ver is {shown(ver)}" if "ver" in raw else "ver is missing", "add the version as an integer"
         )
     upsert = {name: _items(name, items) for name, items in _lists(raw, "upsert").items()}
     remove = {name: _names(name, names) for name, names in _lists(raw, "remove").items()}
     for name, items in upsert.items():
-        both = sorted(items.keys() & remove.get(name, frozenset()))
-        if both:
+        duplicates = sorted(items.keys() & remove.get(name, frozenset()))
+        if duplicates:
             raise InvalidConfigurationError(
-                f"{shown(both[0])} of {name} is in upsert and in remove", "name it in one of them"
+                f"{shown(duplicates[0])} of {name} is in upsert and in remove", "keep it in one of them"
             )
     return Patch(ver, upsert, remove, digest_of(raw))
 
 
 def apply_patch(body: bytes, patch: Patch, reader: ConfigurationReader) -> CheckedConfiguration:
-    """The configuration after a patch; raises InvalidConfigurationError for one that can't be taken."""
+    """Returns the configuration after a patch; raises InvalidConfigurationError if the result is invalid."""
     raw = read_object(body) if body else {"routes": [], "svcs": []}
     for name in LISTS:
         upsert, remove = patch.upsert.get(name, {}), patch.remove.get(name, frozenset())
-        raw[name] = _changed(name, raw.get(name) or [], upsert, remove)
+        raw[name] = _patched_list(name, raw.get(name) or [], upsert, remove)
     raw["ver"] = patch.ver
     return reader.check(json.dumps(raw, ensure_ascii=False, separators=(",", ":")).encode())
 
 
-def _changed(
+def _patched_list(
     name: str, items: list[Any], upsert: dict[str, dict[str, Any]], remove: frozenset[str]
 ) -> list[Any]:
-    """A list after a patch: what is replaced keeps its place, what is new comes last."""
+    """Returns a list after a patch: replaced items keep their position, new items are appended."""
     known = {item["name"] for item in items}
     missing = sorted(remove - known)
     if missing:
         raise InvalidConfigurationError(
             f"there is no {shown(missing[0])} in {name} to remove", "name one that is in force"
         )
-    kept = [upsert.get(item["name"], item) for item in items if item["name"] not in remove]
-    return kept + [item for of, item in upsert.items() if of not in known]
+    updated = [upsert.get(item["name"], item) for item in items if item["name"] not in remove]
+    return updated + [item for new, item in upsert.items() if new not in known]
 
 
 def _lists(raw: dict[str, Any], field: str) -> dict[str, list[Any]]:
-    """What a field of a patch holds for each list; null counts as missing."""
+    """Returns the value of a patch field for each list; null counts as missing."""
     found = raw.get(field)
     if found is None:
         return {}
@@ -107,19 +107,19 @@
             raise InvalidConfigurationError(
                 f"upsert.{name}[{at}] has no name", "make it an object with a name"
             )
-    _check_once(f"upsert.{name}", (item["name"] for item in items))
+    _check_unique(f"upsert.{name}", (item["name"] for item in items))
     return {item["name"]: item for item in items}
 
 
 def _names(name: str, names: list[Any]) -> frozenset[str]:
-    for at, one in enumerate(names):
-        if not isinstance(one, str):
-            raise InvalidConfigurationError(f"remove.{name}[{at}] is {json_type(one)}", "make it a name")
-    _check_once(f"remove.{name}", names)
+    for at, entry in enumerate(names):
+        if not isinstance(entry, str):
+            raise InvalidConfigurationError(f"remove.{name}[{at}] is {json_type(entry)}", "make it a name")
+    _check_unique(f"remove.{name}", names)
     return frozenset(names)
 
 
-def _check_once(where: str, names: Iterable[str]) -> None:
+def _check_unique(where: str, names: Iterable[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if name in seen:
--- a/config/settings.py
+++ b/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process (YAML, `MASTTURN_CONFIG`): fields that nobody knows are skipped."""
+"""Parses and validates the settings file of a process (YAML, path in `MASTTURN_CONFIG`)."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 Address = tuple[str, int]
 VARIABLE = "MASTTURN_CONFIG"
-MOST_TEXT = 256 * 1024  # characters of the file
-MOST_LEVELS = 5_000  # of signs that may begin a level
+MAX_TEXT = 256 * 1024  # characters of the file
+MAX_LEVELS = 5_000  # characters that may open a nesting level
 
 
 @dataclass(frozen=True, slots=True)
 class Listen:
-    """Where this process is called from outside, as `host:port`."""
+    """Addresses on which this process accepts calls from outside, as `host:port`."""
 
     http: str | None = None
     readyz: str | None = None
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the machine gives this process."""
+    """Machine resources available to this process."""
 
     cpu_frac: float = 1.0
     ncpu: int = 1
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What the system may lose at once and still keep all rules."""
+    """Number of simultaneous failures that the system tolerates without breaking a rule."""
 
     nodes: int = 0
     zones: int = 0
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules: spans in the unit that their names end with."""
+    """The numeric bounds of the rules; durations are in the unit that their names end with."""
 
     seed_lag_s: float = 3.0
     addr_reuse_s: float = 2.0
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudApi:
-    """Where the platform's list of upstreams is, and how often all of us together may ask for it."""
+    """Address of the platform's upstream list, and the request rate allowed to all processes together."""
 
     addr: str
     rate_per_s: float = 1.0
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a process is told of itself and its surroundings."""
+    """Settings of one process: its identity, addresses, resources and bounds."""
 
     node: str
     ip: str
@@ -105,83 +105,87 @@
     data_dir: str | None = None
     faults: Faults = field(default_factory=Faults)
     bounds: Bounds = field(default_factory=Bounds)
-    log_levels: dict[str, str] = field(default_factory=dict)  # by role; else the command line's
-    readyz_port: int = 0  # of the balancers' readiness, for the dashboard of a control process; 0: not known
+    # By role; the command line's level applies to the others.
+    log_levels: dict[str, str] = field(default_factory=dict)
+    readyz_port: int = 0  # balancers' readiness port, used by a control process's dashboard; 0 if unknown
 
     @property
     def control_port(self) -> int:
-        """The port on which control processes hear the others; the same on all machines of a day."""
+        """The port on which control processes listen for peers; the same on all machines of a deployment."""
         return self.port_range[0]
 
     @property
     def seed_ips(self) -> tuple[str, ...]:
-        """The machines of `seed_addrs`."""
+        """The IP addresses of `seed_addrs`."""
         return tuple(parse_address(seed)[0] for seed in self.seed_addrs)
 
     @property
     def balancer_port(self) -> int:
-        """The port on which balancers hear the others: a control process may share the machine."""
+        """The port on which balancers listen for peers: a control process may share the machine."""
         return self.port_range[1]
 
 
 def parse_address(text: str) -> Address:
-    """`host:port` as a pair; raises SettingsError."""
+    """Splits `host:port` into a pair; raises SettingsError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{text!r} is no address", "write it as IP:PORT, such as 10.1.0.13:8161")
+        raise SettingsError(f"{text!r} is not an address", "write it as IP:PORT, such as 10.1.0.13:8161")
     return host, int(port)
 
 
 @dataclass(frozen=True, slots=True)
-class _Unfit:
-    """A value of the wrong type, which dacite then refuses with the field's path."""
+class _WrongType:
+    """Wraps a value of the wrong type, so that dacite rejects it and reports the field's path."""
 
     value: object
 
 
 def _to_float(value: object) -> object:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        return _Unfit(value)
+        return _WrongType(value)
     try:
-        found = float(value)
+        number = float(value)
     except OverflowError:
-        return _Unfit(value)
-    return found if math.isfinite(found) else _Unfit(value)
+        return _WrongType(value)
+    return number if math.isfinite(number) else _WrongType(value)
 
 
 def _to_int(value: object) -> object:
-    return value if isinstance(value, int) and not isinstance(value, bool) else _Unfit(value)
+    return value if isinstance(value, int) and not isinstance(value, bool) else _WrongType(value)
 
 
-def _to_ports(value: object) -> object:
-    return tuple(value) if isinstance(value, list) else _Unfit(value)
+def _to_port_range(value: object) -> object:
+    return tuple(value) if isinstance(value, list) else _WrongType(value)
 
 
-_PORTS = "give the first and the last port"
-_TYPES = dacite.Config(type_hooks={float: _to_float, int: _to_int, tuple[int, int]: _to_ports})
+_PORT_RANGE_REMEDY = "give the first and the last port"
+_TYPES = dacite.Config(type_hooks={float: _to_float, int: _to_int, tuple[int, int]: _to_port_range})
 _EXPECTED: dict[Any, str] = {
-    str: "make it a text",
-    str | None: "make it a text",
-    int: "make it a whole number",
+    str: "make it a string",
+    str | None: "make it a string",
+    int: "make it an integer",
     float: "make it a number",
     bool: "make it true or false",
-    list[str]: "make it a list of texts",
-    tuple[int, int]: _PORTS,
-    dict[str, str]: "make it an object of texts",
+    list[str]: "make it a list of strings",
+    tuple[int, int]: _PORT_RANGE_REMEDY,
+    dict[str, str]: "make it an object with string values",
 }
 
 
 def _shown(value: object) -> str:
-    """A value for a message, cut off where it is long; numbers of thousands of digits can't be written."""
+    """Returns a value for use in a message, truncated to 60 characters.
+
+    Python does not format integers of more than 4,300 digits.
+    """
     try:
         text = repr(value)
     except ValueError:
-        return "a number without end"
+        return "a number with too many digits"
     return text if len(text) <= 60 else text[:60] + "..."
 
 
 def _without_nulls(raw: dict[Any, Any]) -> dict[Any, Any]:
-    """A field that is null counts as missing."""
+    """Returns a mapping without its null fields, which count as missing."""
     return {k: _without_nulls(v) if isinstance(v, dict) else v for k, v in raw.items() if v is not None}
 
 
@@ -190,15 +194,16 @@
         return dacite.from_dict(Settings, _without_nulls(raw), _TYPES)
     except dacite.MissingValueError as error:
         path = error.field_path or ""
-        raise SettingsError(f"there is no {path}", f"add {path.rpartition('.')[2]}") from None
+        raise SettingsError(f"{path} is missing", f"add {path.rpartition('.')[2]}") from None
     except dacite.WrongTypeError as error:
-        value = error.value.value if isinstance(error.value, _Unfit) else error.value
+        value = error.value.value if isinstance(error.value, _WrongType) else error.value
         shown = _shown(value)
         remedy = _EXPECTED.get(error.field_type, "make it an object")
         raise SettingsError(f"{error.field_path} is {shown}", remedy) from None
     except (dacite.DaciteError, TypeError, ValueError) as error:
         raise SettingsError(
-            f"the settings can't be used: {error.__class__.__name__}", "give the fields values of their type"
+            f"the settings can't be parsed: {error.__class__.__name__}",
+            "give the fields values of the right types",
         ) from None
 
 
@@ -219,65 +224,66 @@
                 raise SettingsError(f"{name}: {error.problem}", error.remedy) from None
     first, last = settings.port_range
     if not 0 < first <= last < 65536:
-        raise SettingsError(f"port_range is {_shown(first)} to {_shown(last)}", _PORTS)
+        raise SettingsError(f"port_range is {_shown(first)} to {_shown(last)}", _PORT_RANGE_REMEDY)
     if settings.cloud_api.rate_per_s <= 0:
         raise SettingsError(f"cloud_api.rate_per_s is {settings.cloud_api.rate_per_s:g}", "make it above 0")
     if not 0 <= settings.readyz_port < 65536:
         raise SettingsError(
-            f"readyz_port is {_shown(settings.readyz_port)}", "give the port of the balancers' readiness"
+            f"readyz_port is {_shown(settings.readyz_port)}",
+            "set it to the port of the balancers' readiness endpoint",
         )
     if settings.faults.nodes < 0:
         raise SettingsError(f"faults.nodes is {_shown(settings.faults.nodes)}", "make it 0 or more")
 
 
-def _bound(text: str) -> None:
-    """Raise SettingsError for what the YAML library can't take: 20,000 levels end the process."""
-    if len(text) > MOST_TEXT or sum(map(text.count, "[{-?")) > MOST_LEVELS:
+def _check_size(text: str) -> None:
+    """Raises SettingsError for text that would crash the YAML library: 20,000 nesting levels do."""
+    if len(text) > MAX_TEXT or sum(map(text.count, "[{-?")) > MAX_LEVELS:
         raise SettingsError(
-            f"the settings are longer than {MOST_TEXT} characters, or nested without end",
-            "write the settings of one machine",
+            f"the settings are longer than {MAX_TEXT} characters, or nested too deeply",
+            "provide the settings of one machine only",
         )
 
 
-def _see_no_part_twice(raw: object) -> None:
-    """Raise SettingsError where an alias names a part again: few lines then hold more than can be walked."""
-    seen, left = set[int](), [raw]
-    while left:
-        value = left.pop()
+def _reject_aliases(raw: object) -> None:
+    """Raises SettingsError for YAML aliases: a few nested ones expand to more nodes than can be visited."""
+    seen, pending = set[int](), [raw]
+    while pending:
+        value = pending.pop()
         if not isinstance(value, dict | list):
             continue
         if id(value) in seen:
-            raise SettingsError("the settings name a part again by an alias", "write it out where it belongs")
+            raise SettingsError("the settings use a YAML alias", "write the value out in each place")
         seen.add(id(value))
-        left.extend(value.values() if isinstance(value, dict) else value)
+        pending.extend(value.values() if isinstance(value, dict) else value)
 
 
 def parse(text: str) -> Settings:
-    """The settings that a file's text holds; raises SettingsError that names the field and the remedy."""
-    _bound(text)
+    """Parses the text of a settings file; raises SettingsError naming the field and the remedy."""
+    _check_size(text)
     try:
         raw = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except (yaml.YAMLError, RecursionError, ValueError) as error:
         raise SettingsError(
-            f"the settings are no YAML ({error.__class__.__name__})", "write the file whole"
+            f"the settings are not valid YAML ({error.__class__.__name__})", "provide a complete file"
         ) from None
     if not isinstance(raw, dict):
-        raise SettingsError("the settings hold no fields", "write them as `name: value` lines")
-    _see_no_part_twice(raw)
+        raise SettingsError("the settings have no fields", "write them as `name: value` lines")
+    _reject_aliases(raw)
     settings = _typed(raw)
     _check(settings)
     return settings
 
 
 def read() -> Settings:
-    """The settings of this process; raises SettingsError."""
+    """Reads the settings of this process from the file that `MASTTURN_CONFIG` names; raises SettingsError."""
     path = os.environ.get(VARIABLE)
     if not path:
-        raise SettingsError(f"{VARIABLE} is not set", "let it name the settings file")
+        raise SettingsError(f"{VARIABLE} is not set", "set it to the path of the settings file")
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(
-            f"{path} can't be read ({error})", f"let {VARIABLE} name a readable file"
+            f"{path} can't be read ({error})", f"set {VARIABLE} to the path of a readable file"
         ) from None
     return parse(text)
--- a/tests/test_checking.py
+++ b/tests/test_checking.py
@@ -1,4 +1,4 @@
-"""What of the operator's configurations and of the platform's list is taken, and what each refusal says."""
+"""Validation of operator configurations and upstream lists: accepted input, and each rejection's message."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 
 from config.checking import (
-    MOST_NESTED,
+    MAX_NESTING,
     canonical,
     check,
     digest,
@@ -167,7 +167,7 @@
     }[name]
     if how == "missing":
         del holder[name]
-    elif name != "models":  # within a backend, null is a wrong type
+    elif name != "models":  # a null within a backend has the wrong type
         holder[name] = None
     parse_configuration(body_of(raw))
 
@@ -215,14 +215,14 @@
     assert parse_configuration(with_route(path_prefix="/")).routes[0].path_prefix == "/"
 
 
-NO_VER = "there is no ver; add the version as a whole number from 1"
-VER = "make it a whole number from 1 to 2^63 - 1"
-PREFIX = "begin and end it with a slash"
-WEIGHTS = "give a finite wt above 0 to one of them"
+NO_VER = "ver is missing; add the version as an integer from 1"
+VER = "make it an integer from 1 to 2^63 - 1"
+PREFIX = "start and end it with a slash"
+WEIGHTS = "give at least one of them a finite wt above 0"
 SPLIT = "make it a list of objects with svc and wt"
 REFUSED = [
-    # what can't be read
-    (b"", "the body is no whole JSON (Expecting value at 0 of 0 bytes); send the configuration whole"),
+    # invalid JSON
+    (b"", "the body is not complete JSON (Expecting value at 0 of 0 bytes); send the complete configuration"),
     (body_of(WHOLE)[:-1], None),
     (body_of(WHOLE)[: len(body_of(WHOLE)) // 2], None),
     (body_of(WHOLE) + b"x", None),
@@ -230,13 +230,13 @@
     (b"\xef\xbb\xbf" + body_of(WHOLE), None),
     (b'{"ver":1,}', None),
     (b"{'ver':1}", None),
-    (json.dumps(WHOLE).encode("utf-16"), "the body is no UTF-8; send JSON in UTF-8"),
-    (b'{"ver":1,"routes":[],"svcs":[],"x":"\xff"}', "the body is no UTF-8; send JSON in UTF-8"),
+    (json.dumps(WHOLE).encode("utf-16"), "the body is not valid UTF-8; send JSON in UTF-8"),
+    (b'{"ver":1,"routes":[],"svcs":[],"x":"\xff"}', "the body is not valid UTF-8; send JSON in UTF-8"),
     (b"[]", 'the body is a list, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
     (b"null", 'the body is null, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
     (b"7", 'the body is a number, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
-    (b'"ver"', 'the body is a text, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
-    (b"true", 'the body is a truth value, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
+    (b'"ver"', 'the body is a string, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
+    (b"true", 'the body is a boolean, not an object; send {"ver":...,"routes":[...],"svcs":[...]}'),
     (
         b'{"ver":1,"ver":1,"routes":[],"svcs":[]}',
         'an object has the key "ver" twice; give each key once',
@@ -247,11 +247,11 @@
     ),
     (
         b'{"ver":1,"routes":[],"svcs":[],"later":NaN}',
-        "NaN is no JSON number; send a finite number",
+        "NaN is not a JSON number; send a finite number",
     ),
     (
         b'{"ver":1,"routes":[],"svcs":[],"later":-Infinity}',
-        "-Infinity is no JSON number; send a finite number",
+        "-Infinity is not a JSON number; send a finite number",
     ),
     (
         b'{"ver":1,"routes":[],"svcs":[],"later":1e999}',
@@ -261,11 +261,11 @@
         b'{"ver":1,"routes":[],"svcs":[],"later":' + b"9" * 5000 + b"}",
         "a number of the body is too long; send smaller numbers",
     ),
-    (b"[" * 100_000, "the body is nested too deep; nest at most 32 levels"),
-    (b'{"a":' * 100_000, "the body is nested too deep; nest at most 32 levels"),
+    (b"[" * 100_000, "the body is nested too deeply; nest at most 32 levels"),
+    (b'{"a":' * 100_000, "the body is nested too deeply; nest at most 32 levels"),
     (
         b'{"ver":1,"routes":[],"svcs":[],"a":' + b"[" * 500 + b"]" * 500 + b"}",
-        "the body is nested too deep; nest at most 32 levels",
+        "the body is nested too deeply; nest at most 32 levels",
     ),
     # the version
     (with_change(lambda raw: raw.pop("ver")), NO_VER),
@@ -281,40 +281,46 @@
     # the lists
     (
         with_change(lambda raw: raw.pop("routes")),
-        "there is no routes; add routes: a whole configuration is sent",
+        "routes is missing; add routes: a configuration must be complete",
     ),
-    (with_change(lambda raw: raw.pop("svcs")), "there is no svcs; add svcs: a whole configuration is sent"),
+    (with_change(lambda raw: raw.pop("svcs")), "svcs is missing; add svcs: a configuration must be complete"),
     (with_change(lambda raw: raw.update(routes={})), "routes is an object; make routes a list"),
-    (with_change(lambda raw: raw.update(routes="")), "routes is a text; make routes a list"),
+    (with_change(lambda raw: raw.update(routes="")), "routes is a string; make routes a list"),
     (with_change(lambda raw: raw.update(svcs=0)), "svcs is a number; make svcs a list"),
     (with_change(lambda raw: raw["routes"].append(None)), "routes[2] is null; make routes[2] an object"),
     (with_change(lambda raw: raw["routes"].append([])), "routes[2] is a list; make routes[2] an object"),
-    (with_change(lambda raw: raw["svcs"].append("llm")), "svcs[1] is a text; make svcs[1] an object"),
+    (with_change(lambda raw: raw["svcs"].append("llm")), "svcs[1] is a string; make svcs[1] an object"),
     (with_change(lambda raw: raw.update(limits=[])), "limits is a list; make limits an object"),
     # routes
-    (without_route("svc"), 'route "r-one" has neither svc nor split; name its service in svc'),
-    (with_route(svc=None), 'route "r-one" has neither svc nor split; name its service in svc'),
-    (with_route(svc=None, split=[]), 'route "r-one" has neither svc nor split; name its service in svc'),
+    (without_route("svc"), 'route "r-one" has neither svc nor split; set svc to the name of a service'),
+    (with_route(svc=None), 'route "r-one" has neither svc nor split; set svc to the name of a service'),
+    (
+        with_route(svc=None, split=[]),
+        'route "r-one" has neither svc nor split; set svc to the name of a service',
+    ),
     (
         with_route(svc="gone"),
-        'route "r-one" names the unknown service "gone"; add it to svcs or name one of svcs',
+        'route "r-one" names the unknown service "gone"; add it to svcs or use a service that is in svcs',
+    ),
+    (
+        with_route(svc=""),
+        'route "r-one" names the unknown service ""; add it to svcs or use a service that is in svcs',
     ),
-    (with_route(svc=""), 'route "r-one" names the unknown service ""; add it to svcs or name one of svcs'),
     (
         with_route(svc="LLM"),
-        'route "r-one" names the unknown service "LLM"; add it to svcs or name one of svcs',
+        'route "r-one" names the unknown service "LLM"; add it to svcs or use a service that is in svcs',
     ),
     (
         with_route(split=[{"svc": "llm", "wt": 1}, {"svc": "gone", "wt": 1}]),
-        'route "r-one" names the unknown service "gone"; add it to svcs or name one of svcs',
+        'route "r-one" names the unknown service "gone"; add it to svcs or use a service that is in svcs',
     ),
     (
         with_route(split=[{"svc": "llm", "wt": 1}, {"svc": "gone", "wt": 0}]),
-        'route "r-one" names the unknown service "gone"; add it to svcs or name one of svcs',
+        'route "r-one" names the unknown service "gone"; add it to svcs or use a service that is in svcs',
     ),
     (
         with_route(svc="gone", split=[{"svc": "llm", "wt": 1}]),
-        'route "r-one" names the unknown service "gone"; add it to svcs or name one of svcs',
+        'route "r-one" names the unknown service "gone"; add it to svcs or use a service that is in svcs',
     ),
     (
         with_route(split=[{"svc": "llm", "wt": 0}, {"svc": "llm", "wt": 0.0}]),
@@ -343,28 +349,28 @@
     (with_route(split=[{"svc": "llm", "wt": "1"}]), 'split.wt of routes[0] is "1"; make it a number'),
     (with_route(split=[{"svc": "llm", "wt": True}]), "split.wt of routes[0] is true; make it a number"),
     (with_route(split=[{"svc": "llm", "wt": None}]), "split.wt of routes[0] is null; make it a number"),
-    (with_route(split=[{"svc": 3, "wt": 1}]), "split.svc of routes[0] is 3; make it a text"),
+    (with_route(split=[{"svc": 3, "wt": 1}]), "split.svc of routes[0] is 3; make it a string"),
     (
         with_change(lambda raw: raw["routes"].append({**raw["routes"][0], "name": "r-three"})),
         'routes "r-one" and "r-three" have the same host and path_prefix;'
-        " drop one of them or change its path_prefix",
+        " remove one of them or change its path_prefix",
     ),
     (
         with_change(
             lambda raw: raw["routes"].append({**raw["routes"][0], "name": "r-three", "host": "ONE.example"})
         ),
         'routes "r-one" and "r-three" have the same host and path_prefix;'
-        " drop one of them or change its path_prefix",
+        " remove one of them or change its path_prefix",
     ),
     (
         with_change(lambda raw: raw["routes"].append({**raw["routes"][0], "path_prefix": "/other/"})),
-        'two entries of routes have the name "r-one"; name each of them once',
+        'two entries of routes have the name "r-one"; give each of them a unique name',
     ),
     (without_route("name"), "routes[0] has no name; add name"),
     (with_route(name=""), "an entry of routes has an empty name; give it a name"),
-    (with_route(name=1), "name of routes[0] is 1; make it a text"),
+    (with_route(name=1), "name of routes[0] is 1; make it a string"),
     (without_route("host"), "routes[0] has no host; add host"),
-    (with_route(host=""), 'host of route "r-one" is empty; name the host'),
+    (with_route(host=""), 'host of route "r-one" is empty; set the host name'),
     (with_route(host=None), "routes[0] has no host; add host"),
     (without_route("deadline_ms"), "routes[0] has no deadline_ms; add deadline_ms"),
     (with_route(deadline_ms=0), 'deadline_ms of route "r-one" is 0; make it above 0'),
@@ -385,26 +391,26 @@
         with_route(route_type="saef"),
         'route_type of route "r-one" is "saef"; make it one of safe, unsafe, stream',
     ),
-    (with_route(route_type=2), "route_type of routes[0] is 2; make it a text"),
+    (with_route(route_type=2), "route_type of routes[0] is 2; make it a string"),
     (with_route(target_ms=-1), 'target_ms of route "r-one" is negative; make it 0 or more'),
     (with_route(gap_aim_ms=-1), 'gap_aim_ms of route "r-one" is negative; make it 0 or more'),
     (with_route(tries=0), 'tries of route "r-one" is 0; make it 1 or more'),
-    (with_route(tries=1.5), "tries of routes[0] is 1.5; make it a whole number"),
-    (with_route(tries=True), "tries of routes[0] is true; make it a whole number"),
-    (with_route(prio="0"), 'prio of routes[0] is "0"; make it a whole number'),
+    (with_route(tries=1.5), "tries of routes[0] is 1.5; make it an integer"),
+    (with_route(tries=True), "tries of routes[0] is true; make it an integer"),
+    (with_route(prio="0"), 'prio of routes[0] is "0"; make it an integer'),
     (with_route(sticky=1), "sticky of routes[0] is 1; make it true or false"),
     (with_route(resumable="no"), 'resumable of routes[0] is "no"; make it true or false'),
     # services
     (
         with_change(lambda raw: raw["svcs"].append({"name": "llm"})),
-        'two entries of svcs have the name "llm"; name each of them once',
+        'two entries of svcs have the name "llm"; give each of them a unique name',
     ),
     (with_change(lambda raw: raw["svcs"].append({})), "svcs[1] has no name; add name"),
-    (with_service(health_path="healthz"), 'health_path of service "llm" is "healthz"; begin it with a slash'),
+    (with_service(health_path="healthz"), 'health_path of service "llm" is "healthz"; start it with a slash'),
     (with_service(max_conns=0), 'max_conns of service "llm" is 0; make it 1 or more'),
     (with_service(max_conns="many"), 'max_conns of svcs[0] is "many"; make it a number'),
     (with_service(tls="no"), 'tls of svcs[0] is "no"; make it true or false'),
-    (with_service(proto=1), "proto of svcs[0] is 1; make it a text"),
+    (with_service(proto=1), "proto of svcs[0] is 1; make it a string"),
     (with_service(backend=[]), "backend of svcs[0] is a list; make it an object"),
     (with_service(backend="x"), 'backend of svcs[0] is "x"; make it an object'),
     (with_service(backend={"kv_cap": -1}), 'backend.kv_cap of service "llm" is negative; make it 0 or more'),
@@ -416,24 +422,24 @@
     (with_service(backend={"models": [{}]}), "svcs[0] has no backend.models.name; add backend.models.name"),
     (
         with_service(backend={"models": [{"name": 1}]}),
-        "backend.models.name of svcs[0] is 1; make it a text",
+        "backend.models.name of svcs[0] is 1; make it a string",
     ),
     # limits
     (with_limits(max_body_bytes=0), "max_body_bytes of limits is 0; make it above 0"),
-    (with_limits(max_body_bytes=0.5), "max_body_bytes of limits is 0.5; make it a whole number"),
+    (with_limits(max_body_bytes=0.5), "max_body_bytes of limits is 0.5; make it an integer"),
     (with_limits(idle_timeout_ms=-1), "idle_timeout_ms of limits is -1.0; make it above 0"),
     (with_limits(header_timeout_ms="3 s"), 'header_timeout_ms of limits is "3 s"; make it a number'),
 ]
 
 
-@pytest.mark.parametrize(("body", "said"), REFUSED, ids=range(len(REFUSED)))
-def test_what_is_refused_and_why(body: bytes, said: str | None) -> None:
+@pytest.mark.parametrize(("body", "message"), REFUSED, ids=range(len(REFUSED)))
+def test_what_is_refused_and_why(body: bytes, message: str | None) -> None:
     text = refusal(body)
-    if said is None:
-        assert text.startswith("the body is no whole JSON (")
-        assert text.endswith("; send the configuration whole")
+    if message is None:
+        assert text.startswith("the body is not complete JSON (")
+        assert text.endswith("; send the complete configuration")
     else:
-        assert text == said
+        assert text == message
 
 
 def test_the_most_nested_body_is_read_and_one_level_more_is_not() -> None:
@@ -441,38 +447,53 @@
         inner = b"[" * (levels - 1) + b"]" * (levels - 1)
         return b'{"ver":1,"routes":[],"svcs":[],"later":' + inner + b"}"
 
-    assert parse_configuration(nested(MOST_NESTED)) == Configuration(1)
-    assert "nested too deep" in refusal(nested(MOST_NESTED + 1))
+    assert parse_configuration(nested(MAX_NESTING)) == Configuration(1)
+    assert "nested too deeply" in refusal(nested(MAX_NESTING + 1))
 
 
 def test_no_bytes_raise_anything_but_a_refusal() -> None:
-    chance = random.Random(5)
+    generator = random.Random(5)
     whole = body_of(WHOLE)
     pieces = [b"null", b"true", b"-1", b"1e9", b'""', b"[]", b"{}", b"NaN", b'"\\ud800"', b"\x00", b"\xff"]
-    taken = 0
+    accepted = 0
     for _ in range(3000):
-        at = chance.randrange(len(whole))
-        to = min(len(whole), at + chance.randrange(12))
-        body = whole[:at] + chance.choice(pieces) + whole[to:]
+        at = generator.randrange(len(whole))
+        to = min(len(whole), at + generator.randrange(12))
+        body = whole[:at] + generator.choice(pieces) + whole[to:]
         try:
             check(body)
-            taken += 1
+            accepted += 1
         except InvalidConfigurationError as error:
             assert error.remedy and len(str(error)) < 400
-    assert 0 < taken < 3000
+    assert 0 < accepted < 3000
 
 
 def test_no_value_in_any_place_raises_anything_but_a_refusal() -> None:
-    odd: list[Any] = [None, True, 0, -1, 1.5, 10**400, "", "x", "\ud800", [], [1], [[]], {}, {"name": 1}]
-
-    def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    unusual_values: list[Any] = [
+        None,
+        True,
+        0,
+        -1,
+        1.5,
+        10**400,
+        "",
+        "x",
+        "\ud800",
+        [],
+        [1],
+        [[]],
+        {},
+        {"name": 1},
+    ]
+
+    def paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
         if not isinstance(value, dict | list):
             return [path]
         inner = value.items() if isinstance(value, dict) else enumerate(value)
-        return [path] + [found for key, below in inner for found in places(below, (*path, key))]
+        return [path] + [found for key, below in inner for found in paths(below, (*path, key))]
 
-    for path in places(WHOLE)[1:]:
-        for value in odd:
+    for path in paths(WHOLE)[1:]:
+        for value in unusual_values:
             raw: Any = copy.deepcopy(WHOLE)
             holder = raw
             for key in path[:-1]:
@@ -523,7 +544,7 @@
             function(body)
 
 
-# --- the platform's list
+# --- the platform's upstream list
 
 ENTRY: dict[str, Any] = {
     "svc": "llm",
@@ -613,21 +634,21 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "said"),
+    ("body", "message"),
     [
-        (b"", "the page of upstreams is no whole JSON; ask the platform for it again"),
-        (page(ENTRY)[:-2], "the page of upstreams is no whole JSON; ask the platform for it again"),
-        (b"\xff\xfe\xff", "the page of upstreams is no whole JSON; ask the platform for it again"),
-        (b"[" * 100_000, "the page of upstreams is no whole JSON; ask the platform for it again"),
-        (b"[]", "the page holds no list `upstreams`; ask the platform for it again"),
-        (b'{"upstreams":{}}', "the page holds no list `upstreams`; ask the platform for it again"),
-        (page(cursor=7), "next_cursor is no text; ask the platform for the page again"),
+        (b"", "the page of upstreams is not complete JSON; request it from the platform again"),
+        (page(ENTRY)[:-2], "the page of upstreams is not complete JSON; request it from the platform again"),
+        (b"\xff\xfe\xff", "the page of upstreams is not complete JSON; request it from the platform again"),
+        (b"[" * 100_000, "the page of upstreams is not complete JSON; request it from the platform again"),
+        (b"[]", "the page has no list `upstreams`; request it from the platform again"),
+        (b'{"upstreams":{}}', "the page has no list `upstreams`; request it from the platform again"),
+        (page(cursor=7), "next_cursor is not a string; request the page from the platform again"),
     ],
 )
-def test_what_is_no_page(body: bytes, said: str) -> None:
+def test_what_is_no_page(body: bytes, message: str) -> None:
     with pytest.raises(WireError) as refused:
         parse_upstreams(body)
-    assert str(refused.value) == said
+    assert str(refused.value) == message
 
 
 def test_a_list_of_thousands_is_read_whole() -> None:
--- a/tests/test_config_settings.py
+++ b/tests/test_config_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: unknown fields are skipped, each wrong one is named with its remedy."""
+"""Parsing of the settings file: unknown fields are ignored, each invalid one is reported with its remedy."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 
 
 def changed(path: str, value: Any) -> str:
-    """The settings with one field set; `del` takes it away."""
+    """Returns the settings as YAML with the field at `path` set to `value`, or removed for `del_`."""
     raw = copy.deepcopy(WHOLE)
-    *folders, name = path.split(".")
+    *parents, name = path.split(".")
     at = raw
-    for folder in folders:
-        at = at[folder]
+    for parent in parents:
+        at = at[parent]
     if value is del_:
         del at[name]
     else:
@@ -111,16 +111,16 @@
 )
 @pytest.mark.parametrize("value", [del_, None])
 def test_fields_that_are_needed_are_named(path: str, value: Any) -> None:
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         parse(changed(path, value))
-    assert told.value.problem == f"there is no {path}"
-    assert told.value.remedy == f"add {path.rpartition('.')[2]}"
+    assert raised.value.problem == f"{path} is missing"
+    assert raised.value.remedy == f"add {path.rpartition('.')[2]}"
 
 
 WRONG: list[tuple[str, Any, str]] = [
-    ("node", 5, "make it a text"),
-    ("ip", ["10.1.0.1"], "make it a text"),
-    ("zone", True, "make it a text"),
+    ("node", 5, "make it a string"),
+    ("ip", ["10.1.0.1"], "make it a string"),
+    ("zone", True, "make it a string"),
     ("port_range", 7720, "give the first and the last port"),
     ("port_range", [7720], "give the first and the last port"),
     ("port_range", [7720, 7735, 7740], "give the first and the last port"),
@@ -133,9 +133,9 @@
     ("listen.http", ":8161", "write it as IP:PORT"),
     ("listen.readyz", "10.1.0.13:0", "write it as IP:PORT"),
     ("listen.ctl", "10.1.0.13:x", "write it as IP:PORT"),
-    ("listen.ctl", 8166, "make it a text"),
-    ("seed_addrs", "10.1.0.16:8166", "make it a list of texts"),
-    ("seed_addrs", [5], "make it a list of texts"),
+    ("listen.ctl", 8166, "make it a string"),
+    ("seed_addrs", "10.1.0.16:8166", "make it a list of strings"),
+    ("seed_addrs", [5], "make it a list of strings"),
     ("seed_addrs", ["10.1.0.16:99999"], "write it as IP:PORT"),
     ("bootstrap", "yes please", "make it true or false"),
     ("quorum_member", 1, "make it true or false"),
@@ -144,9 +144,9 @@
     ("limits.cpu_frac", True, "make it a number"),
     ("limits.cpu_frac", float("nan"), "make it a number"),
     ("limits.ram_mb", [1], "make it a number"),
-    ("limits.ncpu", 1.5, "make it a whole number"),
-    ("limits.max_fds", "many", "make it a whole number"),
-    ("faults.nodes", "one", "make it a whole number"),
+    ("limits.ncpu", 1.5, "make it an integer"),
+    ("limits.max_fds", "many", "make it an integer"),
+    ("faults.nodes", "one", "make it an integer"),
     ("faults.nodes", -1, "make it 0 or more"),
     ("bounds.apply_ms", "soon", "make it a number"),
     ("bounds.fenced", "no", "make it true or false"),
@@ -156,27 +156,27 @@
     ("cloud_api.rate_per_s", -3, "make it above 0"),
     ("cloud_api.rate_per_s", float("inf"), "make it a number"),
     ("zones", ["hall-a"], "make it an object"),
-    ("data_dir", 7, "make it a text"),
+    ("data_dir", 7, "make it a string"),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize(("path", "value", "remedy"), WRONG, ids=lambda v: str(v)[:20])
 def test_wrong_fields_are_named_with_their_remedy(path: str, value: Any, remedy: str) -> None:
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         parse(changed(path, value))
-    assert path in told.value.problem
-    assert told.value.remedy.startswith(remedy)
-    assert "\n" not in str(told.value) and len(str(told.value)) < 200
+    assert path in raised.value.problem
+    assert raised.value.remedy.startswith(remedy)
+    assert "\n" not in str(raised.value) and len(str(raised.value)) < 200
 
 
 @pytest.mark.parametrize(
     "text", ["", "null", "5", "- a", "a: [", "\t", "a: !!python/object:x.Y {}", "{" * 5000]
 )
 def test_what_is_no_file_of_fields_is_said(text: str) -> None:
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         parse(text)
-    assert told.value.remedy in ("write the file whole", "write them as `name: value` lines")
-    assert "\n" not in str(told.value)
+    assert raised.value.remedy in ("provide a complete file", "write them as `name: value` lines")
+    assert "\n" not in str(raised.value)
 
 
 def test_addresses() -> None:
@@ -188,7 +188,7 @@
 
 def test_the_file_is_found_by_its_variable(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.delenv(settings_file.VARIABLE, raising=False)
-    with pytest.raises(SettingsError, match="is not set; let it name the settings file"):
+    with pytest.raises(SettingsError, match="is not set; set it to the path of the settings file"):
         settings_file.read()
     path = tmp_path / "boot.yaml"
     monkeypatch.setenv(settings_file.VARIABLE, str(path))
@@ -202,29 +202,29 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
-        ("[" * 100_000, "nested without end"),  # the library's own code ends the process at 20,000 levels
-        ("- " * 100_000, "nested without end"),
-        ("? " * 100_000, "nested without end"),
+        ("[" * 100_000, "nested too deeply"),  # the YAML library crashes the process at 20,000 levels
+        ("- " * 100_000, "nested too deeply"),
+        ("? " * 100_000, "nested too deeply"),
         ("a: " + "x" * 300_000, "longer than"),
-        ("zones: &a {x: *a}", "by an alias"),
+        ("zones: &a {x: *a}", "YAML alias"),
         ("a0: &a0 {x: y}\n" + "".join(f"a{i}: &a{i} {{x: *a{i - 1}, y: *a{i - 1}}}\n" for i in range(1, 99)),
-         "by an alias"),
+         "YAML alias"),
     ],
 )  # fmt: skip
-def test_a_file_that_would_end_or_hold_up_the_process_is_refused(text: str, said: str) -> None:
-    with pytest.raises(SettingsError, match=said):
+def test_a_file_that_would_end_or_hold_up_the_process_is_refused(text: str, message: str) -> None:
+    with pytest.raises(SettingsError, match=message):
         parse(text)
 
 
 def test_a_number_without_end_is_refused_in_a_short_line() -> None:
-    """YAML takes hexadecimal numbers of any length; Python writes up to 4,300 decimal digits only."""
+    """YAML accepts hexadecimal numbers of any length; Python formats at most 4,300 decimal digits."""
     for digits in (300, 5_000):
         text = yaml.safe_dump(WHOLE).replace("- 7720\n", f"- 0x{'f' * digits}\n", 1)
-        with pytest.raises(SettingsError, match="give the first and the last port") as found:
+        with pytest.raises(SettingsError, match="give the first and the last port") as raised:
             parse(text)
-        assert len(str(found.value)) < 200
+        assert len(str(raised.value)) < 200
 
 
 def test_a_number_that_no_float_holds_is_refused() -> None:
@@ -237,5 +237,5 @@
 def test_the_port_of_the_balancers_readiness_is_a_port(port: int) -> None:
     assert parse(yaml.safe_dump(WHOLE)).readyz_port == 0
     assert parse(changed("readyz_port", 8167)).readyz_port == 8167
-    with pytest.raises(SettingsError, match="give the port of the balancers' readiness"):
+    with pytest.raises(SettingsError, match="set it to the port of the balancers' readiness endpoint"):
         parse(changed("readyz_port", port))
--- a/tests/test_mastturnd_command.py
+++ b/tests/test_mastturnd_command.py
@@ -98,7 +98,7 @@
     monkeypatch.delenv(settings_file.VARIABLE, raising=False)
     assert mastturnd.main(["mastturnd", role]) == 1
     told = capsys.readouterr()
-    assert told.err == "MASTTURN_CONFIG is not set; let it name the settings file\n"
+    assert told.err == "MASTTURN_CONFIG is not set; set it to the path of the settings file\n"
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
         ("control", {"data_dir": None}, "there is no data_dir; name the folder of this machine's disk"),
         ("control", {"data_dir": "/nowhere/at/all"}, "data_dir is '/nowhere/at/all', which is no folder"),
         ("control", {"listen": {}}, "there is no listen.ctl; name the address for operators"),
-        ("control", {"node": 7}, "node is 7; make it a text"),
+        ("control", {"node": 7}, "node is 7; make it a string"),
         (
             "balancer",
             {"listen": {"readyz": "127.0.0.1:1"}},
@@ -367,7 +367,7 @@
     assert mastturnd.main(["mastturnd", former]) == 1
     told = capsys.readouterr().err.splitlines()
     assert told[0] == f"the role {former} is named {name} now; name it so"
-    assert told[1] == "MASTTURN_CONFIG is not set; let it name the settings file"
+    assert told[1] == "MASTTURN_CONFIG is not set; set it to the path of the settings file"
 
 
 def test_a_level_for_a_role_by_its_former_name_holds() -> None:
@@ -387,5 +387,5 @@
     assert done.returncode == 1
     assert done.stderr.splitlines() == [
         "the program station is named mastturnd now; run python3 -m mastturnd",
-        "MASTTURN_CONFIG is not set; let it name the settings file",
+        "MASTTURN_CONFIG is not set; set it to the path of the settings file",
     ]
--- a/tests/test_patching.py
+++ b/tests/test_patching.py
@@ -1,4 +1,4 @@
-"""Changes of a configuration by named items: what they give, what is refused, and that repeats are known."""
+"""Patches of a configuration: their result, what is rejected, and that retries are recognised."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
-        (b"{", "no whole JSON"),
+        (b"{", "not complete JSON"),
         (b"[]", "not an object"),
-        ({"upsert": {}}, "there is no ver"),
+        ({"upsert": {}}, "ver is missing"),
         ({"ver": True}, "ver is true"),
         ({"ver": "2"}, 'ver is "2"'),
         ({"ver": 2, "limits": {}}, 'no field "limits"'),
@@ -81,8 +81,8 @@
         ({"ver": 0}, "ver is 0"),
     ],
 )
-def test_what_can_not_be_taken_is_refused_with_what_is_wrong(change: Any, says: str) -> None:
-    with pytest.raises(InvalidConfigurationError, match=says):
+def test_what_can_not_be_taken_is_refused_with_what_is_wrong(change: Any, message: str) -> None:
+    with pytest.raises(InvalidConfigurationError, match=message):
         patched(change)
 
 
@@ -95,7 +95,7 @@
 @settings(max_examples=150, deadline=None)
 @given(steps=st.lists(STEP, min_size=1, max_size=6))
 def test_any_series_of_patches_gives_what_the_whole_document_would(steps: list[Any]) -> None:
-    """One reader for all, as a process has: what it remembers of items changes nothing."""
+    """All patches go through one reader, as in a process: its cache of items must not affect the results."""
     reader, body = ConfigurationReader(), FIRST
     routes = {r["name"]: r for r in json.loads(FIRST)["routes"]}
     for ver, (upsert, remove, is_upper) in enumerate(steps, start=2):
@@ -111,11 +111,11 @@
         body = checked.body
 
 
-# ---- by operators
+# ---- through the operators' HTTP interface
 
 
-def kept(world: World) -> set[bytes]:
-    """The bodies that the holders of the data keep."""
+def stored_bodies(world: World) -> set[bytes]:
+    """Returns the distinct bodies stored by the replicas that hold the data."""
     replicas = [world.node(m.name)._replica for m in world.cores() if world.running(m)]
     return {r.memory.document.body for r in replicas if r is not None and r.memory.is_holder()}
 
@@ -135,7 +135,7 @@
         assert read["ver"] == 7 and "new" in [r["name"] for r in read["routes"]]
         assert read["svcs"] == json.loads(configuration(5))["svcs"]
         await world.wait(0.5)
-        assert len(kept(world)) == 1
+        assert len(stored_bodies(world)) == 1
 
     play(scene, edges=2)
 
@@ -166,11 +166,11 @@
 def test_of_patches_that_race_on_one_version_one_wins_and_nothing_of_the_other_is_kept() -> None:
     async def scene(world: World) -> None:
         await begun(world)
-        orders = [
+        requests = [
             world.operator(f"operator-{n}", f"core-{n}").patch(change(5 + n, f"by-{n}"), 5) for n in (1, 2, 3)
         ]
-        ends = [await world.loop.create_task(order) for order in orders]
-        assert sorted(e.status for e in ends) == [200, 412, 412]
+        answers = [await world.loop.create_task(request) for request in requests]
+        assert sorted(a.status for a in answers) == [200, 412, 412]
         names = [r["name"] for r in json.loads((await world.operator().get()).body)["routes"]]
         assert sum(name.startswith("by-") for name in names) == 1
 
@@ -182,10 +182,12 @@
         await begun(world)
         first = world.primary()
         others = [m.name for m in world.cores() if m.name != first]
-        order = world.loop.create_task(world.operator("operator", first, *others).patch(change(6, "one"), 5))
+        request = world.loop.create_task(
+            world.operator("operator", first, *others).patch(change(6, "one"), 5)
+        )
         await world.wait(0.004)
         world.kill(first)
-        assert (await order).status == 200
+        assert (await request).status == 200
         names = [r["name"] for r in json.loads((await world.operator("o", *others).get()).body)["routes"]]
         assert names.count("one") == 1
 
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -1,4 +1,4 @@
-"""Other deployments' settings: whatever is legal starts and serves, whatever is not gets one plain line."""
+"""Settings of other deployments: valid ones start and serve, invalid ones exit with a one-line error."""
 
 from __future__ import annotations
 
@@ -105,6 +105,6 @@
         timeout=20,
         check=False,
     )
-    said = [line for line in done.stderr.splitlines() if not line.startswith("WARNING ")]
-    assert done.returncode == 2 and len(said) == 1 and said[0].startswith("passpost: configuration")
+    errors = [line for line in done.stderr.splitlines() if not line.startswith("WARNING ")]
+    assert done.returncode == 2 and len(errors) == 1 and errors[0].startswith("passpost: configuration")
     assert "Traceback" not in done.stderr
