--- a/quota/__init__.py
+++ b/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants' allowances of tokens, pure: the ledger of who draws what, and each replica's accounts."""
+"""Per-tenant token quotas without I/O: the ledger of grants, and the account that each replica keeps."""
--- a/quota/account.py
+++ b/quota/account.py
@@ -1,4 +1,4 @@
-"""One replica's account of one tenant: what it was granted, what its requests have reserved and spent."""
+"""A replica's account of one tenant: tokens granted to it, and reserved and spent by its requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Account:
-    """Tokens of one tenant at one incarnation of a replica; all figures are totals of the window."""
+    """Tokens of one tenant at one incarnation of a replica; all counts are totals since the window began."""
 
     __slots__ = (
         "granted",
@@ -24,27 +24,30 @@
         self.replica, self.incarnation, self.tenant = replica, incarnation, tenant
         self.window = 0
         self.granted = self.returned = self.spent = self.reserved = 0
-        self.remaining = 0  # that the ledger had when it last answered
+        self.remaining = 0  # tokens that the ledger had left when it last answered
 
     def available(self) -> int:
-        """What a request may reserve now."""
+        """Returns the number of tokens that a request can reserve now."""
         return self.granted - self.returned - self.spent - self.reserved
 
     def reserve(self, tokens: int) -> bool:
-        """Put aside the most that a request may use; False where that has to be asked for first."""
+        """Reserves the maximum that a request may use; returns False if more must be requested first."""
         if tokens > self.available():
             return False
         self.reserved += tokens
         return True
 
     def settle(self, reserved: int, used: int, window: int) -> None:
-        """A request has ended; what it did not use is free again. One of an earlier window was paid there."""
+        """Releases a request's reservation and records the tokens it used.
+
+        A reservation from an earlier window was charged to that window and is ignored.
+        """
         if window == self.window:
             self.reserved -= reserved
             self.spent += min(used, reserved)
 
     def request_tokens(self, needed: int, extra: int = 0) -> TokenRequest:
-        """Ask for so many tokens, and so many more if there is plenty."""
+        """Builds a request for `needed` tokens, and for `extra` ones if the ledger has a surplus."""
         return TokenRequest(
             self.replica,
             self.incarnation,
@@ -58,7 +61,7 @@
         )
 
     def apply_grant(self, grant: Grant) -> None:
-        """The ledger's word; that of a later window begins it here."""
+        """Applies the ledger's answer; an answer for a later window starts that window here."""
         if grant.incarnation != self.incarnation or grant.window < self.window:
             return
         if grant.window > self.window:
@@ -68,7 +71,7 @@
         self.remaining = grant.remaining
 
     def handle_recall(self, recall: Recall) -> TokenRequest | None:
-        """Give back what no request has reserved; None for another window."""
+        """Returns all unreserved tokens to the ledger; returns None if the recall is for another window."""
         if recall.window != self.window:
             return None
         self.returned += self.available()
--- a/quota/ledger.py
+++ b/quota/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of all tenants: what each life of each replica was granted. It never grants a token twice.
+"""The quota ledger: tokens granted to each incarnation of each replica. No token is granted twice.
 
-Its holder is the primary of the control state: each change is with the other holders before its answer goes
-out, and a primary that was replaced gets no change through. A life of a replica that is over keeps what it
-was granted, spent or not: nobody can know what it still spent.
+The primary of the control state holds it: a change is replicated to the other holders before the answer is
+sent, and a deposed primary can't commit a change. Tokens granted to an incarnation that has ended stay
+charged to it, since it is unknown how many of them it spent.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from quota.messages import Grant, Recall, TokenRequest
 
-SURPLUS_DIVISOR = 4  # beyond need, each replica is granted at most one part in so many of what remains
+SURPLUS_DIVISOR = 4  # extra tokens granted are at most 1/(4 x replicas) of the remainder
 
 
 @dataclass(slots=True)
 class Allocation:
-    """What one life of a replica has drawn, in tokens."""
+    """Tokens granted to, returned by and spent by one incarnation of a replica."""
 
     granted: int = 0
     returned: int = 0
@@ -26,29 +26,29 @@
 
 @dataclass(slots=True)
 class TenantWindow:
-    """One tenant's window."""
+    """The allowance of one tenant in its current window, and its allocations."""
 
-    tokens: int  # its allowance in a window
+    tokens: int  # the allowance per window
     window: int = 1
-    allocations: dict[tuple[str, str], Allocation] = field(default_factory=dict)  # by replica and life
+    allocations: dict[tuple[str, str], Allocation] = field(default_factory=dict)  # by replica and incarnation
 
     def remaining(self) -> int:
-        """What was not granted, or came back; less than 0 after the allowance was cut."""
+        """Returns the ungranted tokens; negative if the allowance was reduced below what was granted."""
         return self.tokens - sum(d.granted - d.returned for d in self.allocations.values())
 
 
 class Ledger:
-    """All tenants."""
+    """The quota ledger of all tenants."""
 
     def __init__(self, allowances: Mapping[str, int]) -> None:
         self._tenants = {name: TenantWindow(tokens) for name, tokens in allowances.items()}
 
     def tenant(self, name: str) -> TenantWindow | None:
-        """One tenant's window, for a report."""
+        """Returns a tenant's current window, for reports, or None."""
         return self._tenants.get(name)
 
     def set_allowances(self, allowances: Mapping[str, int]) -> None:
-        """Other allowances are in force, also in mid-window; who is named no more is bound by none."""
+        """Replaces the allowances, also within a window; a tenant no longer named becomes unlimited."""
         for name, tokens in allowances.items():
             known = self._tenants.get(name)
             if known is None:
@@ -58,18 +58,19 @@
         self._tenants = {name: t for name, t in self._tenants.items() if name in allowances}
 
     def begin_window(self, name: str) -> None:
-        """The tenant's next window begins: all of its allowance is there again."""
+        """Starts the tenant's next window with its full allowance."""
         tenant = self._tenants[name]
         tenant.window += 1
         tenant.allocations.clear()
 
     def handle_request(self, request: TokenRequest, replicas: int) -> tuple[Grant | None, Recall | None]:
-        """Grant what is asked for as far as it is there; the recall that is due if it is not.
+        """Grants the requested tokens if they remain; otherwise recalls unspent ones.
 
-        `replicas`: how many there are. None for a tenant that has no allowance: it draws freely.
+        `replicas` is the number of replicas. Returns no grant for a tenant without an allowance, which is
+        unlimited.
         """
         tenant = self._tenants.get(request.tenant)
-        if tenant is None or request.window > tenant.window:  # a later one: no ledger of ours said so
+        if tenant is None or request.window > tenant.window:  # no ledger has opened that window
             return None, None
         allocation = tenant.allocations.setdefault((request.replica, request.incarnation), Allocation())
         recall = None
@@ -91,7 +92,7 @@
     def _grant(
         self, tenant: TenantWindow, allocation: Allocation, request: TokenRequest, replicas: int
     ) -> Recall | None:
-        unacknowledged = allocation.granted - request.granted  # in an answer that was lost, or is on its way
+        unacknowledged = allocation.granted - request.granted  # in an answer that was lost or is in flight
         needed, remaining = max(request.needed - unacknowledged, 0), tenant.remaining()
         if needed > remaining:
             is_recallable = any(
@@ -108,10 +109,10 @@
         allocation.granted += needed + extra
         return None
 
-    # ---- as it is written
+    # ---- serialisation
 
     def state(self) -> tuple[tuple[object, ...], ...]:
-        """All of it, for those that hold it beside us."""
+        """Returns the complete state, for replication to the other holders."""
         return tuple(
             (
                 name,
@@ -124,7 +125,7 @@
 
     @classmethod
     def from_state(cls, state: Iterable[tuple[object, ...]]) -> Ledger:
-        """The ledger of such a state."""
+        """Returns the ledger with a state that `state` returned."""
         found = cls({})
         for name, tokens, window, drawn in state:
             assert isinstance(name, str) and isinstance(tokens, int) and isinstance(window, int)
--- a/quota/messages.py
+++ b/quota/messages.py
@@ -1,7 +1,6 @@
-"""What a replica and the ledger say to each other: totals since the window began, never differences.
+"""Messages between replicas and the quota ledger. They carry totals since the window began, never deltas.
 
-So a message that comes twice, late, or in another order does no harm, and one that is lost is made good by
-the next.
+Duplicated, delayed and reordered messages are therefore harmless, and a lost one is made up for by the next.
 """
 
 from __future__ import annotations
@@ -11,34 +10,34 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
-    """A replica's account of one tenant, in tokens. `incarnation`: it has a new one with each start."""
+    """A replica's account of one tenant, in tokens. `incarnation` changes with each start of the replica."""
 
     replica: str
     incarnation: str
     tenant: str
     window: int
-    granted: int  # that it knows of
+    granted: int  # as known to the replica
     returned: int
-    spent: int  # by requests that have ended
-    needed: int  # for requests that wait
-    extra: int  # that it would use soon
+    spent: int  # by completed requests
+    needed: int  # for waiting requests
+    extra: int  # expected to be used soon
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The ledger's answer: all that this incarnation of a replica was ever granted in the window."""
+    """The ledger's answer: the total granted to this incarnation of a replica in the window."""
 
     replica: str
     incarnation: str
     tenant: str
     window: int
     granted: int
-    remaining: int  # that the ledger has not granted
+    remaining: int  # not granted to any replica
 
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """What a replica does not need is to come back: somebody needs it."""
+    """Asks the replicas to return unreserved tokens, because another replica lacks them."""
 
     tenant: str
     window: int
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -1,4 +1,4 @@
-"""The ledger and the accounts: totals that bear repeats, what is kept back, recalled, lost or changed."""
+"""Token quotas: idempotent messages, surplus grants, recalls, restarts and changed allowances."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def grant(ledger: Ledger, ask: TokenRequest, replicas: int = 1) -> int:
-    """What a replica has in all by the ledger's answer."""
+    """Returns the total granted to a replica according to the ledger's answer."""
     answer, _ = ledger.handle_request(ask, replicas)
     assert answer is not None
     return answer.granted
@@ -32,44 +32,44 @@
 
 
 def test_an_ask_that_comes_twice_grants_once() -> None:
-    ledger, here = Ledger({"audits": 100}), account("a")
-    ask = here.request_tokens(30)
+    ledger, first_account = Ledger({"audits": 100}), account("a")
+    ask = first_account.request_tokens(30)
     assert grant(ledger, ask) == grant(ledger, ask) == 30 and left(ledger) == 70
 
 
 def test_a_grant_that_was_lost_is_told_again_with_the_next_ask() -> None:
-    ledger, here = Ledger({"audits": 100}), account("a")
-    ledger.handle_request(here.request_tokens(30), 1)  # the answer never comes
-    answer, _ = ledger.handle_request(here.request_tokens(40), 1)
+    ledger, first_account = Ledger({"audits": 100}), account("a")
+    ledger.handle_request(first_account.request_tokens(30), 1)  # the answer is lost
+    answer, _ = ledger.handle_request(first_account.request_tokens(40), 1)
     assert answer is not None and answer.granted == 40  # not 70
-    here.apply_grant(answer)
-    assert here.available() == 40 and left(ledger) == 60
+    first_account.apply_grant(answer)
+    assert first_account.available() == 40 and left(ledger) == 60
 
 
 def test_late_answers_of_either_order_or_life_change_nothing() -> None:
-    ledger, here = Ledger({"audits": 100}), account("a")
-    first, _ = ledger.handle_request(here.request_tokens(10), 1)
-    second, _ = ledger.handle_request(here.request_tokens(25), 1)
+    ledger, first_account = Ledger({"audits": 100}), account("a")
+    first, _ = ledger.handle_request(first_account.request_tokens(10), 1)
+    second, _ = ledger.handle_request(first_account.request_tokens(25), 1)
     assert first is not None and second is not None
-    here.apply_grant(second)
-    here.apply_grant(first)
-    here.apply_grant(replace(second, incarnation="0", granted=90))
-    assert here.available() == 25
+    first_account.apply_grant(second)
+    first_account.apply_grant(first)
+    first_account.apply_grant(replace(second, incarnation="0", granted=90))
+    assert first_account.available() == 25
 
 
 def test_what_comes_back_is_counted_once_and_no_more_than_was_granted() -> None:
-    ledger, here = Ledger({"audits": 100}), account("a")
-    answer, _ = ledger.handle_request(here.request_tokens(60), 1)
+    ledger, first_account = Ledger({"audits": 100}), account("a")
+    answer, _ = ledger.handle_request(first_account.request_tokens(60), 1)
     assert answer is not None
-    here.apply_grant(answer)
-    assert here.reserve(20)
-    told = here.handle_recall(Recall("audits", 1))
-    assert told is not None and told.returned == 40 and here.available() == 0
+    first_account.apply_grant(answer)
+    assert first_account.reserve(20)
+    returned = first_account.handle_recall(Recall("audits", 1))
+    assert returned is not None and returned.returned == 40 and first_account.available() == 0
     for _ in range(3):
-        ledger.handle_request(told, 1)
+        ledger.handle_request(returned, 1)
     assert left(ledger) == 80
-    ledger.handle_request(replace(told, returned=500), 1)
-    assert left(ledger) == 100  # a replica's word can take back no more than it got
+    ledger.handle_request(replace(returned, returned=500), 1)
+    assert left(ledger) == 100  # capped at what the replica was granted
 
 
 def test_more_than_is_needed_is_granted_only_while_there_is_plenty() -> None:
@@ -79,28 +79,30 @@
 
 
 def test_tokens_that_others_do_not_need_are_recalled_where_one_lacks_them() -> None:
-    ledger, here, there = Ledger({"audits": 100}), account("a"), account("b")
-    answer, _ = ledger.handle_request(here.request_tokens(80), 2)
+    ledger, first_account, second_account = Ledger({"audits": 100}), account("a"), account("b")
+    answer, _ = ledger.handle_request(first_account.request_tokens(80), 2)
     assert answer is not None
-    here.apply_grant(answer)
-    assert here.reserve(10)
-    _, recall = ledger.handle_request(there.request_tokens(50), 2)
+    first_account.apply_grant(answer)
+    assert first_account.reserve(10)
+    _, recall = ledger.handle_request(second_account.request_tokens(50), 2)
     assert recall == Recall("audits", 1)
-    told = here.handle_recall(recall)
-    assert told is not None
-    ledger.handle_request(told, 2)
-    answer, _ = ledger.handle_request(there.request_tokens(50), 2)
+    returned = first_account.handle_recall(recall)
+    assert returned is not None
+    ledger.handle_request(returned, 2)
+    answer, _ = ledger.handle_request(second_account.request_tokens(50), 2)
     assert answer is not None and answer.granted == 50
-    there.apply_grant(answer)
-    here.settle(10, 10, 1)
-    ledger.handle_request(here.request_tokens(0), 2)
-    answer, _ = ledger.handle_request(there.request_tokens(40), 2)
+    second_account.apply_grant(answer)
+    first_account.settle(10, 10, 1)
+    ledger.handle_request(first_account.request_tokens(0), 2)
+    answer, _ = ledger.handle_request(second_account.request_tokens(40), 2)
     assert answer is not None
-    there.apply_grant(answer)
-    assert there.reserve(90)
-    there.settle(90, 90, 1)
-    answer, recall = ledger.handle_request(there.request_tokens(1), 2)
-    assert answer is not None and answer.granted == 90 and recall is None  # nobody has any: all was used
+    second_account.apply_grant(answer)
+    assert second_account.reserve(90)
+    second_account.settle(90, 90, 1)
+    answer, recall = ledger.handle_request(second_account.request_tokens(1), 2)
+    assert (
+        answer is not None and answer.granted == 90 and recall is None
+    )  # no replica has unspent tokens to recall
 
 
 def test_a_life_that_is_over_keeps_what_it_was_granted() -> None:
@@ -111,33 +113,33 @@
 
 
 def test_an_allowance_that_is_cut_in_mid_window_grants_nothing_more_and_one_that_grows_does() -> None:
-    ledger, here = Ledger({"audits": 100}), account("a")
-    grant(ledger, here.request_tokens(60))
+    ledger, first_account = Ledger({"audits": 100}), account("a")
+    grant(ledger, first_account.request_tokens(60))
     ledger.set_allowances({"audits": 50, "tags": 7})
     assert left(ledger) == -10 and grant(ledger, account("b").request_tokens(1)) == 0
     ledger.set_allowances({"audits": 80})
     assert grant(ledger, account("b").request_tokens(20)) == 20 and ledger.tenant("tags") is None
-    assert ledger.handle_request(replace(here.request_tokens(1), tenant="tags"), 1) == (None, None)
+    assert ledger.handle_request(replace(first_account.request_tokens(1), tenant="tags"), 1) == (None, None)
 
 
 def test_a_window_begins_with_the_whole_and_what_runs_across_is_paid_in_the_one_before() -> None:
-    ledger, here = Ledger({"audits": 100}), account("a")
-    answer, _ = ledger.handle_request(here.request_tokens(90), 1)
+    ledger, first_account = Ledger({"audits": 100}), account("a")
+    answer, _ = ledger.handle_request(first_account.request_tokens(90), 1)
     assert answer is not None
-    here.apply_grant(answer)
-    assert here.reserve(90)
+    first_account.apply_grant(answer)
+    assert first_account.reserve(90)
     ledger.begin_window("audits")
-    answer, _ = ledger.handle_request(here.request_tokens(50), 1)
+    answer, _ = ledger.handle_request(first_account.request_tokens(50), 1)
     assert (
         answer is not None and answer.granted == 0
-    )  # it asked within the old window: it is told of the new one
-    here.apply_grant(answer)
-    here.settle(90, 40, 1)
-    assert here.available() == 0 and here.window == 2
-    answer, _ = ledger.handle_request(here.request_tokens(50), 1)
+    )  # the request was for the old window; the answer opens the new one
+    first_account.apply_grant(answer)
+    first_account.settle(90, 40, 1)
+    assert first_account.available() == 0 and first_account.window == 2
+    answer, _ = ledger.handle_request(first_account.request_tokens(50), 1)
     assert answer is not None
-    here.apply_grant(answer)
-    assert here.available() == 50 and left(ledger) == 50
+    first_account.apply_grant(answer)
+    assert first_account.available() == 50 and left(ledger) == 50
 
 
 def test_an_ask_of_a_window_that_nobody_has_begun_is_no_ask() -> None:
