--- a/fleet/__init__.py
+++ b/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet decides together. Pure: events in, actions out, no clock, no sockets."""
+"""Registry and membership of a fleet as pure state machines: events in, actions out, no clock, no sockets."""
--- a/fleet/registry/__init__.py
+++ b/fleet/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list of instances: kept by replicas, followed by agents. The invariants stand in `replica.py`."""
+"""The instance registry: replicas hold the list, agents follow it. `replica.py` states the invariants."""
--- a/fleet/registry/entries.py
+++ b/fleet/registry/entries.py
@@ -1,17 +1,15 @@
-"""One instance as the list shows it, and which of two reports of it is the later one.
-
-Replicas take writes without asking each other, so that any two reports of one instance must be comparable
-by themselves. `order` is total; the greater one wins, on every replica, in whatever order they come:
-
-1. the higher `incarnation`: a new process is not what was said of the one before it;
-2. the higher `word`: within an incarnation an instance goes from active to leaving to removed and never
-   back, so that a removal wins over a renewal that another replica took meanwhile (the renewal says that
-   the process lives, the removal that nobody wants it; a process that is wanted again comes with a new
-   incarnation);
-3. the higher `turn`: counts what replicas did with it, moves of its lease and lapses, and lets the replica
-   that holds a lease refute another's belief that it has lapsed;
-4. at the same turn one that has not lapsed, and then the names and values: any order will do, if it is
-   one.
+"""Defines a registry entry and the total order that resolves conflicting versions of it.
+
+Replicas accept writes without coordination, so any two versions of an entry must be comparable on their own.
+`order` is total and the greater version wins on every replica, whatever the order of arrival:
+
+1. the higher `incarnation`: statements about an earlier process don't apply to a new one;
+2. the higher `lifecycle`: within an incarnation an instance goes from active to leaving to removed and never
+   back, so that a removal wins over a renewal that another replica accepted meanwhile (the renewal says that
+   the process is alive, the removal that it is unwanted; to return, it registers with a new incarnation);
+3. the higher `turn`, a counter that replicas increment when they move a lease or mark it lapsed; by
+   incrementing it, the holder of a lease refutes another replica's claim that the lease has lapsed;
+4. with equal turns, a version that has not lapsed, then names and values: any order that is total will do.
 """
 
 from __future__ import annotations
@@ -21,14 +19,14 @@
 import math
 from dataclasses import dataclass, replace
 
-MAX_SAFE_INTEGER = 2**53 - 1  # what every JSON reader holds exactly
+MAX_SAFE_INTEGER = 2**53 - 1  # the largest integer that every JSON parser represents exactly
 MAX_NAME_LENGTH = 200
 LEASE_RANGE_MS = (500.0, 3_600_000.0)
-"""The shortest and the longest lease; 0 stands for none."""
+"""The shortest and the longest lease; 0 means no lease."""
 
 
 class Lifecycle(enum.IntEnum):
-    """What its registrant or an operator last said of an incarnation."""
+    """The lifecycle stage of an incarnation, as last set by its registrant or an operator."""
 
     ACTIVE = 0
     LEAVING = 1
@@ -39,7 +37,7 @@
 
 
 class InvalidEntryError(ValueError):
-    """A value that no entry can have; the text names the field and what is allowed."""
+    """An invalid value in an entry; the message names the field and the allowed values."""
 
 
 def _require(condition: bool, field: str, allowed: str) -> None:
@@ -65,12 +63,12 @@
 
 
 Key = tuple[str, str]
-"""The list and the id: what an entry is known by."""
+"""The list and the id, which identify an entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One instance in one list. `lease_ms` 0: it stays until it is removed; spans are milliseconds."""
+    """One instance in one list. Without a lease (`lease_ms` 0) it stays until it is removed."""
 
     id: str
     host_port: str = ""
@@ -83,7 +81,7 @@
     incarnation: int = 0
     lifecycle: Lifecycle = Lifecycle.ACTIVE
     lease_ms: float = 0.0
-    holder: str = ""  # the replica that was told last: it alone says that the lease has lapsed
+    holder: str = ""  # the replica that holds the lease; it alone may mark it lapsed
     turn: int = 0
     lapsed: bool = False
 
@@ -113,22 +111,22 @@
 
     @property
     def key(self) -> Key:
-        """What it is known by."""
+        """The key that identifies the entry."""
         return (self.list, self.id)
 
     @property
     def is_gone(self) -> bool:
-        """Whether readers see it as `left`."""
+        """Whether readers see the entry as `left`."""
         return self.lapsed or self.lifecycle is Lifecycle.REMOVED
 
     @property
     def phase(self) -> str:
-        """The published form's word."""
+        """The phase as published to readers: active, leaving or left."""
         return "left" if self.is_gone else "leaving" if self.lifecycle is Lifecycle.LEAVING else "active"
 
     @property
     def order(self) -> tuple[object, ...]:
-        """Greater is later; see the top of the file."""
+        """The sort key for conflict resolution; the greater one wins (see the module's documentation)."""
         return (
             self.incarnation,
             self.lifecycle,
@@ -145,7 +143,7 @@
         )
 
     def has_same_values(self, other: Entry) -> bool:
-        """Whether both say the same of the instance, whoever holds it and whatever its phase."""
+        """Returns whether both describe the instance alike, regardless of the lease holder and the phase."""
         return self._values() == other._values()
 
     def _values(self) -> tuple[object, ...]:
@@ -161,10 +159,10 @@
 
 
 def later_entry(one: Entry, other: Entry) -> Entry:
-    """The one that wins; commutative, associative and idempotent, as `order` is total."""
+    """Returns the version that wins; commutative, associative and idempotent, since `order` is total."""
     return one if one.order >= other.order else other
 
 
 def with_holder(entry: Entry, holder: str) -> Entry:
-    """The same, alive, with its lease at another holder."""
+    """Returns the entry, not lapsed, with its lease moved to `holder`."""
     return replace(entry, holder=holder, turn=entry.turn + 1, lapsed=False)
--- a/fleet/registry/follower.py
+++ b/fleet/registry/follower.py
@@ -1,12 +1,12 @@
-"""What an agent makes of its replicas: it follows one, moves on when that fails, and never tells older news.
+"""Follows a list at one of several replicas: fails over, and never returns to an older state.
 
-Replicas number their changes each for itself, so that another one's whole list is held against what was
-told by vectors: `seen` says of each replica the revision up to which a list has all of its changes. A
-whole list whose vector is nowhere behind ours knows all that we know: what it lacks is gone. From any
-other list, and from a replica that begins a new life behind what we had from it, only what is
-later in `entries.order` is taken, and nothing is dropped; the full word is then looked for at the next
-replica, and at the latest `MAX_UNCONFIRMED_MS` later the list in hand is believed. An empty list after a full
-one is believed when a second replica says the same, and never from one alone.
+Each replica numbers its changes on its own, so full lists from different replicas are compared by version
+vectors: `seen` holds, for each replica, the revision up to which a list includes all of its changes. A full
+list whose vector is nowhere behind the follower's contains everything the follower knows, so entries absent
+from it are gone. From any other full list, and from a replica that restarted behind what it had sent before,
+only versions that are later in `entries.order` are taken and nothing is dropped; the follower then asks the
+next replica for a complete list, and after `MAX_UNCONFIRMED_MS` at the latest accepts the list at hand. An
+empty list after a non-empty one is accepted only if a second replica also reports it.
 
 Times are milliseconds on the caller's clock. `FetchList` is answered by one `ListReceived` or `FetchFailed`.
 """
@@ -19,14 +19,14 @@
 from fleet.registry.entries import Entry, Key, Lifecycle
 from fleet.registry.history import Changes, History, HistoryState
 
-WAIT_MS = 4_000.0  # of a watch: how late a silent cut is noticed
-MIN_WAIT_FRACTION = 0.6  # the shortest watch, as a part of that
-INITIAL_BACKOFF_MS = 500.0  # the first retry comes within so long: agents that fail together spread out
+WAIT_MS = 4_000.0  # duration of a watch (long poll): the longest time until a silent connection is noticed
+MIN_WAIT_FRACTION = 0.6  # the shortest watch, as a fraction of WAIT_MS
+INITIAL_BACKOFF_MS = 500.0  # bound of the first, randomised backoff, which spreads agents that fail together
 MAX_BACKOFF_MS = 5_000.0
 MAX_UNCONFIRMED_MS = 30_000.0
-PURGE_INTERVAL_MS = 60_000.0  # how often that is looked at
-TOMBSTONE_MS = 3_600_000.0  # how long what is gone is remembered
-PREFERRED_RETRY_MS = (30_000.0, 90_000.0)  # with another replica, until the first is tried again
+PURGE_INTERVAL_MS = 60_000.0  # interval of purging gone entries
+TOMBSTONE_MS = 3_600_000.0  # how long a gone entry is retained
+PREFERRED_RETRY_MS = (30_000.0, 90_000.0)  # time at another replica until the preferred one is retried
 
 
 # ---- events -------------------------------------------------------------------------------------
@@ -34,15 +34,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """Start to follow."""
+    """Starts following."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListReceived:
     """A replica's answer.
 
-    `replica`: the one that was asked; `name`: what it calls itself, as in the vectors; `epoch`: the first
-    revision of its present life; `seen`: its vector, itself included.
+    `replica` is the address that was asked, `name` the replica's own name as in the vectors, `epoch` the
+    first revision after its last start, and `seen` its version vector, itself included.
     """
 
     replica: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchFailed:
-    """No answer, or one that is spoilt."""
+    """A replica gave no answer or an invalid one."""
 
     replica: str
     reason: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffElapsed:
-    """The moment of a `Backoff`."""
+    """The time of a `Backoff` has passed."""
 
 
 Event = Begin | ListReceived | FetchFailed | BackoffElapsed
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask a replica for what came after a revision of its own, or for the whole list (None)."""
+    """Fetches the changes since a revision of the replica, or the full list if `after` is None."""
 
     replica: str
     after: int | None
@@ -81,19 +81,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """Send `BackoffElapsed` after so long."""
+    """Requests a `BackoffElapsed` event after `wait_ms`."""
 
     wait_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Watchers can be told, and the snapshot is out of date."""
+    """The list has changed: watchers can be notified, and the snapshot must be saved again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Writes a line to the log."""
 
     text: str
 
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerState:
-    """A snapshot: what was told, and how much of each replica's log that was."""
+    """The follower's persistent state: the list, and the revision of each replica that it includes."""
 
     history: HistoryState = field(default_factory=HistoryState)
     seen: dict[str, int] = field(default_factory=dict)
 
 
 class Follower:
-    """One list as its agent knows it."""
+    """Follows one list on behalf of an agent."""
 
     def __init__(
         self,
@@ -120,7 +120,7 @@
         start_s: float,
         state: FollowerState | None = None,
     ) -> None:
-        """`seed` draws the order of replicas and the pauses; `kept`: the snapshot of an earlier process."""
+        """`seed` determines replica order and backoff; `state` was saved by an earlier process."""
         if not replicas or len(set(replicas)) != len(replicas):
             raise ValueError("replicas: allowed are one or more, each once")
         self._random = random.Random(seed)
@@ -128,7 +128,7 @@
         self._list = list_name
         state = state or FollowerState()
         self.history = History(0, start_s, state.history)
-        self.seen = dict(state.seen)  # what we have told, by each replica's revisions
+        self.seen = dict(state.seen)  # version vector of the list as published
         self._position, self._after = 0, dict[str, int]()
         self._failures = 0
         self._unconfirmed_since: float | None = None
@@ -137,17 +137,17 @@
         self._purge_at = 0.0
         self._reported_empty: set[str] = set()
         self._preferred_retry_at = 0.0
-        self.last_response_at: float | None = None  # when a replica last answered well
-        self.source = ""  # which
-        self.epoch = 0  # of its life
+        self.last_response_at: float | None = None  # time of the last valid answer
+        self.source = ""  # the replica that gave it
+        self.epoch = 0  # the epoch of that replica
 
     @property
     def is_down(self) -> bool:
-        """Whether every replica has failed since the last good answer."""
+        """Whether every replica has failed since the last valid answer."""
         return self._failures >= len(self._order)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event."""
+        """Handles one event and returns the actions to carry out, in order."""
         match event:
             case Begin() | BackoffElapsed():
                 return [self._fetch()]
@@ -159,13 +159,14 @@
     def _fetch(self) -> FetchList:
         name = self._order[self._position]
         after = self._after.get(name)
-        # Watches that were answered together do not end together.
+        # Randomised, so that watches answered at the same time don't all end at the same time.
         return FetchList(
             name, after, 0.0 if after is None else WAIT_MS * self._random.uniform(MIN_WAIT_FRACTION, 1.0)
         )
 
     def _move_to_next(self) -> None:
-        # Back at one that we know, we go on from what it told: its changes since are all that it can add.
+        # On return to a replica the follower resumes from that replica's last revision: later changes are all
+        # that it can add.
         self._position = (self._position + 1) % len(self._order)
 
     def _on_failure(self, replica: str, reason: str) -> list[Action]:
@@ -173,7 +174,7 @@
         self._failures += 1
         lines: list[Action] = [Log(f"discovery: {replica}: {reason}")] if first_down else []
         if first_down and self.is_down:
-            lines.append(Log(f"discovery: no replica answers: {len(self.history)} entries stay as they are"))
+            lines.append(Log(f"discovery: no replica answers; keeping the {len(self.history)} known entries"))
         if len(self._order) > 1:
             self._move_to_next()
         longest = min(INITIAL_BACKOFF_MS * 2 ** min(self._failures - 1, 10), MAX_BACKOFF_MS)
@@ -183,12 +184,14 @@
 
     def _on_list(self, received: ListReceived, now: float) -> list[Action]:
         if any(entry.list != self._list for entry in received.changes.entries):
-            return self._on_failure(received.replica, f"an entry of another list than {self._list!r}")
+            return self._on_failure(
+                received.replica, f"the answer has an entry that is not of list {self._list!r}"
+            )
         actions: list[Action] = []
         if self.is_down:
             actions.append(Log(f"discovery: {received.replica} answers again"))
         if received.replica != self.source:
-            actions.append(Log(f"discovery: the list comes from {received.replica}"))
+            actions.append(Log(f"discovery: following the list at {received.replica}"))
         self._failures = 0
         self.last_response_at, self.source, self.epoch = now, received.replica, received.epoch
         before = self.history.revision
@@ -206,7 +209,7 @@
         return [*actions, *self._continue(now)]
 
     def _try_next(self, replica: str) -> Backoff:
-        """Ask the next replica for its whole list, ever less often."""
+        """Moves to the next replica and fetches its full list after an increasing backoff."""
         self._after.pop(replica, None)
         if len(self._order) > 1:
             self._move_to_next()
@@ -238,7 +241,7 @@
             self.history.put(entry)
 
     def _take_full_list(self, received: ListReceived, now: float, actions: list[Action]) -> bool:
-        """Take a whole list; False if the full word has to be had from another replica."""
+        """Applies a full list; returns False if a complete one must be fetched from another replica."""
         live = [entry for entry in self.history.entries() if not entry.is_gone]
         if not received.changes.entries and live:
             return self._take_empty_list(received, actions)
@@ -249,11 +252,11 @@
             if self._unconfirmed_since is None:
                 self._unconfirmed_since = now
                 actions.append(
-                    Log(f"discovery: {received.replica} knows less than was told: nothing is dropped")
+                    Log(f"discovery: {received.replica} is behind the published list; dropping no entries")
                 )
             if now - self._unconfirmed_since < MAX_UNCONFIRMED_MS:
                 return False
-            actions.append(Log(f"discovery: nobody knows more than {received.replica}: its list counts"))
+            actions.append(Log(f"discovery: no replica has more than {received.replica}; accepting its list"))
             self.seen.clear()
         self._mark_absent_gone({entry.key for entry in received.changes.entries}, received.changes)
         self._merge_vector(received)
@@ -267,7 +270,7 @@
         self._reported_empty.add(received.replica)
         if len(self._reported_empty) < 2:
             actions.append(
-                Log(f"discovery: {received.replica} tells an empty list: not believed from one alone")
+                Log(f"discovery: {received.replica} reports an empty list; waiting for a second replica")
             )
             return False
         self._mark_absent_gone(set(), received.changes)
@@ -284,7 +287,7 @@
                 )
 
     def _purge(self, now: float) -> None:
-        """Drop the memory of what is long gone: no replica can still be so far behind."""
+        """Purges entries that are gone for `TOMBSTONE_MS`: no replica can still be that far behind."""
         if now < self._purge_at:
             return
         self._purge_at = now + PURGE_INTERVAL_MS
@@ -296,7 +299,7 @@
                 del self._gone_since[key]
 
     def state(self) -> FollowerState:
-        """What a new process would go on from."""
+        """Returns the state from which a new process can continue."""
         return FollowerState(self.history.state(), dict(self.seen))
 
     def _merge_vector(self, received: ListReceived) -> None:
--- a/fleet/registry/leases.py
+++ b/fleet/registry/leases.py
@@ -1,17 +1,18 @@
-"""Leases of the entries that one replica holds, and whether their running out is to be believed.
+"""Tracks the leases that a replica holds and decides whether expired ones may be acted on.
 
-A replica counts its own late ones and those that the peers say they have: with few registrants on each, one
-alone could not tell a mass from a single death. It waits for what they say as of the moment of the lapse.
+A registrant renews three times per lease. A lease without a renewal for half its length is late. An expired
+lease removes its instance only while few leases are late: when more than `SUSPEND_FRACTION` of all are, a
+network fault is more likely than that so many processes died at once, so expiry is suspended. A lease that
+expires before the others does so at most a third of a lease earlier; by then the others are already late,
+so the first of a mass is retained as well. Suspension ends only through renewals: when the share of
+late leases falls to half of `SUSPEND_FRACTION`, or their number below `MIN_LATE`. Leases still late then
+get one more full lease.
 
-A registrant renews at a third of its lease. One that is silent for half of it is late. A lease that runs
-out is a reason to take an instance off only while few are late: when more than `SUSPEND_FRACTION` of all are,
-it is more likely that they can't reach us than that they have all died at once, and nobody is taken off.
-Whoever ran out earlier than the peers did so up to a third of a lease before them; by then the peers are
-late already, so that the first of a mass is kept as well. Doubt ends by renewals alone: when no more than
-half of that share is late, or too few for a mass. Those that are silent then get one more lease.
+A replica adds its peers' counts of late and held leases to its own, since with few registrants each, one
+replica alone can't tell a mass from a single death. It waits for counts taken after the moment of expiry.
 
-All times are milliseconds of the caller's own clock that never goes back; no replica's clock is compared
-with another's, nor with a registrant's.
+All times are milliseconds of the caller's own monotonic clock; clocks of replicas or registrants are never
+compared with each other.
 """
 
 from __future__ import annotations
@@ -23,22 +24,22 @@
 from fleet.registry.entries import Key
 
 SUSPEND_FRACTION = 0.2
-MIN_LATE = 3  # fewer late ones are no mass, whatever their share
-RENEWALS_PER_LEASE = 3  # renewals in one lease
-RECHECK_MS = 250.0  # a lease that has run out is looked at again so often until the peers have been heard
-LATE_DIVISOR = 2  # silent for one part in so many of its lease, one is late
+MIN_LATE = 3  # fewer late leases never suspend expiry, whatever their share
+RENEWALS_PER_LEASE = 3
+RECHECK_MS = 250.0  # interval of rechecking an expired lease until all peers have reported
+LATE_DIVISOR = 2  # a lease is late after 1/LATE_DIVISOR of its length without a renewal
 
 
 @dataclass(slots=True)
 class _Lease:
-    length: float
-    renewed: float
-    row: int  # the one row of the queue that speaks of it
+    length_ms: float
+    renewed_at: float
+    row: int  # the only queue row that is valid for this lease
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLeases:
-    """The leases of the other replicas that can be heard, and the moment as of which all are known."""
+    """Lease counts of the reachable peers, and the time of the oldest of their reports."""
 
     late: int = 0
     held: int = 0
@@ -46,7 +47,7 @@
 
 
 class Leases:
-    """Who has renewed when."""
+    """The leases held by one replica, with the time of their last renewal."""
 
     def __init__(self) -> None:
         self._held: dict[Key, _Lease] = {}
@@ -60,61 +61,64 @@
     def __contains__(self, key: object) -> bool:
         return key in self._held
 
-    def renew(self, key: Key, length: float, now: float) -> None:
-        """A registrant has spoken."""
+    def renew(self, key: Key, length_ms: float, now: float) -> None:
+        """Records a renewal by the registrant."""
         known = self._held.get(key)
-        if known is None or length < known.length:
-            known = self._held[key] = _Lease(length, now, 0)
-            self._queue(key, known, now + length)
-        known.length, known.renewed = length, now
+        if known is None or length_ms < known.length_ms:
+            known = self._held[key] = _Lease(length_ms, now, 0)
+            self._queue(key, known, now + length_ms)
+        known.length_ms, known.renewed_at = length_ms, now
 
-    def _queue(self, key: Key, held: _Lease, due: float) -> None:
+    def _queue(self, key: Key, lease: _Lease, due: float) -> None:
         self._last_row += 1
-        held.row = self._last_row
-        heappush(self._due, (due, held.row, key))
+        lease.row = self._last_row
+        heappush(self._due, (due, lease.row, key))
 
     def release(self, key: Key) -> None:
-        """It is not ours to watch any more."""
+        """Stops tracking a lease that this replica no longer holds."""
         self._held.pop(key, None)
 
     def late_count(self, now: float) -> int:
-        """How many have missed a renewal."""
-        return sum(now - held.renewed > held.length / LATE_DIVISOR for held in self._held.values())
+        """Returns the number of late leases."""
+        return sum(now - lease.renewed_at > lease.length_ms / LATE_DIVISOR for lease in self._held.values())
 
     def due_at(self) -> float | None:
-        """When to look next."""
+        """Returns when `expire` must be called next, or None."""
         return self._due[0][0] if self._due else None
 
     def is_alive(self, key: Key, now: float) -> bool:
-        """Whether its lease runs."""
-        held = self._held.get(key)
-        return held is not None and now - held.renewed < held.length
+        """Returns whether a lease is held and has not expired."""
+        lease = self._held.get(key)
+        return lease is not None and now - lease.renewed_at < lease.length_ms
 
     def expire(self, now: float, peer_leases: PeerLeases | None = None) -> list[Key]:
-        """Those to take off now; none while we doubt. `is_suspended` is brought up to date."""
+        """Returns the expired leases and stops tracking them; none while expiry is suspended.
+
+        Also updates `is_suspended`.
+        """
         peers = peer_leases or PeerLeases()
-        over = []
+        expired = []
         while self._due and self._due[0][0] <= now:
             _, row, key = heappop(self._due)
-            held = self._held.get(key)
-            if held is None or held.row != row:
+            lease = self._held.get(key)
+            if lease is None or lease.row != row:
                 continue
-            ends = held.renewed + held.length
-            if ends > now:
-                self._queue(key, held, ends)
-            elif ends > peers.known_at:  # it may be one of many that are late elsewhere
-                self._queue(key, held, now + RECHECK_MS)
+            expires_at = lease.renewed_at + lease.length_ms
+            if expires_at > now:
+                self._queue(key, lease, expires_at)
+            elif expires_at > peers.known_at:  # it may be one of many that are late at the peers too
+                self._queue(key, lease, now + RECHECK_MS)
             else:
-                over.append(key)
-        if over or self.is_suspended:
+                expired.append(key)
+        if expired or self.is_suspended:
             self._update_suspension(now, peers)
         if not self.is_suspended:
-            for key in over:
+            for key in expired:
                 del self._held[key]
-            return over
-        for key in over:  # kept: looked at again in half a lease
-            held = self._held[key]
-            self._queue(key, held, now + held.length / LATE_DIVISOR)
+            return expired
+        for key in expired:  # retained, and rechecked after half a lease
+            lease = self._held[key]
+            self._queue(key, lease, now + lease.length_ms / LATE_DIVISOR)
         return []
 
     def _update_suspension(self, now: float, peers: PeerLeases) -> None:
@@ -123,6 +127,6 @@
             self.is_suspended = late >= MIN_LATE and late > SUSPEND_FRACTION * count
         elif late <= max(SUSPEND_FRACTION / 2 * count, MIN_LATE - 1):
             self.is_suspended = False
-            for held in self._held.values():  # whoever is silent still gets one more lease
-                if now - held.renewed > held.length / LATE_DIVISOR:
-                    held.renewed = now
+            for lease in self._held.values():  # late ones get one more full lease
+                if now - lease.renewed_at > lease.length_ms / LATE_DIVISOR:
+                    lease.renewed_at = now
--- a/fleet/registry/replica.py
+++ b/fleet/registry/replica.py
@@ -1,27 +1,26 @@
-"""One replica of the list: takes writes, tells readers, and agrees with its peers by anti-entropy.
+"""A replica of the registry: accepts writes, answers readers, and converges with its peers by anti-entropy.
 
-Why no leader and no quorum: the list has to be there when most of the service is not, and a server has to
-be able to register where it can reach anybody. What matters of two writes to one instance is which of them
-its registrant made later, and that the entries say themselves (`entries.order`). So each replica takes
-writes alone and passes its log on; each takes over from the others whatever is later. Promised: reads
-always; a write that was acknowledged is on that replica's disk and reaches all others that can be reached,
-or is beaten by a later word on the same instance; replicas that can reach each other come to the same
-list. Not promised: one order of all changes; that a reader at one replica sees at once what was written at
-another.
+Why there is no leader and no quorum: the list must be available when most of the service is not, and a server
+must be able to register at any replica it can reach. Of two writes to an instance, the one that its
+registrant made later must win, and the entries themselves say which that is (`entries.order`). So each
+replica accepts writes alone and passes its log to its peers, and each takes over later versions from the
+others. Guaranteed: reads are always answered; an acknowledged write is on that replica's disk and reaches
+every reachable replica, unless a later write to the same instance supersedes it; replicas that can reach
+each other converge to the same list. Not guaranteed: a single order of all changes; that a write at one
+replica is immediately visible at another.
 
 Invariants:
-1. An entry only ever moves up in `entries.order`, at every replica; the same entries in any order give the
-   same list.
-2. Revisions never go back for a reader, and no answer tells "nothing changed" wrongly (`history.py`).
-3. Nobody but the holder of a lease says that it has lapsed, and a holder refutes it if another said so.
-   The leases of a holder that nobody hears of for `ORPHAN_LEASES` of them are taken over, and begin anew.
-4. No instance is taken off while many are late at once (`leases.py`).
-5. A gone entry is purged only when every peer has asked for changes after it, or after `tombstone_ttl_ms`; a
-   peer's entry that we do not know, and of which that peer knows that we had it, is one that was
-   purged.
-6. A write is acknowledged only after the host has carried out its `Persist`; if that fails, it is refused.
-
-Times are milliseconds on the caller's clock that never goes back. The caller carries out actions in order.
+1. At every replica, an entry only moves up in `entries.order`; the same entries in any order give the same
+   list.
+2. Revisions never go back for a reader, and no answer wrongly says that nothing changed (`history.py`).
+3. Only the holder of a lease marks it lapsed, and a holder refutes it if another replica did. The leases of
+   a holder that has been silent for `ORPHAN_LEASES` times their length are taken over and start anew.
+4. No instance is removed while many leases are late at once (`leases.py`).
+5. A gone entry is purged only when every peer has asked for changes after it, or after `tombstone_ttl_ms`. A
+   peer's entry that is unknown here, although the peer knows that this replica had it, has been purged.
+6. A write is acknowledged only after the host has carried out its `Persist`; if that fails, it is rejected.
+
+Times are milliseconds on the caller's monotonic clock. The caller carries out actions in order.
 """
 
 from __future__ import annotations
@@ -34,17 +33,17 @@
 from fleet.registry.leases import Leases, PeerLeases
 
 ORPHAN_LEASES = 10
-MIN_TOMBSTONE_MS = 600_000.0  # a gone entry is remembered so long at least, for watchers that sleep
-PEER_TIMEOUT_MS = 5_000.0  # after so long without an answer, a peer is not waited for
-MAINTENANCE_MS = 1_000.0  # how often memory is tidied and orphans are looked for
+MIN_TOMBSTONE_MS = 600_000.0  # minimum retention of a gone entry, for watchers that reconnect late
+PEER_TIMEOUT_MS = 5_000.0  # a peer without an answer for this long is considered unreachable
+MAINTENANCE_MS = 1_000.0  # interval of purging gone entries and taking over orphaned leases
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one replica is told; spans are milliseconds.
+    """Settings of one replica; durations in milliseconds.
 
-    `tombstone_ttl_ms` bounds the time that a replica may be away and come back with its old state: after
-    that, what was removed meanwhile could appear again.
+    A replica may be offline for at most `tombstone_ttl_ms` and return with its old state: after a longer
+    absence, entries removed meanwhile could reappear.
     """
 
     name: str
@@ -53,11 +52,11 @@
 
     def __post_init__(self) -> None:
         if not self.name or self.name in self.peers or len(set(self.peers)) != len(self.peers):
-            raise ValueError("name, peers: allowed are names that are not empty, each once")
+            raise ValueError("name, peers: allowed are unique, non-empty names")
 
     @property
     def slot(self) -> int:
-        """Our place among all names in order: the last digit of our revisions."""
+        """This replica's position among all sorted names, used as the last digit of its revisions."""
         return sorted((self.name, *self.peers)).index(self.name)
 
 
@@ -66,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A registrant registers or renews; `incarnation` None: it has named none."""
+    """A registrant registers or renews; `incarnation` is None if it gave none."""
 
     call: int
     entry: Entry
@@ -75,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """Somebody takes an instance off; `incarnation` None: whichever is listed."""
+    """A request to remove an instance; `incarnation` None means whichever is listed."""
 
     call: int
     key: Key
@@ -84,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerResponse:
-    """A peer's answer: its log or whole list, what it has taken over from whom, and its leases."""
+    """A peer's answer: changes or its full list, its version vector, and its lease counts."""
 
     peer: str
     changes: Changes
@@ -95,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRequest:
-    """A peer has asked for what came after a revision of ours: it has kept everything up to there."""
+    """A peer asks for the changes since a revision, and so has stored everything up to it."""
 
     peer: str
     after: int
@@ -103,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeDue:
-    """The moment of a `SetTimer`."""
+    """The time of the last `SetTimer` has come."""
 
 
 Event = Put | Remove | PeerResponse | PeerRequest | TimeDue
@@ -113,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Keep these on disk before anything that follows; `purged` are dropped there."""
+    """Writes entries to disk, and deletes the `purged` ones, before any following action."""
 
     entries: tuple[tuple[int, Entry], ...]
     purged: tuple[Key, ...] = ()
@@ -121,14 +120,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListsChanged:
-    """Readers of these lists, and peers, can be told of changes."""
+    """Readers of these lists, and peers, can be notified of changes."""
 
     lists: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a write. Status 200: done, as `entry` says; else `reason` is one line."""
+    """The answer to a write: with status 200 the stored `entry`, else a one-line `reason`."""
 
     call: int
     status: int
@@ -138,14 +137,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send `TimeDue` at that moment; it replaces an earlier one."""
+    """Requests a `TimeDue` event at `at_ms`, in place of any earlier request."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Writes a line to the log."""
 
     text: str
 
@@ -155,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """What a replica has on disk."""
+    """The state that a replica persists."""
 
     history: HistoryState = field(default_factory=HistoryState)
     seen: dict[str, int] = field(default_factory=dict)
@@ -163,20 +162,22 @@
 
 
 class Replica:
-    """The decisions of one replica."""
+    """The state machine of one replica."""
 
     def __init__(
         self, settings: Settings, start_s: float, now: float, state: ReplicaState | None = None
     ) -> None:
-        """`start_s`: Unix time; `now`: the caller's clock; `kept`: what the disk had."""
+        """`start_s` is the Unix time, `now` the caller's clock, `state` the state read from disk."""
         state = state or ReplicaState()
         self._settings = settings
         self.history = History(settings.slot, start_s, state.history)
         self.leases = Leases()
-        self.seen = dict(state.seen)  # of each peer: its revision up to which we have everything
-        self.acked = dict(state.acked)  # of each peer: our revision up to which it has everything
-        self._last_response_at = dict.fromkeys(settings.peers, now)  # when a peer last answered
-        self._peer_lease_counts = dict.fromkeys(settings.peers, (0, 0))  # late and held ones, as it said then
+        self.seen = dict(state.seen)  # per peer: the peer's revision up to which everything is held here
+        self.acked = dict(state.acked)  # per peer: the own revision up to which the peer has everything
+        self._last_response_at = dict.fromkeys(settings.peers, now)  # per peer
+        self._peer_lease_counts = dict.fromkeys(
+            settings.peers, (0, 0)
+        )  # per peer: late and held, as last reported
         self._gone_since: dict[Key, float] = {}
         self._changed: dict[Key, None] = {}
         self._purged: list[Key] = []
@@ -185,10 +186,10 @@
         for entry in self.history.entries():
             self._watch(entry, now)
 
-    # ---- what is asked of it ---------------------------------------------------------------------
+    # ---- events and queries ------------------------------------------------------------------------
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event; carry out the actions in order."""
+        """Handles one event and returns the actions to carry out, in order."""
         reply: Reply | None = None
         match event:
             case Put():
@@ -205,15 +206,15 @@
         return self._actions(reply, now)
 
     def version_vector(self) -> dict[str, int]:
-        """What we have of each replica's log, our own included: whoever has no less knows no less."""
+        """Returns the revision up to which each replica's log, this one's included, is held here."""
         return {**self.seen, self._settings.name: self.history.revision}
 
     def lease_counts(self, now: float) -> tuple[int, int]:
-        """How many of the leases that we hold are late, and of how many."""
+        """Returns the numbers of late leases and of all leases held here."""
         return self.leases.late_count(now), len(self.leases)
 
     def is_expiry_suspended(self) -> bool:
-        """Whether we take nobody off, since too many are late."""
+        """Returns whether no instance is removed because too many leases are late."""
         return self.leases.is_suspended
 
     def _actions(self, reply: Reply | None, now: float) -> list[Action]:
@@ -254,20 +255,20 @@
                 return Reply(put.call, 409, reason=reason)
             if entry.incarnation == known.incarnation:
                 entry = replace(known, lifecycle=entry.lifecycle)
-        mine = entry.holder == self._settings.name and not entry.lapsed
+        is_own = entry.holder == self._settings.name and not entry.lapsed
         if (
             known is None
             or entry.lifecycle is not known.lifecycle
             or entry.incarnation != known.incarnation
-            or not mine
+            or not is_own
         ):
             if known is not None and known.lapsed and known.incarnation == entry.incarnation:
-                self._log.append(Log(f"registry: {entry.id} is back: its lease had lapsed"))
-            self._take(with_holder(entry, self._settings.name), now)
-        now_known = self.history.get(entry.key)
-        if entry.lease_ms and now_known is not None and not now_known.is_gone:
+                self._log.append(Log(f"registry: {entry.id} renewed after its lease had lapsed"))
+            self._store(with_holder(entry, self._settings.name), now)
+        stored = self.history.get(entry.key)
+        if entry.lease_ms and stored is not None and not stored.is_gone:
             self.leases.renew(entry.key, entry.lease_ms, now)
-        return Reply(put.call, 200, now_known)
+        return Reply(put.call, 200, stored)
 
     def _remove(self, event: Remove, now: float) -> Reply:
         known = self.history.get(event.key)
@@ -275,12 +276,12 @@
             return Reply(event.call, 404, reason=f"id: no instance {event.key[1]!r} is listed")
         number = known.incarnation if event.incarnation is None else event.incarnation
         if number < known.incarnation:
-            words = f"incarnation: {number} is older than {known.incarnation}, which is listed"
-            return Reply(event.call, 409, reason=words)
+            reason = f"incarnation: {number} is older than {known.incarnation}, which is listed"
+            return Reply(event.call, 409, reason=reason)
         if known.lifecycle is not Lifecycle.REMOVED or number != known.incarnation:
             turn = known.turn + 1 if number == known.incarnation else 0
             holder = self._settings.name
-            self._take(
+            self._store(
                 replace(
                     known,
                     lifecycle=Lifecycle.REMOVED,
@@ -293,19 +294,19 @@
             )
         return Reply(event.call, 200, self.history.get(event.key))
 
-    def _take(self, entry: Entry, now: float) -> None:
+    def _store(self, entry: Entry, now: float) -> None:
         self.history.put(entry)
         self._changed[entry.key] = None
         self._watch(entry, now)
 
     def _watch(self, entry: Entry, now: float) -> None:
-        """Hold the lease of what is ours, and the memory of what is gone."""
+        """Tracks the lease of an entry that is held here or by an unknown replica, and when an entry went."""
         if entry.is_gone:
             self._gone_since.setdefault(entry.key, now)
         else:
             self._gone_since.pop(entry.key, None)
-        mine = entry.holder == self._settings.name or entry.holder not in self._last_response_at
-        if mine and entry.lease_ms and not entry.is_gone:
+        is_held_here = entry.holder == self._settings.name or entry.holder not in self._last_response_at
+        if is_held_here and entry.lease_ms and not entry.is_gone:
             if entry.key not in self.leases:
                 self.leases.renew(entry.key, entry.lease_ms, now)
         else:
@@ -315,50 +316,54 @@
 
     def _on_peer_response(self, response: PeerResponse, now: float) -> None:
         if response.peer not in self._last_response_at:
-            self._log.append(Log(f"registry: {response.peer} is no peer of ours: its answer is left out"))
+            self._log.append(
+                Log(f"registry: {response.peer} is not a peer of this replica; ignoring its answer")
+            )
             return
         self._last_response_at[response.peer], self._peer_lease_counts[response.peer] = (
             now,
             (response.late, response.held),
         )
-        ours, had = response.seen.get(self._settings.name, 0), self.seen.get(response.peer, 0)
+        acked, previous = response.seen.get(self._settings.name, 0), self.seen.get(response.peer, 0)
         for entry, at in zip(response.changes.entries, response.changes.revisions, strict=True):
             known = self.history.get(entry.key)
             if known is None:
-                # What we have had from this peer and do not know was purged by all, and it is behind.
-                # Others are news, gone ones too: a third replica may still tell us that they live.
-                if at > had:
-                    self._take(entry, now)
+                # An entry received from this peer before and unknown now was purged everywhere; the peer is
+                # behind. Any other is new, gone ones too: a third replica may still list them as alive.
+                if at > previous:
+                    self._store(entry, now)
             elif entry.order > known.order:
-                self._take(self._refute_lapse(entry, known, now), now)
+                self._store(self._refute_lapse(entry, known, now), now)
         if response.changes.is_full:
-            self._remove_purged(response, ours)
+            self._remove_purged(response, acked)
         self.seen[response.peer] = max(response.changes.revision, self.seen.get(response.peer, 0))
         for name, revision in response.seen.items():
             if name != self._settings.name and name in self._last_response_at:
                 self.seen[name] = max(revision, self.seen.get(name, 0))
 
     def _refute_lapse(self, entry: Entry, known: Entry, now: float) -> Entry:
-        """Another says that a lease of ours has lapsed, and it runs: it is a turn further, and alive."""
-        ours = known.holder == self._settings.name and entry.incarnation == known.incarnation
+        """Returns the entry to store; it refutes a peer that marked a valid lease of this replica lapsed."""
+        is_own = known.holder == self._settings.name and entry.incarnation == known.incarnation
         if (
-            ours
+            is_own
             and entry.lapsed
             and entry.lifecycle is known.lifecycle
             and self.leases.is_alive(known.key, now)
         ):
-            self._log.append(Log(f"registry: {entry.id} lives: {entry.holder} had given up its lease"))
+            self._log.append(
+                Log(f"registry: {entry.id} is alive; {entry.holder} had marked its lease lapsed")
+            )
             return with_holder(entry, self._settings.name)
         return entry
 
-    def _remove_purged(self, response: PeerResponse, ours: int) -> None:
-        """A peer's whole list lacks what it has had from us: it was removed, and purged by everybody."""
+    def _remove_purged(self, response: PeerResponse, acked: int) -> None:
+        """Removes entries that the peer once had and no longer lists: they were purged everywhere."""
         listed = {entry.key for entry in response.changes.entries}
         for entry in list(self.history.entries()):
-            if entry.key not in listed and not entry.is_gone and self.history.revision_of(entry.key) <= ours:
+            if entry.key not in listed and not entry.is_gone and self.history.revision_of(entry.key) <= acked:
                 gone = replace(entry, lifecycle=Lifecycle.REMOVED, turn=entry.turn + 1)
-                self._log.append(Log(f"registry: {entry.id} was removed while we were away"))
-                self._take(gone, self._maintained_at)
+                self._log.append(Log(f"registry: {entry.id} was removed while this replica was offline"))
+                self._store(gone, self._maintained_at)
 
     # ---- time ------------------------------------------------------------------------------------
 
@@ -368,49 +373,51 @@
         for key in self.leases.expire(now, peer_leases):
             entry = self.history.get(key)
             if entry is not None and not entry.is_gone:
-                self._log.append(Log(f"registry: {entry.id} has not renewed its lease: left"))
+                self._log.append(Log(f"registry: {entry.id} did not renew its lease; marked as left"))
                 holder = self._settings.name
-                self._take(replace(entry, lapsed=True, holder=holder, turn=entry.turn + 1), now)
+                self._store(replace(entry, lapsed=True, holder=holder, turn=entry.turn + 1), now)
         if self.leases.is_suspended and not was_suspended:
             late, held = self.leases.late_count(now) + peer_leases.late, len(self.leases) + peer_leases.held
-            self._log.append(Log(f"registry: {late} of {held} registrants are late: nobody is taken off"))
+            self._log.append(Log(f"registry: {late} of {held} leases are late; lease expiry is suspended"))
         elif was_suspended and not self.leases.is_suspended:
-            self._log.append(Log("registry: registrants renew again: leases count as before"))
+            self._log.append(Log("registry: leases are renewed again; lease expiry is resumed"))
         if now >= self._maintained_at + MAINTENANCE_MS:
             self._maintained_at = now
             self._take_over_leases(now)
             self._purge(now)
 
     def _peer_leases(self, now: float) -> PeerLeases:
-        """The leases of the peers that can be heard."""
-        heard = [name for name, at in self._last_response_at.items() if now - at < PEER_TIMEOUT_MS]
-        late = sum(self._peer_lease_counts[name][0] for name in heard)
-        held = sum(self._peer_lease_counts[name][1] for name in heard)
-        return PeerLeases(late, held, min((self._last_response_at[name] for name in heard), default=inf))
+        """Returns the lease counts of the reachable peers."""
+        reachable = [name for name, at in self._last_response_at.items() if now - at < PEER_TIMEOUT_MS]
+        late = sum(self._peer_lease_counts[name][0] for name in reachable)
+        held = sum(self._peer_lease_counts[name][1] for name in reachable)
+        return PeerLeases(late, held, min((self._last_response_at[name] for name in reachable), default=inf))
 
     def _take_over_leases(self, now: float) -> None:
-        """Take over the leases of a peer that has been silent for many of them."""
-        silent = {name: now - heard for name, heard in self._last_response_at.items()}
+        """Takes over leases whose holder has been silent for `ORPHAN_LEASES` times their length."""
+        silent = {name: now - answered_at for name, answered_at in self._last_response_at.items()}
         for entry in list(self.history.entries()):
             since = silent.get(entry.holder)
             if since is None or entry.is_gone or not entry.lease_ms:
                 continue
             if since >= ORPHAN_LEASES * entry.lease_ms and self._is_first_reachable(entry.holder, silent):
-                self._log.append(Log(f"registry: {entry.holder} is silent: the lease of {entry.id} is ours"))
-                self._take(with_holder(entry, self._settings.name), now)
+                self._log.append(
+                    Log(f"registry: {entry.holder} is silent; taking over the lease of {entry.id}")
+                )
+                self._store(with_holder(entry, self._settings.name), now)
 
     def _is_first_reachable(self, holder: str, silent: dict[str, float]) -> bool:
-        """Whether we are the first in order of those that can be heard: one adopter is enough."""
-        heard = [name for name, since in silent.items() if name != holder and since < silent[holder] / 2]
-        return self._settings.name <= min(heard, default=self._settings.name)
+        """Returns whether this replica is the first by name that is reachable; only that one takes over."""
+        reachable = [name for name, since in silent.items() if name != holder and since < silent[holder] / 2]
+        return self._settings.name <= min(reachable, default=self._settings.name)
 
     def _purge(self, now: float) -> None:
         for key, since in list(self._gone_since.items()):
-            everybody = all(
+            is_acked_by_all = all(
                 self.acked.get(p, 0) >= self.history.revision_of(key) for p in self._settings.peers
             )
             if (
-                everybody and now - since >= MIN_TOMBSTONE_MS
+                is_acked_by_all and now - since >= MIN_TOMBSTONE_MS
             ) or now - since >= self._settings.tombstone_ttl_ms:
                 self.history.purge(key)
                 del self._gone_since[key]
@@ -418,7 +425,7 @@
 
 
 def _choose_incarnation(entry: Entry, known: Entry | None) -> int:
-    """The incarnation of a registrant that names none: the same while it says the same, else the next."""
+    """Returns the incarnation for a registrant without one: the known one if unchanged, else the next."""
     if known is None:
         return max(int(entry.up_since_ms), 0)
     if (
@@ -431,7 +438,7 @@
 
 
 def _rejection_reason(entry: Entry, known: Entry) -> str:
-    """Why a write can't be taken, or nothing."""
+    """Returns why a write must be rejected, or an empty string."""
     if entry.incarnation < known.incarnation:
         return f"incarnation: {entry.incarnation} is older than {known.incarnation}, which is listed"
     if entry.incarnation > known.incarnation:
@@ -446,7 +453,7 @@
 
 
 def merge_lists(one: tuple[Entry, ...], other: tuple[Entry, ...]) -> dict[Key, Entry]:
-    """Two lists as one: of each instance the later report."""
+    """Merges two lists, keeping the later version of each entry."""
     found = {entry.key: entry for entry in one}
     for entry in other:
         found[entry.key] = later_entry(found[entry.key], entry) if entry.key in found else entry
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The list service on loopback sockets: replicas, agents and balancers with faults between them."""
+"""The registry on loopback sockets: replicas, agents and balancers with faults between them."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return client.put(f"http://{address}{PATH}/{id_}", json=body)
 
 
-async def told(client: ClientSession, address: str, **words: str) -> dict[str, Any]:
+async def read_list(client: ClientSession, address: str, **words: str) -> dict[str, Any]:
     async with client.get(f"http://{address}{PATH}", params=words) as answer:
         assert answer.status == 200, await answer.text()
         found: dict[str, Any] = await answer.json()
@@ -47,7 +47,7 @@
 
 
 async def ids(client: ClientSession, address: str) -> set[str]:
-    return {item["id"] for item in (await told(client, address))["members"]}
+    return {item["id"] for item in (await read_list(client, address))["members"]}
 
 
 async def until_ids(client: ClientSession, address: str, wanted: set[str]) -> None:
@@ -55,16 +55,17 @@
         await asyncio.sleep(0.01)
 
 
-class Three:
-    """Three replicas in this process, on addresses that outlast them."""
+class ReplicaTrio:
+    """Three replicas in this process; their addresses stay the same across restarts."""
 
     def __init__(self, folder: Path, addresses: dict[str, str]) -> None:
         self._folder, self.addresses = folder, addresses
-        self.ways: dict[tuple[str, str], str] = {}  # where one replica finds another, if not at its address
+        # (replica, peer): the address at which the replica finds the peer, if not the peer's own.
+        self.peer_addresses: dict[tuple[str, str], str] = {}
         self.running: dict[str, service.Service] = {}
 
     async def start(self, name: str) -> None:
-        peers = {n: self.ways.get((name, n), a) for n, a in self.addresses.items() if n != name}
+        peers = {n: self.peer_addresses.get((name, n), a) for n, a in self.addresses.items() if n != name}
         options = service.Options(name, self.addresses[name], self._folder / f"{name}.db", peers)
         self.running[name] = service.Service(options)
         await self.running[name].start()
@@ -74,9 +75,9 @@
 
 
 @asynccontextmanager
-async def three(folder: Path) -> AsyncIterator[tuple[Three, ClientSession]]:
+async def running_replicas(folder: Path) -> AsyncIterator[tuple[ReplicaTrio, ClientSession]]:
     addresses = {name: f"127.0.0.1:{free_port()}" for name in "abc"}
-    fleet = Three(folder, addresses)
+    fleet = ReplicaTrio(folder, addresses)
     async with ClientSession(timeout=ClientTimeout(total=15.0)) as client:
         try:
             for name in addresses:
@@ -89,15 +90,15 @@
 
 def test_a_write_at_one_replica_reaches_readers_of_all_and_a_watch_tells_it(tmp_path: Path) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
-            first = await told(client, fleet.addresses["c"])
+        async with running_replicas(tmp_path) as (fleet, client):
+            first = await read_list(client, fleet.addresses["c"])
             words = {"after": str(first["revision"]), "wait_ms": "10000"}
-            watch = asyncio.create_task(told(client, fleet.addresses["c"], **words))
+            watch = asyncio.create_task(read_list(client, fleet.addresses["c"], **words))
             async with put(client, fleet.addresses["a"], "s-1", locality="z", lease_ms=3_000) as answer:
                 assert answer.status == 200 and (await answer.json())["phase"] == "active"
-            news = await watch
-            assert not news["complete"] and news["revision"] > first["revision"]
-            (member,) = news["members"]
+            changes = await watch
+            assert not changes["complete"] and changes["revision"] > first["revision"]
+            (member,) = changes["members"]
             assert member == {
                 "id": "s-1", "host_port": "127.0.0.1:7070", "locality": "z", "flavor": "", "cell": 0,
                 "phase": "active", "size": 1.0, "up_since_ms": 0.0,
@@ -112,26 +113,28 @@
 
 def test_a_replica_that_is_killed_goes_on_without_telling_anything_twice_or_older(tmp_path: Path) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             for i in range(3):
                 async with put(client, fleet.addresses["a"], f"s-{i}") as answer:
                     assert answer.status == 200
-            before = await told(client, fleet.addresses["a"])
+            before = await read_list(client, fleet.addresses["a"])
             await fleet.stop("a")
             async with put(client, fleet.addresses["b"], "late") as answer:
                 assert answer.status == 200
             await fleet.start("a")
             await until_ids(client, fleet.addresses["a"], {"s-0", "s-1", "s-2", "late"})
-            news = await told(client, fleet.addresses["a"], after=str(before["revision"]), wait_ms="0")
-            assert not news["complete"] and [m["id"] for m in news["members"]] == ["late"]
-            assert news["revision"] > before["revision"] and news["epoch"] > before["epoch"]
+            changes = await read_list(
+                client, fleet.addresses["a"], after=str(before["revision"]), wait_ms="0"
+            )
+            assert not changes["complete"] and [m["id"] for m in changes["members"]] == ["late"]
+            assert changes["revision"] > before["revision"] and changes["epoch"] > before["epoch"]
 
     run(test())
 
 
 def test_a_replica_with_an_old_file_takes_nothing_back_and_loses_no_readers(tmp_path: Path) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             async with put(client, fleet.addresses["a"], "old"):
                 pass
             await fleet.stop("a")
@@ -144,11 +147,11 @@
                 pass
             for address in fleet.addresses.values():
                 await until_ids(client, address, {"new"})
-            last = await told(client, fleet.addresses["a"])
+            last = await read_list(client, fleet.addresses["a"])
             await fleet.stop("a")
             (tmp_path / "a.db").write_bytes(old)
             await fleet.start("a")
-            answer = await told(client, fleet.addresses["a"], after=str(last["revision"]), wait_ms="0")
+            answer = await read_list(client, fleet.addresses["a"], after=str(last["revision"]), wait_ms="0")
             assert answer["complete"] and answer["revision"] > last["revision"]
             for address in fleet.addresses.values():
                 await until_ids(client, address, {"new"})
@@ -156,10 +159,10 @@
     run(test())
 
 
-@pytest.mark.parametrize("spoil", ["torn", "rows", "noise", "empty"])
-def test_a_spoilt_file_is_put_aside_and_the_rest_comes_from_the_peers(tmp_path: Path, spoil: str) -> None:
+@pytest.mark.parametrize("damage", ["torn", "rows", "noise", "empty"])
+def test_a_spoilt_file_is_put_aside_and_the_rest_comes_from_the_peers(tmp_path: Path, damage: str) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             wanted = {f"s-{i}" for i in range(200)}
             for id_ in sorted(wanted):
                 async with put(client, fleet.addresses["a"], id_):
@@ -169,11 +172,11 @@
             await fleet.stop("a")
             path = tmp_path / "a.db"
             data = path.read_bytes()
-            if spoil == "torn":
+            if damage == "torn":
                 path.write_bytes(data[: len(data) // 2])
-            elif spoil == "noise":
+            elif damage == "noise":
                 path.write_bytes(b"\xff" * len(data))
-            elif spoil == "empty":
+            elif damage == "empty":
                 path.write_bytes(b"")
             else:
                 with sqlite3.connect(path) as connection:
@@ -188,7 +191,7 @@
 
 
 def test_a_disk_that_is_full_refuses_writes_keeps_reading_and_comes_back(tmp_path: Path) -> None:
-    # The limit is the process's own, so that the replica needs one of its own.
+    # The file size limit applies to a process, so the replica runs in its own.
     script = f"""
 import asyncio, resource, sys
 from pathlib import Path
@@ -294,7 +297,7 @@
                     assert answer.status == status and text.strip() and text.count("\n") == 1
             async with client.put(f"http://{address}{PATH}/s-1", data=b"x" * 100_000) as answer:
                 assert answer.status == 413
-            assert (await told(client, address))["members"] == []
+            assert (await read_list(client, address))["members"] == []
         await one.stop()
 
     run(test())
@@ -323,8 +326,8 @@
         read_listing(json.dumps(answer).encode(), 4)
 
 
-class Door:
-    """A way to a server that can be cut: one way or both, with connections left open and silent."""
+class CuttableLink:
+    """A proxy to a server that can drop all data in one direction or both while connections stay open."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -356,23 +359,23 @@
             task.cancel()
 
 
-async def cut_off(fleet: Three, name: str) -> list[Door]:
-    """Start all three again with doors between one of them and the others."""
-    doors = []
+async def cut_off(fleet: ReplicaTrio, name: str) -> list[CuttableLink]:
+    """Restarts all replicas with cuttable links between one of them and the others."""
+    links = []
     for one in list(fleet.running):
         await fleet.stop(one)
     for other in fleet.addresses:
         for source, target in ((name, other), (other, name)) if other != name else ():
-            doors.append(Door(fleet.addresses[target]))
-            fleet.ways[source, target] = await doors[-1].start()
+            links.append(CuttableLink(fleet.addresses[target]))
+            fleet.peer_addresses[source, target] = await links[-1].start()
     for one in fleet.addresses:
         await fleet.start(one)
-    return doors
+    return links
 
 
-def shut(doors: list[Door], cut: bool) -> None:
-    for door in doors:
-        door.out_cut = door.in_cut = cut
+def shut(links: list[CuttableLink], cut: bool) -> None:
+    for link in links:
+        link.out_cut = link.in_cut = cut
 
 
 def test_replicas_that_were_cut_agree_on_who_was_registered_at_one_and_removed_at_the_other(
@@ -382,31 +385,31 @@
     monkeypatch.setattr(http, "ANSWER_S", 0.2)
 
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
-            doors, places = await cut_off(fleet, "a"), fleet.addresses
+        async with running_replicas(tmp_path) as (fleet, client):
+            links, places = await cut_off(fleet, "a"), fleet.addresses
             for id_ in ("renewed", "new"):
                 async with put(client, places["b"], id_, incarnation=1, lease_ms=60_000):
                     pass
             for place in places.values():
                 await until_ids(client, place, {"renewed", "new"})
-            shut(doors, True)
+            shut(links, True)
             for id_ in ("renewed", "new"):
                 async with client.delete(f"http://{places['b']}{PATH}/{id_}") as answer:
                     assert answer.status == 200
-            # A renewal is of the same process, which nobody wants; a new process is not the removed one.
+            # A renewal belongs to the removed incarnation; a higher incarnation is a new process.
             async with put(client, places["a"], "renewed", incarnation=1, lease_ms=60_000) as answer:
                 assert answer.status == 200
             async with put(client, places["a"], "new", incarnation=2, host_port="127.0.0.1:7071") as answer:
                 assert answer.status == 200
             await until_ids(client, places["c"], set())
             assert await ids(client, places["a"]) == {"renewed", "new"}
-            shut(doors, False)
+            shut(links, False)
             for place in places.values():
                 await until_ids(client, place, {"new"})
-                (member,) = (await told(client, place))["members"]
+                (member,) = (await read_list(client, place))["members"]
                 assert member["host_port"] == "127.0.0.1:7071"
-            for door in doors:
-                door.stop()
+            for link in links:
+                link.stop()
 
     run(test())
 
@@ -418,13 +421,13 @@
     monkeypatch.setattr(http, "ANSWER_S", 0.2)
 
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
-            doors, places = await cut_off(fleet, "a"), fleet.addresses
+        async with running_replicas(tmp_path) as (fleet, client):
+            links, places = await cut_off(fleet, "a"), fleet.addresses
             async with put(client, places["a"], "s-1", incarnation=1, lease_ms=1_500):
                 pass
             for place in places.values():
                 await until_ids(client, place, {"s-1"})
-            shut(doors, True)
+            shut(links, True)
             # The old process renews at the one side while the new one registers at the other.
             async with put(
                 client, places["b"], "s-1", incarnation=2, host_port="127.0.0.1:7071", lease_ms=60_000
@@ -432,44 +435,49 @@
                 pass
             async with put(client, places["a"], "s-1", incarnation=1, lease_ms=1_500) as answer:
                 assert answer.status == 200
-            shut(doors, False)
+            shut(links, False)
             for place in places.values():
-                while [m["host_port"] for m in (await told(client, place))["members"]] != ["127.0.0.1:7071"]:
+                while [m["host_port"] for m in (await read_list(client, place))["members"]] != [
+                    "127.0.0.1:7071"
+                ]:
                     await asyncio.sleep(0.01)
             async with put(client, places["a"], "s-1", incarnation=1, lease_ms=1_500) as answer:
-                assert answer.status == 409  # the old process learns that it has been overtaken
-            for place in places.values():  # the old lease's end takes nobody off
+                assert answer.status == 409  # the old process learns that it was superseded
+            for place in places.values():  # the expiry of the old lease removes nothing
                 assert await ids(client, place) == {"s-1"}
-            for door in doors:
-                door.stop()
+            for link in links:
+                link.stop()
 
     run(test())
 
 
 def test_a_watch_is_answered_at_once_and_its_connection_takes_the_next_question(tmp_path: Path) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             agent = agents.Agent(agents.Options(ANY, tuple(fleet.addresses.values()), seed=1))
             await agent.start()
-            words = {"after": str((await told(client, agent.place.address))["revision"]), "wait_ms": "10000"}
-            heard = []
+            words = {
+                "after": str((await read_list(client, agent.place.address))["revision"]),
+                "wait_ms": "10000",
+            }
+            received = []
             for i in range(5):  # each answered watch is followed by the next on the same connection
-                watch = asyncio.create_task(told(client, agent.place.address, **words))
+                watch = asyncio.create_task(read_list(client, agent.place.address, **words))
                 async with (
                     put(client, fleet.addresses["b"], f"s-{i}"),
                     put(client, fleet.addresses["b"], f"t-{i}"),
                 ):
                     pass
-                while not (news := await watch)["members"]:
-                    watch = asyncio.create_task(told(client, agent.place.address, **words))
-                assert not news["complete"]
-                heard += [member["id"] for member in news["members"]]
-                words["after"] = str(news["revision"])
-            while len(heard) < 10:
-                news = await told(client, agent.place.address, **words)
-                heard += [member["id"] for member in news["members"]]
-                words["after"] = str(news["revision"])
-            assert sorted(heard) == sorted(f"{kind}-{i}" for kind in "st" for i in range(5))
+                while not (changes := await watch)["members"]:
+                    watch = asyncio.create_task(read_list(client, agent.place.address, **words))
+                assert not changes["complete"]
+                received += [member["id"] for member in changes["members"]]
+                words["after"] = str(changes["revision"])
+            while len(received) < 10:
+                changes = await read_list(client, agent.place.address, **words)
+                received += [member["id"] for member in changes["members"]]
+                words["after"] = str(changes["revision"])
+            assert sorted(received) == sorted(f"{kind}-{i}" for kind in "st" for i in range(5))
             await agent.stop()
 
     run(test())
@@ -482,46 +490,52 @@
     monkeypatch.setattr(http, "ANSWER_S", 0.2)
 
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
-            doors = [Door(address) for address in fleet.addresses.values()]
-            replicas = tuple([await door.start() for door in doors])
+        async with running_replicas(tmp_path) as (fleet, client):
+            links = [CuttableLink(address) for address in fleet.addresses.values()]
+            replicas = tuple([await link.start() for link in links])
             agent = agents.Agent(agents.Options(ANY, replicas, seed=1))
             await agent.start()
             async with put(client, fleet.addresses["a"], "s-1"):
                 pass
             await until_ids(client, agent.place.address, {"s-1"})
-            before = await told(client, agent.place.address)
+            before = await read_list(client, agent.place.address)
             at = replicas.index(agent.follower.source)
-            doors[at].in_cut = True  # bytes out, none in
+            links[at].in_cut = True  # requests pass, answers are dropped
             async with put(client, fleet.addresses["b"], "s-2"):
                 pass
             await until_ids(client, agent.place.address, {"s-1", "s-2"})
-            after = await told(client, agent.place.address)
+            after = await read_list(client, agent.place.address)
             assert agent.follower.source != replicas[at] and after["revision"] > before["revision"]
             await agent.stop()
-            for door in doors:
-                door.stop()
+            for link in links:
+                link.stop()
 
     run(test())
 
 
 def test_an_agent_passes_over_a_replica_that_lies(tmp_path: Path) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             async with put(client, fleet.addresses["a"], "s-1"):
                 pass
-            lies = (b"{", b"[]", json.dumps({"revision": -1, "complete": True, "members": []}).encode())
-            for lie in lies:
-                liar = FakeServer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(lie), lie))
-                await liar.start()
-                for seed in (1, 2):  # whichever is asked first
-                    options = agents.Options(ANY, (liar.host_port, fleet.addresses["a"]), seed=seed)
+            invalid_bodies = (
+                b"{",
+                b"[]",
+                json.dumps({"revision": -1, "complete": True, "members": []}).encode(),
+            )
+            for invalid_body in invalid_bodies:
+                server = FakeServer(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(invalid_body), invalid_body)
+                )
+                await server.start()
+                for seed in (1, 2):  # with either replica asked first
+                    options = agents.Options(ANY, (server.host_port, fleet.addresses["a"]), seed=seed)
                     agent = agents.Agent(options)
                     await agent.start()
                     await until_ids(client, agent.place.address, {"s-1"})
                     assert agent.follower.source == fleet.addresses["a"]
                     await agent.stop()
-                liar.stop()
+                server.stop()
 
     run(test())
 
@@ -533,7 +547,7 @@
 
     async def test() -> None:
         snapshot = tmp_path / "agent.json"
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             async with put(client, fleet.addresses["a"], "s-1"):
                 pass
             for address in fleet.addresses.values():
@@ -542,17 +556,17 @@
             agent = agents.Agent(options)
             await agent.start()
             await until_ids(client, agent.place.address, {"s-1"})
-            revision = (await told(client, agent.place.address))["revision"]
+            revision = (await read_list(client, agent.place.address))["revision"]
             for name in list(fleet.running):
                 await fleet.stop(name)
             await until(lambda: agent.follower.is_down)
             words = {"after": str(revision), "wait_ms": "50"}
-            watch = asyncio.create_task(told(client, agent.place.address, **words))
+            watch = asyncio.create_task(read_list(client, agent.place.address, **words))
             assert await ids(client, agent.place.address) == {"s-1"}
             await agent.stop()
-            again = agents.Agent(options)  # a new process, and still nobody is there
+            again = agents.Agent(options)  # a new process, with all replicas still down
             await again.start()
-            answer = await told(client, again.place.address)
+            answer = await read_list(client, again.place.address)
             assert [m["id"] for m in answer["members"]] == ["s-1"] and answer["revision"] > revision
             watch.cancel()
             await fleet.start("b")
@@ -593,14 +607,14 @@
         await place.start()
         host, _, port = place.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port), limit=1024)
-        writer.write(b"GET /big HTTP/1.1\r\nHost: x\r\n\r\n")  # and never reads on
+        writer.write(b"GET /big HTTP/1.1\r\nHost: x\r\n\r\n")  # and never reads the answer
         async with ClientSession() as client, client.get(f"http://{place.address}/quick") as answer:
             assert answer.status == 200
         await dropped.wait()
         with pytest.raises(ConnectionResetError):
             while await reader.read(65536):
                 pass
-            raise ConnectionResetError  # an end in order, with less than was promised, will do
+            raise ConnectionResetError  # an orderly close before the full body is accepted too
         writer.close()
         await place.stop()
 
@@ -609,7 +623,7 @@
 
 def test_a_registrant_moves_to_the_next_replica_and_its_lease_moves_with_it(tmp_path: Path) -> None:
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             answers: list[Any] = []
             values = {"host_port": "127.0.0.1:9", "incarnation": 1, "lease_ms": 600.0}
             held = Registrant(list(fleet.addresses.values()), "s-1", values, heard=answers.append)
@@ -622,7 +636,7 @@
             history = fleet.running[second].replica.history
 
             def holds() -> bool:
-                """With its next renewal at the latest; all the while the instance is listed as alive."""
+                """True after the next renewal at the latest; the instance stays active meanwhile."""
                 entry = history.get(("", "s-1"))
                 assert entry is not None and entry.phase == "active"
                 return bool(entry.holder == second)
@@ -643,7 +657,7 @@
     monkeypatch.setattr("fleet.registry.follower.WAIT_MS", 100.0)
 
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             joined = FakeServer()
             await joined.start()
             places = list(fleet.addresses.values())
@@ -653,7 +667,7 @@
 
             async with balancer(FakeServer(), change=change) as b:
                 answer = await (await b.connect()).ask()
-                assert answer is not None and answer.status == 200  # by the list that it was given
+                assert answer is not None and answer.status == 200  # from the configured list
                 assert (await b.figures())["list"]["source"] in ("", *places)
                 async with put(client, places[0], "new", host_port=joined.host_port):
                     pass
@@ -684,7 +698,7 @@
     monkeypatch.setattr("fleet.registry.follower.WAIT_MS", 100.0)
 
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             places = list(fleet.addresses.values())
             for name in list(fleet.running):
                 await fleet.stop(name)
@@ -714,7 +728,7 @@
     monkeypatch.setattr("fleet.registry.follower.MAX_BACKOFF_MS", 1_000.0)
 
     async def test() -> None:
-        async with three(tmp_path) as (fleet, client):
+        async with running_replicas(tmp_path) as (fleet, client):
             async with put(client, fleet.addresses["a"], "s-1"):
                 pass
             places = tuple(fleet.addresses.values())
@@ -732,7 +746,7 @@
                 pass
             await until(lambda: all(len(agent.follower.history) == 2 for agent in found))
             asked = sum(one.answers for one in fleet.running.values())
-            assert asked < 20 * len(found)  # no agent hammers: a few lists each, and their watches
+            assert asked < 20 * len(found)  # a few lists and watches per agent, no retry storm
             await asyncio.gather(*(agent.stop() for agent in found))
 
     run(test())
@@ -758,7 +772,7 @@
 
 
 class SlowDisk(Store):
-    """A store whose commits wait until they are let go on."""
+    """A store whose commits block until `may_write` is set."""
 
     may_write = threading.Event()
 
@@ -769,7 +783,7 @@
 
 @pytest.fixture
 def slow_disk(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """Lets commits go on while it is set."""
+    """Commits proceed while this event is set."""
     monkeypatch.setattr(service, "Store", SlowDisk)
     SlowDisk.may_write = threading.Event()
     SlowDisk.may_write.set()
@@ -818,10 +832,10 @@
             slow_disk.clear()
             writing = asyncio.create_task(status_of(put(client, address, "second")))
             await until(lambda: not one.is_settled())
-            reading = asyncio.create_task(told(client, address))
-            assert await writing == 503  # nobody was told that it is stored
+            reading = asyncio.create_task(read_list(client, address))
+            assert await writing == 503  # it was not acknowledged as stored
             assert one.failing == "the disk has not answered for 1 s"
-            assert (await reading)["members"][0]["id"] == "second"  # reads go on, as with a full disk
+            assert (await reading)["members"][0]["id"] == "second"  # reads continue, as with a full disk
             assert await status_of(put(client, address, "third")) == 503
             slow_disk.set()
             await until(lambda: not one.failing)
--- a/tests/test_registry_core.py
+++ b/tests/test_registry_core.py
@@ -1,4 +1,4 @@
-"""The list's decisions, without clocks and sockets: which report wins, what readers are told, whose lease."""
+"""The registry without clocks and sockets: conflict resolution, answers to readers, leases, followers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Fleet:
-    """Replicas without a network between them but `sync`."""
+    """Replicas that exchange changes only through `sync`."""
 
     def __init__(self, *names: str) -> None:
         self.now = 1_000.0
@@ -46,12 +46,12 @@
         self.replicas = {name: self.make(name) for name in names}
         self._calls = itertools.count()
 
-    def make(self, name: str, kept: ReplicaState | None = None, start_s: float = START_S) -> Replica:
+    def make(self, name: str, state: ReplicaState | None = None, start_s: float = START_S) -> Replica:
         peers = tuple(n for n in self.names if n != name)
-        return Replica(Settings(name, peers), start_s, self.now, kept)
+        return Replica(Settings(name, peers), start_s, self.now, state)
 
-    def put(self, name: str, told: Entry, incarnation: int | None = None) -> Reply:
-        return self._write(name, Put(next(self._calls), told, incarnation))
+    def put(self, name: str, entry: Entry, incarnation: int | None = None) -> Reply:
+        return self._write(name, Put(next(self._calls), entry, incarnation))
 
     def remove(self, name: str, id_: str, incarnation: int | None = None) -> Reply:
         return self._write(name, Remove(next(self._calls), ("", id_), incarnation))
@@ -62,14 +62,16 @@
         return reply
 
     def sync(self, *pairs: tuple[str, str]) -> None:
-        """Each second of a pair asks the first for what it does not have yet."""
+        """In each (source, reader) pair, the reader fetches the changes it lacks from the source."""
         for source, reader in pairs or tuple(itertools.permutations(self.names, 2)):
-            told = self.replicas[source]
+            replica = self.replicas[source]
             after = self.replicas[reader].seen.get(source)
             if after is not None:
-                told.handle(PeerRequest(reader, after), self.now)
-            leases = told.lease_counts(self.now)
-            answer = PeerResponse(source, told.history.changes_since(after), told.version_vector(), *leases)
+                replica.handle(PeerRequest(reader, after), self.now)
+            leases = replica.lease_counts(self.now)
+            answer = PeerResponse(
+                source, replica.history.changes_since(after), replica.version_vector(), *leases
+            )
             self.replicas[reader].handle(answer, self.now)
 
     def wait(self, ms: float, step: float = 250.0) -> None:
@@ -87,7 +89,7 @@
         return [{e.key: e for e in r.history.entries()} for r in self.replicas.values()]
 
 
-def kept(replica: Replica) -> ReplicaState:
+def saved_state(replica: Replica) -> ReplicaState:
     return ReplicaState(replica.history.state(), dict(replica.seen), dict(replica.acked))
 
 
@@ -95,16 +97,16 @@
 
 
 def test_of_two_reports_the_same_wins_in_every_order() -> None:
-    chance = random.Random(3)
+    generator = random.Random(3)
     for _ in range(200):
         reports = [
             entry(
-                port=chance.randint(1, 3),
-                incarnation=chance.randint(0, 2),
-                lifecycle=Lifecycle(chance.randint(0, 2)),
-                turn=chance.randint(0, 2),
-                lapsed=chance.random() < 0.5,
-                holder=chance.choice("ab"),
+                port=generator.randint(1, 3),
+                incarnation=generator.randint(0, 2),
+                lifecycle=Lifecycle(generator.randint(0, 2)),
+                turn=generator.randint(0, 2),
+                lapsed=generator.random() < 0.5,
+                holder=generator.choice("ab"),
             )
             for _ in range(4)
         ]
@@ -130,27 +132,27 @@
 
 def test_changes_lead_from_any_revision_to_the_list_or_the_answer_is_whole() -> None:
     for seed in range(20):
-        chance = random.Random(seed)
-        history = History(chance.randrange(SLOTS), START_S)
+        generator = random.Random(seed)
+        history = History(generator.randrange(SLOTS), START_S)
         known: dict[int, dict[Key, Entry]] = {history.revision: {}}
         for _ in range(300):
-            act = chance.random()
-            if act < 0.9:
-                history.put(entry(f"s{chance.randrange(8)}", lapsed=chance.random() < 0.4))
-            elif act < 0.95:
+            action = generator.random()
+            if action < 0.9:
+                history.put(entry(f"s{generator.randrange(8)}", lapsed=generator.random() < 0.4))
+            elif action < 0.95:
                 gone = [e.key for e in history.entries() if e.is_gone]
                 if gone:
-                    history.purge(chance.choice(gone))
-            elif act < 0.97:
+                    history.purge(generator.choice(gone))
+            elif action < 0.97:
                 history.compact()
-            else:  # a new process, sometimes from nothing but an older state and with a clock set back
+            else:  # a restart from saved state, with the clock set back
                 saved = history.state()
                 before = history.revision
-                history = History(history.revision % SLOTS, START_S - chance.randrange(60), saved)
+                history = History(history.revision % SLOTS, START_S - generator.randrange(60), saved)
                 assert history.revision > before
             now = {e.key: e for e in history.entries() if not e.is_gone}
             known[history.revision] = now
-            after = chance.choice(list(known))
+            after = generator.choice(list(known))
             answer = history.changes_since(after)
             told = {} if answer.is_full else dict(known[after])
             told |= {e.key: e for e in answer.entries}
@@ -165,8 +167,8 @@
     for i in range(5):
         history.put(entry("b", port=i + 1))
     lost = history.revision
-    restored = History(2, START_S - 3_600, old)  # its clock is an hour behind as well
-    assert restored.changes_since(old.revision).is_full is False  # what both have is a place to go on from
+    restored = History(2, START_S - 3_600, old)  # with its clock an hour behind
+    assert restored.changes_since(old.revision).is_full is False  # changes since a common revision are known
     if restored.is_lost_revision(lost):
         restored.advance_past(lost)
     for i in range(9):
@@ -180,7 +182,7 @@
     old = first.state()
     second = History(1, START_S + 0.1, old)
     second.put(entry())
-    third = History(1, START_S + 0.3, old)  # the same old state once more, in the same second
+    third = History(1, START_S + 0.3, old)  # from the same old state again, in the same second
     third.put(entry("other"))
     assert third.revision > second.revision and third.changes_since(second.revision).is_full
 
@@ -203,22 +205,22 @@
 
 def test_replicas_come_to_one_list_whatever_is_cut_meanwhile() -> None:
     for seed in range(30):
-        chance, fleet = random.Random(seed), Fleet("a", "b", "c")
+        generator, fleet = random.Random(seed), Fleet("a", "b", "c")
         for _ in range(150):
-            name, id_ = chance.choice(fleet.names), f"s{chance.randrange(5)}"
-            act = chance.random()
-            if act < 0.35:
-                fleet.put(name, entry(id_, chance.randint(1, 2), lease_ms=LEASE), chance.randint(0, 3))
-            elif act < 0.45:
-                fleet.put(name, entry(id_, lifecycle=Lifecycle.LEAVING), chance.randint(0, 3))
-            elif act < 0.55:
+            name, id_ = generator.choice(fleet.names), f"s{generator.randrange(5)}"
+            action = generator.random()
+            if action < 0.35:
+                fleet.put(name, entry(id_, generator.randint(1, 2), lease_ms=LEASE), generator.randint(0, 3))
+            elif action < 0.45:
+                fleet.put(name, entry(id_, lifecycle=Lifecycle.LEAVING), generator.randint(0, 3))
+            elif action < 0.55:
                 fleet.remove(name, id_)
-            elif act < 0.65:
-                fleet.wait(chance.choice((250.0, LEASE)))
-            elif act < 0.7:  # killed, and back with what it had
-                fleet.replicas[name] = fleet.make(name, kept(fleet.replicas[name]), START_S + 1)
+            elif action < 0.65:
+                fleet.wait(generator.choice((250.0, LEASE)))
+            elif action < 0.7:  # killed and restarted with its saved state
+                fleet.replicas[name] = fleet.make(name, saved_state(fleet.replicas[name]), START_S + 1)
             else:
-                fleet.sync(tuple(chance.sample(fleet.names, 2)))  # type: ignore[arg-type]
+                fleet.sync(tuple(generator.sample(fleet.names, 2)))  # type: ignore[arg-type]
         for _ in range(4):
             fleet.sync()
         one, two, three = fleet.lists()
@@ -229,7 +231,7 @@
     fleet = Fleet("a", "b")
     fleet.put("a", entry(lease_ms=LEASE), 5)
     fleet.sync()
-    fleet.remove("a", "x")  # cut from each other from here on
+    fleet.remove("a", "x")  # partitioned from here on
     fleet.put("b", entry(lease_ms=LEASE), 5)
     fleet.sync()
     assert (fleet.phase("a"), fleet.phase("b")) == ("left", "left")
@@ -245,9 +247,9 @@
     fleet.sync()
     fleet.put("b", entry(port=2, lease_ms=LEASE), 2)
     fleet.sync()
-    late = fleet.put("a", entry(port=1, lease_ms=LEASE), 1)  # the old process' last renewal
+    late = fleet.put("a", entry(port=1, lease_ms=LEASE), 1)  # the last renewal of the old process
     assert late.status == 409 and late.reason.startswith("incarnation: 1 is older than 2")
-    fleet.wait(2 * LEASE, LEASE / 3)  # a's lease of the old one takes nothing off
+    fleet.wait(2 * LEASE, LEASE / 3)  # the expiry of the old lease at a removes nothing
     for replica in fleet.replicas.values():
         found = replica.history.get(("", "x"))
         assert found is not None and found.host_port == "127.0.0.1:2"
@@ -306,7 +308,7 @@
     assert {fleet.phase("a", id_) for id_ in ids} == {"active"}
     assert fleet.replicas["a"].is_expiry_suspended()
     fleet.wait(20 * LEASE)
-    assert fleet.replicas["a"].is_expiry_suspended()  # time alone ends no doubt
+    assert fleet.replicas["a"].is_expiry_suspended()  # time alone does not end the suspension
     for _ in range(8):
         for id_ in ids[1:]:
             fleet.put("a", entry(id_, lease_ms=LEASE), 1)
@@ -325,7 +327,7 @@
         fleet.wait(LEASE / 4)
         fleet.sync()
     assert {fleet.phase(name, id_) for name in fleet.names for id_ in ids} == {"active"}
-    for _ in range(16):  # all but one can be heard again
+    for _ in range(16):  # all but one are reachable again
         for i, id_ in enumerate(ids[1:], 1):
             fleet.put(fleet.names[i % 3], entry(id_, lease_ms=LEASE), 1)
         fleet.wait(LEASE / 4)
@@ -337,7 +339,7 @@
     fleet = Fleet("a", "b")
     fleet.put("a", entry(lease_ms=LEASE), 1)
     fleet.sync()
-    for _ in range(6 * ORPHAN_LEASES):  # a goes on and is cut off from b
+    for _ in range(6 * ORPHAN_LEASES):  # a continues and is partitioned from b
         fleet.put("a", entry(lease_ms=LEASE), 1)
         fleet.wait(LEASE / 3)
     assert (fleet.phase("a"), fleet.phase("b")) == ("active", "left")
@@ -348,11 +350,11 @@
 
 
 def test_a_lease_moves_with_the_second_renewal_where_the_first_went_before_the_news() -> None:
-    """The holder is gone; what it acknowledged reaches the next one only behind the first renewal there."""
+    """The holder's acknowledged entry reaches the next replica only after the first renewal there."""
     fleet = Fleet("a", "b", "c")
     assert fleet.put("b", entry(lease_ms=600.0)).status == 200
     fleet.sync(("b", "c"))
-    assert fleet.put("a", entry(lease_ms=600.0)).status == 200  # knows nothing of b's
+    assert fleet.put("a", entry(lease_ms=600.0)).status == 200  # does not know b's entry
     fleet.sync(("c", "a"))
     held = fleet.replicas["a"].history.get(("", "x"))
     assert held is not None and (held.holder, held.turn) == ("b", 1)  # the greater name wins
@@ -383,7 +385,7 @@
     for _ in range(2):
         fleet.sync(("a", "b"), ("b", "a"))
     fleet.wait(MIN_TOMBSTONE_MS + MAINTENANCE_MS, MAINTENANCE_MS)
-    assert fleet.phase("a") == "left"  # c could still bring it back
+    assert fleet.phase("a") == "left"  # c could still reintroduce it
     for _ in range(2):
         fleet.sync()
     fleet.wait(MIN_TOMBSTONE_MS + MAINTENANCE_MS, MAINTENANCE_MS)
@@ -396,7 +398,7 @@
     fleet.put("a", entry("removed"), 1)
     for _ in range(2):
         fleet.sync()
-    old = kept(fleet.replicas["a"])
+    old = saved_state(fleet.replicas["a"])
     fleet.put("a", entry("late"), 1)
     fleet.remove("a", "removed")
     for _ in range(3):
@@ -404,7 +406,7 @@
     fleet.wait(MIN_TOMBSTONE_MS + MAINTENANCE_MS, MAINTENANCE_MS)
     assert fleet.phase("b", "removed") == "unknown"
     fleet.replicas["a"] = fleet.make("a", old, START_S + 3_600)
-    fleet.replicas["a"].seen.clear()  # it asks for the whole list
+    fleet.replicas["a"].seen.clear()  # makes it fetch the full list
     for _ in range(3):
         fleet.sync()
     assert fleet.phase("a", "removed") == "left" and fleet.phase("b", "removed") != "active"
@@ -414,8 +416,8 @@
 def test_what_one_replica_alone_acknowledged_is_passed_on_after_its_restart() -> None:
     fleet = Fleet("a", "b")
     fleet.sync()
-    fleet.put("a", entry(), 1)  # killed before b heard of it
-    fleet.replicas["a"] = fleet.make("a", kept(fleet.replicas["a"]), START_S + 5)
+    fleet.put("a", entry(), 1)  # killed before b received it
+    fleet.replicas["a"] = fleet.make("a", saved_state(fleet.replicas["a"]), START_S + 5)
     for _ in range(2):
         fleet.sync()
     assert fleet.phase("a") == fleet.phase("b") == "active"
@@ -432,32 +434,32 @@
     assert leases.expire(1_100.0) == [] and len(leases) == 18
 
 
-# ---- the agent -------------------------------------------------------------------------------------
+# ---- followers -------------------------------------------------------------------------------------
 
 
-class Desk:
-    """A follower and what it asked last."""
+class FollowerHarness:
+    """Runs a follower and keeps its last actions."""
 
     def __init__(
-        self, *replicas: str, kept_: follow.FollowerState | None = None, start_s: float = START_S
+        self, *replicas: str, state: follow.FollowerState | None = None, start_s: float = START_S
     ) -> None:
-        self.follower = Follower(replicas, "", 7, start_s, kept_)
+        self.follower = Follower(replicas, "", 7, start_s, state)
         self.now, self.actions = 0.0, list[follow.Action]()
         self.do(follow.Begin())
 
     def do(self, event: follow.Event) -> None:
         self.actions = self.follower.handle(event, self.now)
 
-    def asked(self) -> follow.FetchList:
+    def last_fetch(self) -> follow.FetchList:
         while not any(isinstance(a, follow.FetchList) for a in self.actions):
             (pause,) = [a for a in self.actions if isinstance(a, follow.Backoff)]
             self.now += pause.wait_ms
             self.do(follow.BackoffElapsed())
         return next(a for a in self.actions if isinstance(a, follow.FetchList))
 
-    def hear(self, source: Replica, name: str) -> None:
-        """The answer of a replica to what was asked."""
-        ask = self.asked()
+    def receive(self, source: Replica, name: str) -> None:
+        """Answers the last fetch with the list of a replica."""
+        ask = self.last_fetch()
         changes = source.history.changes_since(ask.after)
         if changes.is_full:
             changes = replace(changes, entries=tuple(e for e in changes.entries if not e.is_gone))
@@ -466,7 +468,7 @@
         )
 
     def fail(self) -> None:
-        self.do(follow.FetchFailed(self.asked().replica, "cut"))
+        self.do(follow.FetchFailed(self.last_fetch().replica, "cut"))
 
     def listed(self) -> set[str]:
         return {e.id for e in self.follower.history.entries() if not e.is_gone}
@@ -474,107 +476,107 @@
 
 def test_an_agent_tells_nothing_older_when_it_moves_to_a_replica_that_lags() -> None:
     fleet = Fleet("a", "b")
-    desk = Desk("a", "b")
-    first = desk.asked().replica
+    harness = FollowerHarness("a", "b")
+    first = harness.last_fetch().replica
     other = "b" if first == "a" else "a"
     for id_ in ("x", "y"):
         fleet.put(first, entry(id_), 1)
     fleet.sync()
     fleet.put(first, entry("z"), 1)
     fleet.remove(first, "y")
-    desk.hear(fleet.replicas[first], first)
-    assert desk.listed() == {"x", "z"}
-    revision = desk.follower.history.revision
-    desk.fail()
-    assert desk.asked().replica == other
-    desk.hear(fleet.replicas[other], other)  # it knows neither z nor that y is gone
-    assert "z" in desk.listed() and desk.follower.history.revision >= revision
+    harness.receive(fleet.replicas[first], first)
+    assert harness.listed() == {"x", "z"}
+    revision = harness.follower.history.revision
+    harness.fail()
+    assert harness.last_fetch().replica == other
+    harness.receive(fleet.replicas[other], other)  # it lacks z and still lists y
+    assert "z" in harness.listed() and harness.follower.history.revision >= revision
     fleet.sync()
-    while desk.asked().replica != other:
-        desk.fail()
-    desk.hear(fleet.replicas[other], other)
-    assert desk.listed() == {"x", "z"}
+    while harness.last_fetch().replica != other:
+        harness.fail()
+    harness.receive(fleet.replicas[other], other)
+    assert harness.listed() == {"x", "z"}
 
 
 def test_an_agent_does_not_take_back_what_a_replica_from_an_old_snapshot_lacks() -> None:
     fleet = Fleet("a", "b")
-    desk = Desk("a", "b")
-    first = desk.asked().replica
-    old = kept(fleet.replicas[first])
+    harness = FollowerHarness("a", "b")
+    first = harness.last_fetch().replica
+    old = saved_state(fleet.replicas[first])
     fleet.put(first, entry("x"), 1)
-    desk.hear(fleet.replicas[first], first)
+    harness.receive(fleet.replicas[first], first)
     fleet.sync()
     fleet.replicas[first] = fleet.make(first, old, START_S + 60)
-    desk.hear(fleet.replicas[first], first)
-    assert desk.listed() == {"x"}
-    other = desk.asked().replica
+    harness.receive(fleet.replicas[first], first)
+    assert harness.listed() == {"x"}
+    other = harness.last_fetch().replica
     assert other != first
-    desk.hear(fleet.replicas[other], other)
-    assert desk.listed() == {"x"}
+    harness.receive(fleet.replicas[other], other)
+    assert harness.listed() == {"x"}
 
 
 def test_what_every_replica_has_lost_goes_in_the_end() -> None:
     fleet = Fleet("a")
-    desk = Desk("a")
-    old = kept(fleet.replicas["a"])
+    harness = FollowerHarness("a")
+    old = saved_state(fleet.replicas["a"])
     fleet.put("a", entry("x"), 1)
-    desk.hear(fleet.replicas["a"], "a")
+    harness.receive(fleet.replicas["a"], "a")
     fleet.replicas["a"] = fleet.make("a", old, START_S + 60)
     fleet.put("a", entry("y"), 1)
-    desk.hear(fleet.replicas["a"], "a")
-    assert desk.listed() == {"x", "y"}
-    began = desk.now
-    while desk.listed() != {"y"}:
-        desk.hear(fleet.replicas["a"], "a")
-        assert desk.now < began + 2 * follow.MAX_UNCONFIRMED_MS
-    assert desk.now >= began + follow.MAX_UNCONFIRMED_MS / 2
+    harness.receive(fleet.replicas["a"], "a")
+    assert harness.listed() == {"x", "y"}
+    began = harness.now
+    while harness.listed() != {"y"}:
+        harness.receive(fleet.replicas["a"], "a")
+        assert harness.now < began + 2 * follow.MAX_UNCONFIRMED_MS
+    assert harness.now >= began + follow.MAX_UNCONFIRMED_MS / 2
 
 
 def test_an_empty_list_after_a_full_one_is_believed_from_two_replicas_alone() -> None:
-    def empty(desk: Desk) -> None:
-        ask = desk.asked()
+    def empty(harness: FollowerHarness) -> None:
+        ask = harness.last_fetch()
         seen = {name: 2**50 for name in "ab"}
-        desk.do(follow.ListReceived(ask.replica, ask.replica, Changes(2**50, True, ()), 0, seen))
+        harness.do(follow.ListReceived(ask.replica, ask.replica, Changes(2**50, True, ()), 0, seen))
 
     fleet = Fleet("a", "b")
     for replicas, believed in ((("a", "b"), True), (("a",), False)):
-        desk = Desk(*replicas)
-        name = desk.asked().replica
+        harness = FollowerHarness(*replicas)
+        name = harness.last_fetch().replica
         fleet.put(name, entry("x"), 1)
-        desk.hear(fleet.replicas[name], name)
-        desk.fail()
+        harness.receive(fleet.replicas[name], name)
+        harness.fail()
         for _ in range(6):
-            desk.follower.handle(follow.BackoffElapsed(), desk.now)
-            empty(desk)
-            if "x" not in desk.listed():
+            harness.follower.handle(follow.BackoffElapsed(), harness.now)
+            empty(harness)
+            if "x" not in harness.listed():
                 break
-        assert ("x" not in desk.listed()) is believed
+        assert ("x" not in harness.listed()) is believed
 
 
 def test_an_agent_without_a_replica_keeps_its_list_pauses_ever_longer_and_starts_from_its_snapshot() -> None:
     fleet = Fleet("a", "b", "c")
     fleet.put("a", entry("x"), 1)
     fleet.sync()
-    desk = Desk("a", "b", "c")
-    desk.hear(fleet.replicas[desk.asked().replica], desk.asked().replica)
+    harness = FollowerHarness("a", "b", "c")
+    harness.receive(fleet.replicas[harness.last_fetch().replica], harness.last_fetch().replica)
     pauses = []
     for _ in range(30):
-        desk.fail()
-        pauses += [a.wait_ms for a in desk.actions if isinstance(a, follow.Backoff)]
-    assert desk.follower.is_down and desk.listed() == {"x"}
+        harness.fail()
+        pauses += [a.wait_ms for a in harness.actions if isinstance(a, follow.Backoff)]
+    assert harness.follower.is_down and harness.listed() == {"x"}
     assert max(pauses[:1]) <= follow.INITIAL_BACKOFF_MS and 1_000 < max(pauses) <= follow.MAX_BACKOFF_MS
-    told = desk.follower.history.revision
-    again = Desk("a", "b", "c", kept_=desk.follower.state(), start_s=START_S - 60)
+    told = harness.follower.history.revision
+    again = FollowerHarness("a", "b", "c", state=harness.follower.state(), start_s=START_S - 60)
     assert again.listed() == {"x"} and again.follower.history.revision > told
-    again.hear(fleet.replicas[again.asked().replica], again.asked().replica)
+    again.receive(fleet.replicas[again.last_fetch().replica], again.last_fetch().replica)
     assert again.listed() == {"x"} and not again.follower.is_down
 
 
 def test_an_entry_of_another_list_spoils_the_answer() -> None:
-    desk = Desk("a")
+    harness = FollowerHarness("a")
     changes = Changes(16, True, (entry(list="kitchen"),))
-    desk.do(follow.ListReceived("a", "a", changes, 0, {"a": 16}))
-    assert desk.listed() == set() and desk.follower.is_down
+    harness.do(follow.ListReceived("a", "a", changes, 0, {"a": 16}))
+    assert harness.listed() == set() and harness.follower.is_down
 
 
 def test_a_watcher_that_sleeps_over_a_compaction_is_told_the_whole_list() -> None:
@@ -594,7 +596,7 @@
 
 def test_leases_do_not_depend_on_what_time_another_replica_has() -> None:
     fleet = Fleet("a", "b")
-    fleet.replicas["b"] = fleet.make("b", start_s=START_S + 30)  # half a minute ahead
+    fleet.replicas["b"] = fleet.make("b", start_s=START_S + 30)  # its clock is half a minute ahead
     fleet.put("a", entry(lease_ms=LEASE), 1)
     for _ in range(30):
         fleet.sync()
