--- a/fleet/membership/count.py
+++ b/fleet/membership/count.py
@@ -1,32 +1,33 @@
-"""The number of balancers that budgets go by: up at once, down slowly, and at once for those who said so.
+"""Smooths the number of balancers by which shared budgets are divided: it rises at once and falls slowly.
 
-Every use divides what the fleet may do by this number: the room for calls, tenants' quota, and cold servers'
-budget. Too high a number wastes some of it, too low a one exceeds it, for cold servers and for quota beyond
-what can be taken back. Who seems gone may be serving beyond a cut; who says that it goes is gone.
+Every use divides a fleet-wide limit by this number: room for calls, tenants' quotas, and the budget of cold
+servers. Too high a number wastes part of the limit; too low a one exceeds it, and for cold servers and for
+quota the excess can't be taken back. A balancer that seems to have failed may still be serving on the other
+side of a partition, so it is counted for a while; one that announced its departure is deducted at once.
 """
 
 from __future__ import annotations
 
 import math
 
-DECAY_MS = 10_000.0  # what is counted beyond those who are seen falls to 1/e in so long
+DECAY_MS = 10_000.0  # time in which the excess over the number present falls to 1/e
 
 
 class BalancerCount:
-    """One process's number."""
+    """One process's smoothed count of balancers."""
 
     def __init__(self, balancers: int = 1) -> None:
-        """`balancers`: those that were set up, until views say more."""
+        """`balancers` is the configured number, used until views are received."""
         self._level, self._present, self._updated_at = float(balancers), balancers, 0.0
 
     def update(self, count: int, left: int, now: float) -> None:
-        """So many are present or suspected, `left` have gone by their own word since the last time."""
+        """Updates the count: `count` are present or suspected, `left` departed since the last update."""
         self._decay(now)
         self._level = max(self._level - left, float(count))
         self._present = count
 
     def value(self, now: float) -> int:
-        """How many to go by."""
+        """Returns the number of balancers to divide budgets by, at least 1."""
         self._decay(now)
         return max(math.ceil(self._level - 0.05), 1)
 
--- a/fleet/membership/detector.py
+++ b/fleet/membership/detector.py
@@ -1,21 +1,21 @@
-"""What one process does about the others: whom it checks, whose view it follows, whom it judges.
+"""Failure detector of one process: which peers it checks, whose views it follows, whom it marks failed.
 
-Each period it checks one other process, in an order drawn anew for each round, and those whom it accuses or
-has to help to check. It follows the views of `WATCHED_VIEWS` others: its successor among the names, so that
-each process is followed by somebody, and others that it keeps to while they are present.
+Each period it checks one peer, in an order shuffled anew for each round, and the peers that it accuses or
+checks indirectly for other accusers. It follows the views of `WATCHED_VIEWS` peers: its successor in the
+order of names, so that every process is followed by another, and others that it keeps while they are present.
 
 Invariants:
-1. Nobody is failed but by a process that can't reach it itself, again and again, with the word of others who
-   can't (`MIN_ACCUSERS` in all), nor before its time to answer is over.
-2. An accusation that its accused has refuted, or its accuser withdrawn, does nothing any more.
-3. While more than `ISOLATION_FRACTION` of the others are silent at once we doubt ourselves and judge nobody
-   silent: it is more likely that we are cut off. Processes whose machines refuse are no sign of a cut and are
-   judged.
-4. What was found while we ourselves stood still accuses nobody.
-5. Whoever goes says so and is never failed.
-
-Times are milliseconds on the caller's clock that never goes back. `Check` is answered by one
-`Checked`, `FetchView` by one `ViewReceived` or `ViewFetchFailed`.
+1. A process is marked failed only by one that repeatedly fails to reach it itself, together with other
+   accusers (`MIN_ACCUSERS` in all), and not before its time to answer is over.
+2. An accusation that the accused has refuted, or the accuser withdrawn, has no further effect.
+3. While more than `ISOLATION_FRACTION` of the others are silent at once, the process considers itself
+   isolated and marks no silent process failed, since its own connection is the likelier fault. Refused
+   connections are no sign of isolation and still count.
+4. Results of checks from a time in which this process itself was stalled accuse nobody.
+5. A process that announces its departure is never marked failed.
+
+Times are milliseconds on the caller's monotonic clock. `Check` is answered by one `Checked`, `FetchView` by
+one `ViewReceived` or `ViewFetchFailed`.
 """
 
 from __future__ import annotations
@@ -31,31 +31,31 @@
 from fleet.registry.entries import Entry
 from fleet.registry.history import Changes
 
-WAIT_MS = 2_000.0  # of a watch
-SEED_INTERVAL_MS = 30_000.0  # how often seeds are looked for that nobody here knows
-MAX_ACCUSERS = 2 * MIN_ACCUSERS  # more say nothing new
+WAIT_MS = 2_000.0  # duration of a watch (long poll)
+SEED_INTERVAL_MS = 30_000.0  # interval of contacting seeds that are not among the members
+MAX_ACCUSERS = 2 * MIN_ACCUSERS  # further accusations add no information
 ISOLATION_FRACTION = 1.0 / 3.0
-SILENT_CHECKS, REFUSED_CHECKS = 3, 2  # of our own in a row, before we judge
-MAX_FETCHES = 16  # questions for views that are out at once, beyond which invitations are passed over
-STALL_PERIODS = 1.5  # a timer that is so many periods late says that we stood still
-MAX_SLOWDOWN = 4  # periods and waits grow by one for each sign that we ourselves are slow, up to this
-STARTUP_PERIODS = 25  # of a new process, in which it looks for seeds that it does not know at each
-RECOVERY_PERIODS = 5  # after so many one of those signs is forgotten
-PURGE_PERIODS = 25  # between two looks at what is long gone
+SILENT_CHECKS, REFUSED_CHECKS = 3, 2  # consecutive failed checks before a peer is marked failed
+MAX_FETCHES = 16  # concurrent view fetches; received entries beyond this are not followed up
+STALL_PERIODS = 1.5  # a timer this many periods late means that this process was stalled
+MAX_SLOWDOWN = 4  # maximum of the slowdown, which stretches periods and timeouts while this process is slow
+STARTUP_PERIODS = 25  # periods after the start in which unknown seeds are contacted every time
+RECOVERY_PERIODS = 5  # periods after which the slowdown falls by one
+PURGE_PERIODS = 25  # periods between purges of gone members
 
 # ---- events -------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """Start; `seeds` are addresses by which others may be found, `others` what an earlier view had."""
+    """Starts the detector; `seeds` are addresses at which other members may be found."""
 
     seeds: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Checked:
-    """A check is over: `found` is empty if it was answered, else REFUSED or SILENT."""
+    """A check has ended; `result` is empty if it was answered, else REFUSED or SILENT."""
 
     name: str
     result: str = ""
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewReceived:
-    """An answer to `FetchView`, by whoever calls itself `name`."""
+    """An answer to `FetchView` from the process that calls itself `name`."""
 
     address: str
     name: str
@@ -72,31 +72,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewFetchFailed:
-    """No good answer to `FetchView`."""
+    """`FetchView` had no valid answer."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class EntryReceived:
-    """Somebody has told us an entry (`PUT`): perhaps a process that nobody follows yet."""
+    """A peer has sent an entry (`PUT`), perhaps its own because no one follows it yet."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class TimeDue:
-    """The moment of a `SetTimer`."""
+    """The time of the last `SetTimer` has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This process is about to end, or takes no more callers."""
+    """This process is shutting down or stops accepting requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Return:
-    """This process takes callers again after all."""
+    """This process accepts requests again after a `Leave`."""
 
 
 Event = Begin | Checked | ViewReceived | ViewFetchFailed | EntryReceived | TimeDue | Leave | Return
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """See whether a process answers (`GET /health/live`)."""
+    """Checks whether a process answers (`GET /health/live`)."""
 
     name: str
     host_port: str
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchView:
-    """Ask an address for its view, or for what came after a number of its own."""
+    """Fetches the view at an address, or its changes after one of its revisions."""
 
     host_port: str
     after: int | None
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendEntry:
-    """Tell an address our own entry (`PUT`); no answer is waited for."""
+    """Sends this process's own entry to an address (`PUT`) without waiting for an answer."""
 
     host_port: str
     entry: Entry
@@ -132,26 +132,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """Whoever follows our view can be told."""
+    """The view has changed; its followers can be notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class BalancerCountChanged:
-    """The number by which budgets are divided has changed."""
+    """The number of balancers by which budgets are divided has changed."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send `TimeDue` at that moment; it replaces an earlier one."""
+    """Requests a `TimeDue` event at `at_ms`, in place of any earlier request."""
 
     at_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Writes a line to the log."""
 
     text: str
 
@@ -160,32 +160,34 @@
 
 
 class Detector:
-    """The decisions of one process about the others."""
+    """The failure detector of one process."""
 
     def __init__(
         self, settings: Settings, seed: int, incarnation: int, start_s: float, balancers: int = 1
     ) -> None:
-        """`balancers`: how many to count until views say more."""
+        """`balancers` is the number to assume until views are received."""
         self._settings = settings
         self._random = random.Random(seed)
         self.view = View(settings, incarnation, start_s)
         self._balancer_count, self._reported_count = BalancerCount(balancers), balancers
         self._seeds: tuple[str, ...] = ()
-        self._check_order: list[str] = []  # whom to check next, last first
-        self._checks_since: dict[str, float] = {}  # when a check that is out was begun
-        self._fetches_since: dict[str, float] = {}  # addresses whose answer is due, and since when
-        self._followed: list[str] = []  # of them, those that we go on with
+        self._check_order: list[str] = []  # peers still to check in this round, in reverse
+        self._checks_since: dict[str, float] = {}  # start times of checks in flight
+        self._fetches_since: dict[str, float] = {}  # start times of fetches in flight, by address
+        self._followed: list[str] = []  # peers whose views are watched
         self._followed_revision: dict[str, int] = {}
         self._next_seed_at, self._period_due_at, self._stalled_until = 0.0, 0.0, 0.0
         self._slowdown, self._periods = 0, 0
-        self._failed_checks: dict[str, int] = {}  # checks of ours in a row that were not answered
-        self._accusation_backoff: dict[str, tuple[int, float]] = {}  # refuted, and none before
-        self._known_own_entry: Entry | None = None  # our entry, as another's view last had it
+        self._failed_checks: dict[str, int] = {}  # consecutive failed checks by this process
+        self._accusation_backoff: dict[
+            str, tuple[int, float]
+        ] = {}  # accusations so far, and the next allowed
+        self._known_own_entry: Entry | None = None  # this process's entry as last seen in another view
         self._isolation_ended_at = 0.0
-        self.is_isolated = False  # whether we take it that we ourselves are cut off
+        self.is_isolated = False  # whether this process considers itself isolated
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take one event; carry out the actions in order."""
+        """Handles one event and returns the actions to carry out, in order."""
         before, actions = self.view.history.revision, list[Action]()
         match event:
             case Begin(seeds):
@@ -212,11 +214,11 @@
         return actions
 
     def balancer_count(self, now: float) -> int:
-        """How many balancers budgets go by."""
+        """Returns the number of balancers by which budgets are divided."""
         return self._balancer_count.value(now)
 
     def _report_changes(self, now: float, actions: list[Action]) -> None:
-        """A line for each member that has changed; and the number, when it has."""
+        """Logs each change of a member's state and reports a changed balancer count."""
         left = 0
         for change in self.view.state_changes:
             left += change.now is State.LEFT and change.before in (State.PRESENT, State.SUSPECTED)
@@ -251,8 +253,10 @@
         actions.append(SetTimer(self._period_due_at))
 
     def _next_checked(self) -> list[str]:
-        """Our successor in every other period, so that nobody waits long for the first check; else the next
-        of the round: each once, in an order drawn anew.
+        """Returns the peer to check in this period.
+
+        In every other period that is the successor, so that no process waits long for its first check; else
+        the next one of a round that contains each peer once in random order.
         """
         members = self.view.members
         if (
@@ -270,11 +274,11 @@
         return [self._check_order.pop()] if self._check_order else []
 
     def _indirect_targets(self) -> list[str]:
-        """Those whom we accuse ourselves, and those for whom we are among the helpers."""
+        """Returns the suspected peers that this process accuses or checks indirectly."""
         own, found = self._settings.name, []
         for member in self.view.others(State.SUSPECTED):
             accusers = self.view.accusers(member.name)
-            # Whoever comes next in the order of names: the same ones at every process that knows the same.
+            # The next ones in the order of names: processes with equal views agree on them.
             helpers = islice(self.view.successors(member.name), INDIRECT_CHECKERS)
             if own in accusers or any(helper.name == own for helper in helpers):
                 found.append(member.name)
@@ -290,31 +294,34 @@
         began = self._checks_since.pop(name, None)
         member = self.view.members.get(name)
         if member is None or began is None:
-            return  # what was found while we stood still says nothing
+            return  # checks begun before a stall were cleared; their results mean nothing
         self._failed_checks[name] = self._failed_checks.get(name, 0) + 1 if result else 0
         if not result:
             self.view.mark_reached(name, now)
             if self._settings.name in self.view.accusers(name):
                 self._slowdown = min(self._slowdown + 1, MAX_SLOWDOWN)
                 self.view.withdraw(name, now)
-            if member.state is State.FAILED:  # it lives: hear what it says to that
+            if member.state is State.FAILED:  # it is alive: fetch its view, which refutes that
                 self._fetch(member.entry.host_port, actions, now, wait_ms=0.0)
         elif member.state in (State.JOINING, State.PRESENT, State.SUSPECTED) and now >= self._stalled_until:
             self._accuse(name, result, now)
 
     def _accuse(self, name: str, result: str, now: float) -> None:
-        """Accuse, ever more seldom whoever has refuted us: the way to it may be ours alone that is bad."""
+        """Accuses a peer unless this process did so recently.
+
+        The pause doubles with each accusation: if the peer keeps refuting, perhaps only this path is bad.
+        """
         accusations, not_before = self._accusation_backoff.get(name, (0, 0.0))
         accusers = self.view.accusers(name)
-        is_accused = self._settings.name in accusers
-        if not is_accused and (now < not_before or len(accusers) >= MAX_ACCUSERS):
+        has_accused = self._settings.name in accusers
+        if not has_accused and (now < not_before or len(accusers) >= MAX_ACCUSERS):
             return
-        if not is_accused:
+        if not has_accused:
             pause = self._settings.suspicion_ms * 2.0 ** min(accusations, 6)
             self._accusation_backoff[name] = (accusations + 1, now + pause)
         self.view.accuse(name, result, now)
 
-    # ---- judgement -------------------------------------------------------------------------------
+    # ---- failures --------------------------------------------------------------------------------
 
     def _fail_suspected(self, now: float) -> None:
         suspected = self.view.others(State.SUSPECTED)
@@ -325,7 +332,7 @@
         self.is_isolated = (
             silent > (ISOLATION_FRACTION / 2 if was_isolated else ISOLATION_FRACTION) * others and silent > 1
         )
-        if was_isolated and not self.is_isolated:  # whoever is silent still has the whole time to answer
+        if was_isolated and not self.is_isolated:  # silent peers get the full time to answer
             self._isolation_ended_at = now
         for member in suspected:
             accusers = found[member.name]
@@ -342,18 +349,18 @@
     # ---- views -----------------------------------------------------------------------------------
 
     def _fetch_views(self, now: float, actions: list[Action]) -> None:
-        """Hold the watches open that should be."""
+        """Contacts seeds if due, and fetches the views of all followed peers."""
         if now >= self._next_seed_at or self._periods <= STARTUP_PERIODS:
             self._next_seed_at = now + SEED_INTERVAL_MS
             self._contact_seed(now, actions)
         self._select_followed()
         for name in self._followed:
             self._fetch(self._address(name), actions, now)
-        if self._known_own_entry != self.view.own and self._followed:  # they have to be told
+        if self._known_own_entry != self.view.own and self._followed:  # perhaps no peer follows this process
             actions.append(SendEntry(self._address(self._random.choice(self._followed)), self.view.own))
 
     def _contact_seed(self, now: float, actions: list[Action]) -> None:
-        """Ask one that is known by its address alone: beyond it may be others whom nobody here knows."""
+        """Contacts one seed that is not a member: it may belong to a part of the fleet unknown here."""
         known = {member.entry.host_port for member in self.view.members.values()}
         if unknown := [seed for seed in self._seeds if seed not in known]:
             seed = self._random.choice(unknown)
@@ -361,20 +368,20 @@
             actions.append(SendEntry(seed, self.view.own))
 
     def _select_followed(self) -> None:
-        """Our successor, and others for as long as they are present."""
+        """Selects the followed peers: the successor, and others for as long as they are followable."""
         selected = [name for name in self._followed if self._is_followable(name)]
         successor = next((member.name for member in self.view.successors(self._settings.name)), None)
         if successor is not None and successor not in selected:
             selected.insert(0, successor)
         if len(selected) < min(WATCHED_VIEWS, self.view.count(State.PRESENT) - 1) or not selected:
-            # If nobody is present, whoever is there: one that is suspected may know more.
+            # If no peer is present, use suspected or joining ones, which may have newer entries.
             others = self.view.others(State.PRESENT) or self.view.others(State.SUSPECTED, State.JOINING)
             more = [member.name for member in others if member.name not in selected]
             selected += self._random.sample(more, min(WATCHED_VIEWS - len(selected), len(more)))
         self._followed = selected[:WATCHED_VIEWS]
 
     def _is_followable(self, name: str) -> bool:
-        """Whether its view is to be followed on: a new one would have to be asked for the whole."""
+        """Returns whether a followed peer is kept; a replacement has to be asked for its full view."""
         member = self.view.members.get(name)
         if member is None or member.state not in (State.PRESENT, State.SUSPECTED):
             return False
@@ -402,21 +409,24 @@
             self._fetch(received.address, actions, now)
 
     def _on_entry(self, entry: Entry, now: float, actions: list[Action]) -> None:
-        """Whoever connects can write any name: we believe what is told at the address that it names."""
+        """Fetches the view at the address of a new entry.
+
+        Any client can send any name, so the entry itself is not trusted.
+        """
         known = self.view.members.get(entry.id)
         if (known is None or entry.order > known.entry.order) and len(self._fetches_since) < MAX_FETCHES:
             self._fetch(entry.host_port, actions, now, wait_ms=0.0)
 
     def _on_fetch_failed(self, address: str) -> None:
-        """It is asked again in the next period, if it is still to be followed then."""
+        """Allows another fetch in the next period, if the peer is still followed then."""
         self._fetches_since.pop(address, None)
 
 
 def _reason(change: StateChange) -> str:
-    if not change.witnesses:
+    if not change.reporters:
         return ""
-    shown = ", ".join(change.witnesses[:4]) + (" and others" if len(change.witnesses) > 4 else "")
-    return f" by the word of {shown}"
+    shown = ", ".join(change.reporters[:4]) + (" and others" if len(change.reporters) > 4 else "")
+    return f" (reported by {shown})"
 
 
 __all__ = [
--- a/fleet/membership/settings.py
+++ b/fleet/membership/settings.py
@@ -1,4 +1,4 @@
-"""What one process is told of its fleet, and the spans that follow from the fleet's size."""
+"""Settings of a process in its fleet, and the suspicion timeout for a fleet's size."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from fleet.registry.entries import InvalidEntryError
 
-PERIOD_MS = 400.0  # between two checks of each process: on average each is checked as often
-CHECK_MS = 400.0  # the longest wait for a check's answer
-INDIRECT_CHECKERS = 3  # that check whom another accuses
-MIN_ACCUSERS = 2  # nobody is failed on the word of fewer
-MAX_STALL_MS = 3_000.0  # a process that stands still for so long (a busy machine, a full disk) is no failure
-WATCHED_VIEWS = 3  # of others' views that a process holds open
-MAX_NAME_LENGTH = 90  # two of them and a sign between make an id of the list's form
+PERIOD_MS = 400.0  # interval between health checks of a process; each is checked once per period on average
+CHECK_MS = 400.0  # timeout of a health check
+INDIRECT_CHECKERS = 3  # processes that also check an accused one
+MIN_ACCUSERS = 2  # accusers needed to mark a process failed
+MAX_STALL_MS = 3_000.0  # a stall of this length (busy machine, full disk) is not a failure
+WATCHED_VIEWS = 3  # peers whose views a process watches
+MAX_NAME_LENGTH = 90  # two names and the separator fit into an entry's id
 SEPARATOR = ">"
-MAX_MEMBERS = 5_000  # more than that in a view is no fleet of ours
+MAX_MEMBERS = 5_000  # a larger view is not plausible
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """One process among the others; spans are milliseconds.
+    """Identity and timing of one process; durations in milliseconds.
 
-    `suspicion_ms`: how long one that is silent stays suspected before it is failed; `refused_ms`: the same of
-    one whose machine answers that nobody listens, which no loss explains but a restart does.
+    `suspicion_ms` is how long a silent process stays suspected before it is marked failed; `refused_ms` is
+    the same if its machine refuses connections, which a restart explains but packet loss doesn't.
     """
 
     name: str
@@ -49,25 +49,24 @@
 
     @property
     def members_list(self) -> str:
-        """The list of the fleet's processes."""
+        """The name of the list of the fleet's processes."""
         return f"members.{self.fleet}"
 
     @property
     def accusations_list(self) -> str:
-        """The list of who accuses whom."""
+        """The name of the list of accusations."""
         return f"doubts.{self.fleet}"
 
 
 def suspicion_ms(
     size: int, loss: float = 0.05, false_per_hour: float = 0.01, period_ms: float = PERIOD_MS
 ) -> float:
-    """How long to suspect, so that a fleet of `size` fails a live process so seldom where `loss` of all
-    messages are lost.
+    """Returns the suspicion timeout that limits false failures in a fleet of `size` to `false_per_hour`.
 
-    A check fails if question or answer is lost: q = 1 - (1 - loss)^2. Accuser and helpers check again each
-    period, and one that is answered withdraws. To be failed all m checks of the accuser and those of one of
-    the helpers must fail: INDIRECT_CHECKERS x q^(2m), for each of the fleet's size x 3,600,000 / period
-    checks an hour.
+    `loss` is the fraction of messages that are lost. A check fails if its request or its answer is lost:
+    q = 1 - (1 - loss)^2. The accuser and the indirect checkers repeat it each period, and one that gets an
+    answer withdraws. A live process is marked failed if all m checks of the accuser and all m of one indirect
+    checker fail: INDIRECT_CHECKERS x q^(2m), for each of the size x 3,600,000 / period checks per hour.
     """
     if size < 1 or not 0 < loss < 0.5 or false_per_hour <= 0:
         raise ValueError("size, loss, false_per_hour: allowed are 1 or more, 0 to 0.5, above 0")
--- a/fleet/membership/states.py
+++ b/fleet/membership/states.py
@@ -1,18 +1,21 @@
-"""The states of a member as one process sees it, and what moves it from one to another.
-
-| from      | joining | present | suspected | failed | left |
-|-----------|---------|---------|-----------|--------|------|
-| joining   | -       | vouched | accused   | judged | goes |
-| present   | newer   | -       | accused   | judged | goes |
-| suspected | newer   | refutes | -         | judged | goes |
-| failed    | newer   | refutes | -         | -      | goes |
-| left      | newer   | -       | -         | -      | -    |
-
-vouched: we have reached it, or one who is present tells of it. accused: an accusation of its present
-incarnation and turn stands. refutes: it is a turn further, or all accusers have withdrawn. judged:
-`WITNESSES` accusers and the time to answer, while the observer does not doubt itself; or another observer has
-judged so. goes: it said so itself (quiesce, SIGTERM, upgrade). newer: another process under the name, by a
-higher incarnation.
+"""The states of a fleet member as one process sees it, and the transitions between them.
+
+| from      | joining    | present | suspected | failed | left |
+|-----------|------------|---------|-----------|--------|------|
+| joining   | -          | vouched | accused   | failed | left |
+| present   | superseded | -       | accused   | failed | left |
+| suspected | superseded | refuted | -         | failed | left |
+| failed    | superseded | refuted | -         | -      | left |
+| left      | superseded | -       | -         | -      | -    |
+
+Triggers:
+- vouched: this process has reached the member, or a present member has it in its view.
+- accused: a valid accusation exists, for the member's current incarnation and turn.
+- refuted: the member has a higher turn, or all accusers have withdrawn.
+- failed: `MIN_ACCUSERS` accusers, the time to answer has passed, and the observer doesn't consider itself
+  isolated; or another observer has marked the member failed.
+- left: the member announced its departure (quiesce, SIGTERM, upgrade).
+- superseded: a process with the same name and a higher incarnation has started.
 """
 
 from __future__ import annotations
@@ -21,7 +24,7 @@
 
 
 class State(enum.Enum):
-    """What one process thinks of another."""
+    """The state of a member as one process sees it."""
 
     JOINING = "joining"
     PRESENT = "present"
@@ -31,7 +34,7 @@
 
 
 class Trigger(enum.Enum):
-    """What moves a member, as in the table above."""
+    """What causes a transition; see the module's documentation."""
 
     VOUCHED = "vouched"
     ACCUSED = "accused"
@@ -53,4 +56,4 @@
 }
 
 COUNTED = frozenset({State.PRESENT, State.SUSPECTED})
-"""Who has a part of what the fleet shares: one that is only suspected may be serving."""
+"""States counted for shared budgets: a member that is only suspected may still be serving."""
--- a/fleet/membership/view.py
+++ b/fleet/membership/view.py
@@ -1,10 +1,11 @@
-"""What one process knows of the others: their entries, who accuses whom, and the state that follows for each.
-
-A view is a log of entries in two lists, passed on whole or as changes like any list. A member's own entry is
-written by itself, and by whoever judges that it has failed (`lapsed`, a turn further); it refutes that by a
-further turn. An accusation is an entry that its accuser alone writes: of one incarnation and turn of the
-accused (`incarnation`, `cell`), with what was found (`flavor`), and `lapsed` once it is withdrawn. So all
-that is said has an order of its own, `Entry.order`, and views that hear of each other become equal.
+"""A process's view of its fleet: member entries, accusations between members, and each member's state.
+
+A view is a log of entries in two lists, disseminated as a full list or as changes, like any list. A member
+writes its own entry; an observer that marks it failed also does (`lapsed`, with the next turn), and the
+member refutes that with a further turn. An accusation is an entry that only its accuser writes: it applies to
+one incarnation and turn of the accused (`incarnation`, `cell`), holds the result of the check (`flavor`), and
+is `lapsed` once withdrawn. All statements are thus ordered by `Entry.order`, and views that exchange their
+entries converge.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from fleet.registry.history import SLOTS, History
 
 REFUSED, SILENT = "refused", "silent"
-_GONE = frozenset({State.FAILED, State.LEFT})  # whose word against others does not count
-TOMBSTONE_MS = 600_000.0  # how long a process that is gone, or a withdrawn accusation, is remembered
+_GONE = frozenset({State.FAILED, State.LEFT})  # members whose accusations are ignored
+TOMBSTONE_MS = 600_000.0  # how long a gone process or a withdrawn accusation is retained
 
 
 @dataclass(slots=True)
 class Member:
-    """One process: its entry, the state that it is in here, and since when."""
+    """A member: its entry, its state in this view, and the time of the last change of state."""
 
     entry: Entry
     state: State = State.JOINING
@@ -33,30 +34,30 @@
 
     @property
     def name(self) -> str:
-        """What it is called."""
+        """The member's name."""
         return self.entry.id
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A member's state has changed, and on whose word."""
+    """A change of a member's state; `reporters` are the processes that caused it."""
 
     name: str
     before: State
     now: State
-    witnesses: tuple[str, ...] = ()
+    reporters: tuple[str, ...] = ()
 
 
 class View:
-    """The fleet, as this process knows it."""
+    """The fleet as this process knows it."""
 
     def __init__(self, settings: Settings, incarnation: int, start_s: float) -> None:
-        """`incarnation`: higher for each later process of the name, as its start in ms of Unix time."""
+        """`incarnation` must grow with each process of the name, such as the start time in Unix ms."""
         self._settings = settings
         self.history = History(sum(settings.name.encode()) % SLOTS, start_s)
         self.members: dict[str, Member] = {}
         self._by_state: dict[State, dict[str, Member]] = {state: {} for state in State}
-        self._sorted_names: list[str] = []  # all names in order
+        self._sorted_names: list[str] = []  # all members' names
         self._accusers: dict[str, dict[str, Entry]] = {}
         self._accused_by: dict[str, set[str]] = {}
         self._gone_since: dict[tuple[str, str], float] = {}
@@ -64,22 +65,22 @@
             settings.name, settings.host_port, settings.members_list, settings.zone, settings.version,
             incarnation=incarnation,
         )  # fmt: skip
-        self.superseded = False  # another process of our name is the later one
+        self.superseded = False  # a later process with this name exists
         self.state_changes: list[StateChange] = []
         self.publish(self.own, 0.0)
 
-    # ---- what is said ----------------------------------------------------------------------------
+    # ---- entries ---------------------------------------------------------------------------------
 
     def publish(self, entry: Entry, now: float) -> None:
-        """Say something ourselves."""
+        """Adds an entry written by this process."""
         self.history.put(entry)
         self._apply(entry, self._settings.name, now)
 
     def merge(self, entries: Iterable[Entry], source: str, now: float) -> None:
-        """Take over from another's view whatever is later; what it says of itself comes first."""
+        """Merges the later entries of another view; its owner's own entry is applied first."""
         for entry in sorted(entries, key=lambda entry: entry.id != source):
             if entry.list not in (self._settings.members_list, self._settings.accusations_list):
-                continue  # another fleet's, or no view at all
+                continue  # of another fleet, or of a list that is not a view
             known = self.history.get(entry.key)
             if known is None and len(self.history) >= 4 * MAX_MEMBERS:
                 continue
@@ -128,7 +129,10 @@
         )
 
     def _vouch(self, entry: Entry, source: str, now: float) -> None:
-        """It says so itself, or one who is present does; others' strangers count once we reach them."""
+        """Marks a joining member present if it or a present member reports it.
+
+        A member that only others report counts once this process has reached it.
+        """
         member, reporter = self.members.get(entry.id), self.members.get(source)
         if entry.list != self._settings.members_list or member is None or member.state is not State.JOINING:
             return
@@ -136,14 +140,14 @@
             self._transition(member, Trigger.VOUCHED, now)
 
     def mark_reached(self, name: str, now: float) -> None:
-        """It has answered us."""
+        """Records that a member has answered this process."""
         if (member := self.members.get(name)) is not None:
             self._transition(member, Trigger.VOUCHED, now)
 
     # ---- accusations -----------------------------------------------------------------------------
 
     def accuse(self, name: str, found: str, now: float) -> None:
-        """Say that we can't reach it."""
+        """Publishes an accusation: this process can't reach the member."""
         member = self.members[name]
         own_accusation = self._accusers.get(name, {}).get(self._settings.name)
         if own_accusation is not None and self._is_valid(own_accusation) and own_accusation.flavor == found:
@@ -159,7 +163,7 @@
         self.publish(entry, now)
 
     def withdraw(self, name: str, now: float) -> None:
-        """It has answered us after all."""
+        """Withdraws this process's accusation of a member."""
         own_accusation = self._accusers.get(name, {}).get(self._settings.name)
         if own_accusation is not None and not own_accusation.is_gone:
             self.publish(replace(own_accusation, lapsed=True, turn=own_accusation.turn + 1), now)
@@ -182,12 +186,12 @@
         )
 
     def accusers(self, name: str) -> dict[str, str]:
-        """Who can't reach it, and what they found."""
+        """Returns the processes that validly accuse a member, with the results of their checks."""
         found = self._accusers.get(name, {})
         return {accuser: entry.flavor for accuser, entry in found.items() if self._is_valid(entry)}
 
     def _update_suspicion(self, name: str, now: float) -> None:
-        """Suspect whoever is accused, until no accusation stands."""
+        """Marks a member suspected while it has accusers, and present again once it has none."""
         member = self.members.get(name)
         if member is None or name == self._settings.name or member.entry.is_gone:
             return
@@ -197,7 +201,7 @@
             self._transition(member, Trigger.REFUTED, now)
 
     def _refute(self, now: float) -> None:
-        """We are alive: whatever is said against us, we are a turn further."""
+        """Refutes accusations and failure marks of this process by publishing a higher turn."""
         stored = self.history.get(self.own.key)
         if (
             stored is None
@@ -210,35 +214,35 @@
             self.publish(self.own, now)
 
     def mark_failed(self, name: str, now: float) -> None:
-        """Say that it has failed."""
+        """Marks a member failed and publishes it."""
         member = self.members[name]
-        witnesses = tuple(sorted(self.accusers(name)))
+        reporters = tuple(sorted(self.accusers(name)))
         entry = replace(member.entry, lapsed=True, turn=member.entry.turn + 1)
-        self._transition(member, Trigger.FAILED, now, witnesses)
+        self._transition(member, Trigger.FAILED, now, reporters)
         self.publish(entry, now)
 
     def leave(self, now: float) -> None:
-        """Say that we go."""
+        """Publishes that this process is leaving."""
         stored = self.history.get(self.own.key)
         if stored is not None and stored.incarnation == self.own.incarnation:
             self.own = replace(stored, lifecycle=Lifecycle.LEAVING, lapsed=False, turn=stored.turn + 1)
             self.publish(self.own, now)
 
     def rejoin(self, now: float) -> None:
-        """Say that we are back: as another process of our name would be, by the next incarnation."""
+        """Publishes that this process is back, with the next incarnation, like a new process."""
         self.own = replace(
             self.own, lifecycle=Lifecycle.ACTIVE, incarnation=self.own.incarnation + 1, lapsed=False, turn=0
         )
         self.publish(self.own, now)
 
-    # ---- what follows ----------------------------------------------------------------------------
+    # ---- states ----------------------------------------------------------------------------------
 
     def _transition(
-        self, member: Member, trigger: Trigger, now: float, witnesses: tuple[str, ...] = ()
+        self, member: Member, trigger: Trigger, now: float, reporters: tuple[str, ...] = ()
     ) -> None:
         target = TRANSITIONS.get((member.state, trigger))
         if target is not None:
-            self.state_changes.append(StateChange(member.name, member.state, target, witnesses))
+            self.state_changes.append(StateChange(member.name, member.state, target, reporters))
             self._set_state(member, target, now)
 
     def _set_state(self, member: Member, state: State, now: float) -> None:
@@ -246,17 +250,17 @@
         del self._by_state[before][member.name]
         self._by_state[state][member.name] = member
         member.state, member.since = state, now
-        if (before in _GONE) != (state in _GONE):  # its own word against others counts, or no more
+        if (before in _GONE) != (state in _GONE):  # its accusations become valid or invalid
             for name in self._accused_by.get(member.name, ()):
                 self._update_suspicion(name, now)
 
     def others(self, *states: State) -> list[Member]:
-        """All but ourselves in these states."""
+        """Returns the other members in these states."""
         own = self._settings.name
         return [m for state in states for name, m in self._by_state[state].items() if name != own]
 
     def successors(self, name: str) -> Iterator[Member]:
-        """Those who are present, in the order of names from the next one on, and round."""
+        """Yields the present members after `name` in the cyclic order of names."""
         begin, count = bisect_right(self._sorted_names, name), len(self._sorted_names)
         for step in range(count):
             other = self._sorted_names[(begin + step) % count]
@@ -264,11 +268,11 @@
                 yield self.members[other]
 
     def count(self, *states: State) -> int:
-        """How many are in these states, ourselves included."""
+        """Returns the number of members in these states, this process included."""
         return sum(len(self._by_state[state]) for state in states)
 
     def purge(self, now: float) -> None:
-        """Drop what is long gone."""
+        """Deletes members and accusations that have been gone for `TOMBSTONE_MS`."""
         for key, since in list(self._gone_since.items()):
             if now - since >= TOMBSTONE_MS:
                 del self._gone_since[key]
@@ -284,7 +288,7 @@
                     self._accused_by.get(accuser, set()).discard(name)
 
     def table(self) -> Iterable[tuple[str, str, str, str, int, float]]:
-        """Of each member its name, zone, version, state, incarnation, and since when."""
+        """Yields each member's name, zone, version, state, incarnation and time of its last transition."""
         for name, member in sorted(self.members.items()):
             entry = member.entry
             yield name, entry.locality, entry.flavor, member.state.value, entry.incarnation, member.since
