--- a/fleet/membership/detector.py
+++ b/fleet/membership/detector.py
@@ -1,4 +1,4 @@
-"""Failure detector of one process: which peers it checks, whose views it follows, whom it marks failed.
+"""Failure detector of one process: selects the peers to check, to follow and to mark as failed.
 
 Each period it checks one peer, in an order shuffled anew for each round, and the peers that it accuses or
 checks indirectly for other accusers. It follows the views of `WATCHED_VIEWS` peers: its successor in the
@@ -11,7 +11,7 @@
 3. While more than `ISOLATION_FRACTION` of the others are silent at once, the process considers itself
    isolated and marks no silent process failed, since its own connection is the likelier fault. Refused
    connections are no sign of isolation and still count.
-4. Results of checks from a time in which this process itself was stalled accuse nobody.
+4. Results of checks from a time in which this process itself was stalled cause no accusation.
 5. A process that announces its departure is never marked failed.
 
 Times are milliseconds on the caller's monotonic clock. `Check` is answered by one `Checked`, `FetchView` by
@@ -172,10 +172,10 @@
         self._balancer_count, self._reported_count = BalancerCount(balancers), balancers
         self._seeds: tuple[str, ...] = ()
         self._check_order: list[str] = []  # peers still to check in this round, in reverse
-        self._checks_since: dict[str, float] = {}  # start times of checks in flight
-        self._fetches_since: dict[str, float] = {}  # start times of fetches in flight, by address
+        self._check_started_at: dict[str, float] = {}  # start times of checks in flight
+        self._fetch_started_at: dict[str, float] = {}  # start times of fetches in flight, by address
         self._followed: list[str] = []  # peers whose views are watched
-        self._followed_revision: dict[str, int] = {}
+        self._followed_revisions: dict[str, int] = {}
         self._next_seed_at, self._period_due_at, self._stalled_until = 0.0, 0.0, 0.0
         self._slowdown, self._periods = 0, 0
         self._failed_checks: dict[str, int] = {}  # consecutive failed checks by this process
@@ -237,7 +237,7 @@
         if now - self._period_due_at > STALL_PERIODS * settings.period_ms:
             self._stalled_until = now + settings.check_ms
             self._slowdown = min(self._slowdown + 1, MAX_SLOWDOWN)
-            self._checks_since.clear()
+            self._check_started_at.clear()
         period = settings.period_ms * (1 + self._slowdown)
         self._period_due_at = now + period
         if self._periods % PURGE_PERIODS == 0:
@@ -286,12 +286,12 @@
 
     def _check(self, name: str, now: float, actions: list[Action]) -> None:
         within = self._settings.check_ms * (1 + self._slowdown)
-        if name not in self._checks_since:
-            self._checks_since[name] = now
+        if name not in self._check_started_at:
+            self._check_started_at[name] = now
             actions.append(Check(name, self.view.members[name].entry.host_port, within))
 
     def _on_check_completed(self, name: str, result: str, now: float, actions: list[Action]) -> None:
-        began = self._checks_since.pop(name, None)
+        began = self._check_started_at.pop(name, None)
         member = self.view.members.get(name)
         if member is None or began is None:
             return  # checks begun before a stall were cleared; their results mean nothing
@@ -391,17 +391,17 @@
         return self.view.members[name].entry.host_port
 
     def _fetch(self, address: str, actions: list[Action], now: float, wait_ms: float = WAIT_MS) -> None:
-        if address in self._fetches_since:
+        if address in self._fetch_started_at:
             return
-        self._fetches_since[address] = now
-        after = self._followed_revision.get(address)
+        self._fetch_started_at[address] = now
+        after = self._followed_revisions.get(address)
         wait = 0.0 if after is None else wait_ms * self._random.uniform(0.6, 1.0)
         actions.append(FetchView(address, after, wait))
 
     def _on_view(self, received: ViewReceived, now: float, actions: list[Action]) -> None:
-        if self._fetches_since.pop(received.address, None) is None:
+        if self._fetch_started_at.pop(received.address, None) is None:
             return
-        self._followed_revision[received.address] = received.changes.revision
+        self._followed_revisions[received.address] = received.changes.revision
         if own := [entry for entry in received.changes.entries if entry.key == self.view.own.key]:
             self._known_own_entry = own[0]
         self.view.merge(received.changes.entries, received.name, now)
@@ -414,12 +414,12 @@
         Any client can send any name, so the entry itself is not trusted.
         """
         known = self.view.members.get(entry.id)
-        if (known is None or entry.order > known.entry.order) and len(self._fetches_since) < MAX_FETCHES:
+        if (known is None or entry.order > known.entry.order) and len(self._fetch_started_at) < MAX_FETCHES:
             self._fetch(entry.host_port, actions, now, wait_ms=0.0)
 
     def _on_fetch_failed(self, address: str) -> None:
         """Allows another fetch in the next period, if the peer is still followed then."""
-        self._fetches_since.pop(address, None)
+        self._fetch_started_at.pop(address, None)
 
 
 def _reason(change: StateChange) -> str:
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -32,12 +32,14 @@
 
 
 def test_an_ask_that_comes_twice_grants_once() -> None:
+    """A duplicated request must not be granted twice."""
     ledger, first_account = Ledger({"audits": 100}), account("a")
     ask = first_account.request_tokens(30)
     assert grant(ledger, ask) == grant(ledger, ask) == 30 and left(ledger) == 70
 
 
 def test_a_grant_that_was_lost_is_told_again_with_the_next_ask() -> None:
+    """Tokens granted in a lost answer count towards the next request; they are not granted twice."""
     ledger, first_account = Ledger({"audits": 100}), account("a")
     ledger.handle_request(first_account.request_tokens(30), 1)  # the answer is lost
     answer, _ = ledger.handle_request(first_account.request_tokens(40), 1)
@@ -47,6 +49,7 @@
 
 
 def test_late_answers_of_either_order_or_life_change_nothing() -> None:
+    """Answers that arrive late, out of order or for an earlier incarnation must not change the account."""
     ledger, first_account = Ledger({"audits": 100}), account("a")
     first, _ = ledger.handle_request(first_account.request_tokens(10), 1)
     second, _ = ledger.handle_request(first_account.request_tokens(25), 1)
@@ -58,6 +61,7 @@
 
 
 def test_what_comes_back_is_counted_once_and_no_more_than_was_granted() -> None:
+    """A repeated or excessive return must not credit the ledger more than once or beyond the grant."""
     ledger, first_account = Ledger({"audits": 100}), account("a")
     answer, _ = ledger.handle_request(first_account.request_tokens(60), 1)
     assert answer is not None
@@ -73,12 +77,14 @@
 
 
 def test_more_than_is_needed_is_granted_only_while_there_is_plenty() -> None:
+    """Extra tokens are limited to a share of the remainder, so that one replica can't take all of them."""
     ledger = Ledger({"audits": 1_000})
     assert grant(ledger, account("a").request_tokens(0, 900), 10) == 1_000 // (SURPLUS_DIVISOR * 10)
     assert grant(ledger, account("b").request_tokens(500, 900), 10) == 500 + 475 // (SURPLUS_DIVISOR * 10)
 
 
 def test_tokens_that_others_do_not_need_are_recalled_where_one_lacks_them() -> None:
+    """Unreserved tokens of one replica are recalled for another; once all are spent there is no recall."""
     ledger, first_account, second_account = Ledger({"audits": 100}), account("a"), account("b")
     answer, _ = ledger.handle_request(first_account.request_tokens(80), 2)
     assert answer is not None
@@ -106,6 +112,7 @@
 
 
 def test_a_life_that_is_over_keeps_what_it_was_granted() -> None:
+    """Tokens of an earlier incarnation stay charged: it is unknown how many of them it spent."""
     ledger = Ledger({"audits": 100})
     grant(ledger, account("a", "1").request_tokens(30))
     grant(ledger, account("a", "2").request_tokens(20))
@@ -143,6 +150,7 @@
 
 
 def test_an_ask_of_a_window_that_nobody_has_begun_is_no_ask() -> None:
+    """A request for a window that the ledger has not opened gets no answer."""
     assert Ledger({"audits": 9}).handle_request(replace(account("a").request_tokens(1), window=3), 1) == (
         None,
         None,
@@ -150,6 +158,7 @@
 
 
 def test_the_ledger_goes_on_from_what_was_written() -> None:
+    """A ledger restored from its replicated state continues with the same grants."""
     ledger = Ledger({"audits": 100, "tags": 5})
     grant(ledger, account("a").request_tokens(30))
     again = Ledger.from_state(ledger.state())
@@ -158,6 +167,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_week_stops_every_tenant_at_the_same_point_on_every_replica(seed: int) -> None:
+    """Simulates a week with faults: no tenant exceeds its allowance, and all replicas stop it alike."""
     week = Week(tenants=4, replicas=6, requests=400, seed=seed)
     figures = week.play()
     assert figures.faults >= 21 and figures.wrong_calm == 0
--- a/tests/test_membership_core.py
+++ b/tests/test_membership_core.py
@@ -59,6 +59,7 @@
 
 
 def test_what_one_tells_who_is_not_present_counts_when_we_have_reached_it() -> None:
+    """A process that is not a member must not be able to fill views with invented members."""
     views = connected_views("a", "b", "c")
     unknown_members = [Entry(f"x{i}", "10.0.0.9:1", f"members.{FLEET}") for i in range(50)]
     views["a"].merge(unknown_members, "nobody", 1.0)
@@ -71,6 +72,7 @@
 
 
 def test_who_is_written_in_is_asked_at_its_address_and_not_listed_before_it_answers() -> None:
+    """Entries from any client only cause a bounded number of view fetches, never a member."""
     detector = core.Detector(settings("a"), 1, 1, START_S)
     detector.handle(core.Begin(), 0.0)
     asked = 0
@@ -99,6 +101,7 @@
 
 
 def test_an_accuser_that_withdraws_can_accuse_again_and_views_become_equal() -> None:
+    """Repeated accusations by one accuser must each take effect after an earlier one was withdrawn."""
     views = connected_views("a", "b", "c")
     for _ in range(3):
         views["a"].accuse("b", SILENT, 1.0)
@@ -110,6 +113,7 @@
 
 
 def test_one_that_was_failed_and_lives_is_present_again_whatever_comes_first() -> None:
+    """A refuted failure mark must lose in every order of arrival."""
     for order in itertools.permutations(range(3)):
         views = connected_views("a", "b", "c", "d")
         views["a"].accuse("b", SILENT, 1.0)
@@ -135,6 +139,7 @@
 
 
 def test_leaving_is_told_and_never_read_as_a_failure() -> None:
+    """An announced departure must not turn into a failure, and a new process of the name is present again."""
     views = connected_views("a", "b")
     views["b"].leave(1.0)
     merge_views(views["a"], views["b"])
@@ -147,6 +152,7 @@
 
 
 def test_a_later_process_of_our_name_takes_our_place() -> None:
+    """Of two processes with one name, only the one with the lower incarnation considers itself superseded."""
     old, new = view("a", incarnation=1), view("a", incarnation=2)
     merge_views(old, new)
     assert old.superseded and not new.superseded
@@ -155,6 +161,7 @@
 
 
 def test_what_is_long_gone_is_forgotten() -> None:
+    """Gone members and withdrawn accusations must not accumulate."""
     views = connected_views("a", "b")
     views["a"].accuse("b", SILENT, 0.0)
     views["a"].withdraw("b", 0.0)
@@ -262,12 +269,14 @@
 
 
 def test_all_find_each_other_from_seeds_and_count_each_other() -> None:
+    """Processes that only know seed addresses must find each other."""
     cluster = Cluster("a", "b", "c", "d")
     cluster.wait(3_000.0)
     assert cluster.numbers == dict.fromkeys("abcd", 4)
 
 
 def test_one_that_all_find_silent_is_failed_after_its_time_with_witnesses_named() -> None:
+    """A silent process stays suspected for its full timeout, fails everywhere, and returns when reachable."""
     cluster = Cluster("a", "b", "c", "d", "e")
     cluster.wait(4_000.0)
     cluster.cut("e")
@@ -282,6 +291,7 @@
 
 
 def test_a_one_way_link_makes_one_witness_and_takes_nobody_out() -> None:
+    """One process that can't reach another must not be enough to mark it failed."""
     cluster = Cluster("a", "b", "c", "d")
     cluster.wait(4_000.0)
     cluster.unreached["a", "b"] = SILENT
@@ -292,6 +302,7 @@
 
 
 def test_a_minority_doubts_itself_and_the_majority_judges() -> None:
+    """After a partition, the minority must not mark the majority failed; the majority marks the minority."""
     cluster = Cluster(*"abcdefghi")
     cluster.wait(6_000.0)
     cluster.cut("a", "b")
@@ -305,6 +316,7 @@
 
 
 def test_seven_in_ten_whose_machines_refuse_are_failed_for_that_is_no_cut() -> None:
+    """Refused connections show a dead process, so they count even if most of the fleet refuses."""
     cluster = Cluster(*"abcdefghij")
     cluster.wait(6_000.0)
     for dead in "defghij":
@@ -318,6 +330,7 @@
 
 
 def test_who_stood_still_accuses_nobody_for_what_it_missed() -> None:
+    """Checks that time out because this process was stalled must not lead to accusations."""
     cluster = Cluster("a", "b", "c")
     cluster.wait(4_000.0)
     detector, checks = cluster.detectors["a"], []
@@ -330,6 +343,7 @@
 
 
 def test_quiescing_takes_effect_at_once_on_the_number() -> None:
+    """An announced departure lowers the balancer count at once and is not logged as a failure."""
     cluster = Cluster("a", "b", "c")
     cluster.wait(4_000.0)
     cluster.do("c", core.Leave())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -581,9 +581,9 @@
     assert not agents.read_snapshot(path, "").history.entries
     path.write_bytes(b'{"format":1,"list":')
     assert not agents.read_snapshot(path, "").history.entries
-    kept = FollowerState(HistoryState(16, 0, (), ((16, Entry("x", "127.0.0.1:1")),)), {"a": 3})
-    agents.write_snapshot(path, "", kept)
-    assert agents.read_snapshot(path, "") == kept
+    state = FollowerState(HistoryState(16, 0, (), ((16, Entry("x", "127.0.0.1:1")),)), {"a": 3})
+    agents.write_snapshot(path, "", state)
+    assert agents.read_snapshot(path, "") == state
     assert not agents.read_snapshot(path, "kitchen").history.entries
 
 
@@ -841,8 +841,8 @@
             await until(lambda: not one.failing)
             assert await status_of(put(client, address, "third")) == 200
         await one.stop()
-        kept = Store(tmp_path / "a.db", "a").open()
-        assert {entry.id for _, entry in kept.history.entries} == {"second", "third"}
+        state = Store(tmp_path / "a.db", "a").open()
+        assert {entry.id for _, entry in state.history.entries} == {"second", "third"}
 
     run(test())
 
--- a/tests/test_registry_core.py
+++ b/tests/test_registry_core.py
@@ -97,6 +97,7 @@
 
 
 def test_of_two_reports_the_same_wins_in_every_order() -> None:
+    """Replicas receive versions in different orders; the winner must not depend on it."""
     generator = random.Random(3)
     for _ in range(200):
         reports = [
@@ -131,6 +132,7 @@
 
 
 def test_changes_lead_from_any_revision_to_the_list_or_the_answer_is_whole() -> None:
+    """A reader that applies the changes since any revision must arrive at the current list."""
     for seed in range(20):
         generator = random.Random(seed)
         history = History(generator.randrange(SLOTS), START_S)
@@ -154,13 +156,14 @@
             known[history.revision] = now
             after = generator.choice(list(known))
             answer = history.changes_since(after)
-            told = {} if answer.is_full else dict(known[after])
-            told |= {e.key: e for e in answer.entries}
-            assert {k: e for k, e in told.items() if not e.is_gone} == now
+            received = {} if answer.is_full else dict(known[after])
+            received |= {e.key: e for e in answer.entries}
+            assert {k: e for k, e in received.items() if not e.is_gone} == now
             assert answer.revision >= after
 
 
 def test_a_reader_who_knows_more_than_an_old_snapshot_gets_the_whole_list() -> None:
+    """A reader with revisions that a restored replica has lost must not be told that nothing changed."""
     history = History(2, START_S)
     history.put(entry("a"))
     old = history.state()
@@ -178,6 +181,7 @@
 
 
 def test_two_lives_that_begin_in_one_second_use_no_number_twice() -> None:
+    """Two restarts from one snapshot within a second must not reuse a revision for another change."""
     first = History(1, START_S)
     old = first.state()
     second = History(1, START_S + 0.1, old)
@@ -188,6 +192,7 @@
 
 
 def test_another_keepers_number_and_a_list_of_other_make_get_the_whole_list() -> None:
+    """Revisions of another replica, or of another kind, must not be taken for own ones."""
     one, two = History(1, START_S), History(2, START_S)
     for history in (one, two):
         history.put(entry())
@@ -204,6 +209,7 @@
 
 
 def test_replicas_come_to_one_list_whatever_is_cut_meanwhile() -> None:
+    """Replicas must converge after random writes, restarts and exchanges."""
     for seed in range(30):
         generator, fleet = random.Random(seed), Fleet("a", "b", "c")
         for _ in range(150):
@@ -228,6 +234,7 @@
 
 
 def test_a_removal_wins_over_a_renewal_and_a_new_incarnation_over_a_removal() -> None:
+    """After a partition, a concurrent renewal must not undo a removal, but a new process must return."""
     fleet = Fleet("a", "b")
     fleet.put("a", entry(lease_ms=LEASE), 5)
     fleet.sync()
@@ -242,6 +249,7 @@
 
 
 def test_a_restart_under_the_same_id_wins_over_the_old_lease_that_lives_elsewhere() -> None:
+    """The expiry of an old process's lease at another replica must not remove the new process."""
     fleet = Fleet("a", "b")
     fleet.put("a", entry(port=1, lease_ms=LEASE), 1)
     fleet.sync()
@@ -299,6 +307,7 @@
 
 
 def test_nobody_is_taken_off_while_most_are_silent_and_one_that_stays_so_goes_afterwards() -> None:
+    """Expiry is suspended while most registrants are silent; afterwards one that stays silent is removed."""
     fleet = Fleet("a")
     ids = [f"s{i}" for i in range(10)]
     for id_ in ids:  # renewals are spread over a third of the lease
@@ -319,6 +328,7 @@
 
 
 def test_a_mass_is_seen_though_each_replica_holds_but_one_or_two_of_it() -> None:
+    """With few leases per replica, only the sum over all replicas shows that many are late."""
     fleet = Fleet("a", "b", "c")
     ids = [f"s{i}" for i in range(4)]
     for i, id_ in enumerate(ids):
@@ -336,6 +346,7 @@
 
 
 def test_a_holder_refutes_that_its_lease_has_lapsed() -> None:
+    """A partitioned replica that took over a lease and expired it must lose against the active holder."""
     fleet = Fleet("a", "b")
     fleet.put("a", entry(lease_ms=LEASE), 1)
     fleet.sync()
@@ -366,6 +377,7 @@
 
 
 def test_only_the_first_that_can_be_heard_takes_over_the_leases_of_a_silent_replica() -> None:
+    """Leases of a silent replica must be taken over by one replica only."""
     fleet = Fleet("a", "b", "c")
     fleet.put("a", entry(lease_ms=LEASE), 1)
     fleet.sync()
@@ -378,6 +390,7 @@
 
 
 def test_what_is_gone_is_remembered_until_every_peer_has_it() -> None:
+    """A tombstone purged before every peer has it would let a peer reintroduce the entry."""
     fleet = Fleet("a", "b", "c")
     fleet.put("a", entry(), 1)
     fleet.sync()
@@ -393,6 +406,7 @@
 
 
 def test_a_replica_from_an_old_snapshot_brings_back_nothing_that_all_have_forgotten() -> None:
+    """A replica restored from an old snapshot must not reintroduce an entry that was removed and purged."""
     fleet = Fleet("a", "b")
     fleet.put("a", entry("kept"), 1)
     fleet.put("a", entry("removed"), 1)
@@ -414,6 +428,7 @@
 
 
 def test_what_one_replica_alone_acknowledged_is_passed_on_after_its_restart() -> None:
+    """A write acknowledged by a replica that was killed before its peers had it must still reach them."""
     fleet = Fleet("a", "b")
     fleet.sync()
     fleet.put("a", entry(), 1)  # killed before b received it
@@ -475,6 +490,7 @@
 
 
 def test_an_agent_tells_nothing_older_when_it_moves_to_a_replica_that_lags() -> None:
+    """A follower that fails over to a lagging replica must not lose entries or go back to older ones."""
     fleet = Fleet("a", "b")
     harness = FollowerHarness("a", "b")
     first = harness.last_fetch().replica
@@ -499,6 +515,7 @@
 
 
 def test_an_agent_does_not_take_back_what_a_replica_from_an_old_snapshot_lacks() -> None:
+    """A replica restored from an old snapshot must not make a follower drop entries."""
     fleet = Fleet("a", "b")
     harness = FollowerHarness("a", "b")
     first = harness.last_fetch().replica
@@ -516,6 +533,7 @@
 
 
 def test_what_every_replica_has_lost_goes_in_the_end() -> None:
+    """Entries that no replica has any more are dropped after MAX_UNCONFIRMED_MS."""
     fleet = Fleet("a")
     harness = FollowerHarness("a")
     old = saved_state(fleet.replicas["a"])
@@ -533,13 +551,15 @@
 
 
 def test_an_empty_list_after_a_full_one_is_believed_from_two_replicas_alone() -> None:
+    """A single replica that lost its data must not empty the list of its followers."""
+
     def empty(harness: FollowerHarness) -> None:
         ask = harness.last_fetch()
         seen = {name: 2**50 for name in "ab"}
         harness.do(follow.ListReceived(ask.replica, ask.replica, Changes(2**50, True, ()), 0, seen))
 
     fleet = Fleet("a", "b")
-    for replicas, believed in ((("a", "b"), True), (("a",), False)):
+    for replicas, is_accepted in ((("a", "b"), True), (("a",), False)):
         harness = FollowerHarness(*replicas)
         name = harness.last_fetch().replica
         fleet.put(name, entry("x"), 1)
@@ -550,10 +570,11 @@
             empty(harness)
             if "x" not in harness.listed():
                 break
-        assert ("x" not in harness.listed()) is believed
+        assert ("x" not in harness.listed()) is is_accepted
 
 
 def test_an_agent_without_a_replica_keeps_its_list_pauses_ever_longer_and_starts_from_its_snapshot() -> None:
+    """While all replicas are down, a follower keeps its list and backs off; its state survives a restart."""
     fleet = Fleet("a", "b", "c")
     fleet.put("a", entry("x"), 1)
     fleet.sync()
@@ -565,9 +586,9 @@
         pauses += [a.wait_ms for a in harness.actions if isinstance(a, follow.Backoff)]
     assert harness.follower.is_down and harness.listed() == {"x"}
     assert max(pauses[:1]) <= follow.INITIAL_BACKOFF_MS and 1_000 < max(pauses) <= follow.MAX_BACKOFF_MS
-    told = harness.follower.history.revision
+    received = harness.follower.history.revision
     again = FollowerHarness("a", "b", "c", state=harness.follower.state(), start_s=START_S - 60)
-    assert again.listed() == {"x"} and again.follower.history.revision > told
+    assert again.listed() == {"x"} and again.follower.history.revision > received
     again.receive(fleet.replicas[again.last_fetch().replica], again.last_fetch().replica)
     assert again.listed() == {"x"} and not again.follower.is_down
 
@@ -580,6 +601,7 @@
 
 
 def test_a_watcher_that_sleeps_over_a_compaction_is_told_the_whole_list() -> None:
+    """A watcher whose revision is older than the change log must get the full list."""
     fleet = Fleet("a")
     fleet.put("a", entry("x"), 1)
     history = fleet.replicas["a"].history
@@ -595,6 +617,7 @@
 
 
 def test_leases_do_not_depend_on_what_time_another_replica_has() -> None:
+    """Clock skew between replicas must not shorten or prolong a lease."""
     fleet = Fleet("a", "b")
     fleet.replicas["b"] = fleet.make("b", start_s=START_S + 30)  # its clock is half a minute ahead
     fleet.put("a", entry(lease_ms=LEASE), 1)
--- a/tests/test_settings_of_others.py
+++ b/tests/test_settings_of_others.py
@@ -33,29 +33,35 @@
 LEGAL: dict[str, Change] = {
     "one class": put(),
     "forty classes": put(*(one(f"c{i}", ("retryable", "dedup", "fragile")[i % 3]) for i in range(40))),
-    "odd names": put(*(one(name) for name in ("a.b", "A_1", "-", "7", "x~y", "c@d", "read:now", "100%"))),
-    "a name that asks for readiness elsewhere": put(one("health")),
+    "class names with special characters": put(
+        *(one(name) for name in ("a.b", "A_1", "-", "7", "x~y", "c@d", "read:now", "100%"))
+    ),
+    "a class named like the health endpoint": put(one("health")),
     "short deadlines": put(one(target=30.0, deadline=60.0)),
-    "a day": put(one(target=1e6, deadline=8.64e7)),
-    "an aim beyond the deadline": put(one(target=9_000.0, deadline=1_000.0)),
-    "a class without worth": put(one(worth=0.0), one("b", "fragile", worth=1e9)),
-    "late answers in full": put(one(lateShare=1.0)),
-    "no window for repeats": put(one("k", "dedup", repeatWindow=0.0)),
-    "shares of nothing": put(orgs=[{"name": "t", "quotaPerS": 0.0}, {"name": "u", "quotaPerS": 1e9}]),
-    "odd tenants": put(orgs=[{"name": "a b/c", "quotaPerS": 1.0}, {"name": "100%", "quotaPerS": 1.0}]),
+    "a deadline of a day": put(one(target=1e6, deadline=8.64e7)),
+    "a target beyond the deadline": put(one(target=9_000.0, deadline=1_000.0)),
+    "a class with a worth of 0": put(one(worth=0.0), one("b", "fragile", worth=1e9)),
+    "a late share of 1": put(one(lateShare=1.0)),
+    "a repeat window of 0": put(one("k", "dedup", repeatWindow=0.0)),
+    "a quota of 0": put(orgs=[{"name": "t", "quotaPerS": 0.0}, {"name": "u", "quotaPerS": 1e9}]),
+    "tenant names with special characters": put(
+        orgs=[{"name": "a b/c", "quotaPerS": 1.0}, {"name": "100%", "quotaPerS": 1.0}]
+    ),
     "four hundred balancers": put(balancers=400),
     "a deep tier": put(tier=3),
     "one attempt": put(limits={"attemptsCap": 1}),
     "no limits": put(limits={}),
-    "nothing of the contract": put(contract={}),
+    "an empty contract": put(contract={}),
     "reports of one field": put(telemetry={"fields": ["load_share"]}),
-    "what we have never heard of": put(novelty={"deep": [1, {"x": None}]}),
-    "long cold": put(contract={"cold": 1e7, "coldFrom": 0.01, "overloadFactor": 1.0, "tipAfter": 1e5}),
+    "unknown fields": put(novelty={"deep": [1, {"x": None}]}),
+    "a long warm-up": put(contract={"cold": 1e7, "coldFrom": 0.01, "overloadFactor": 1.0, "tipAfter": 1e5}),
 }
 
 
 @pytest.mark.parametrize("name", LEGAL)
 def test_legal_settings_start_and_serve(name: str) -> None:
+    """Valid but unusual settings must not prevent the start or break requests of any class or tenant."""
+
     async def test() -> None:
         async with balancer(FakeServer(), change=LEGAL[name]) as b:
             client = await b.connect()
@@ -77,21 +83,22 @@
     "no class": lambda data: data["settings"].update(classes=[]),
     "a class twice": put(one(), one()),
     "a class without a name": put(one("")),
-    "an effect that is none": put(one(effect="maybe")),
-    "a deadline of nothing": put(one(deadline=0.0)),
-    "a deadline that is no number": put(one(deadline="soon")),
-    "no end": put(one(target=float("inf"))),
-    "a share below nothing": put(orgs=[{"name": "t", "quotaPerS": -1.0}]),
+    "an unknown effect": put(one(effect="maybe")),
+    "a deadline of 0": put(one(deadline=0.0)),
+    "a deadline that is not a number": put(one(deadline="soon")),
+    "an infinite target": put(one(target=float("inf"))),
+    "a negative quota": put(orgs=[{"name": "t", "quotaPerS": -1.0}]),
     "no balancers": put(balancers=0),
     "no attempts": put(limits={"attemptsCap": 0}),
-    "settings that are none": lambda data: data.update(settings=None),
+    "settings of null": lambda data: data.update(settings=None),
     "few descriptors": lambda data: data["limits"].update(sockets=3),
-    "a listing that is none": lambda data: data.update(known={"members": [{}]}),
+    "an invalid upstream list": lambda data: data.update(known={"members": [{}]}),
 }
 
 
 @pytest.mark.parametrize("name", BAD)
 def test_bad_settings_get_one_line_and_status_2(name: str, tmp_path: Path) -> None:
+    """Invalid settings must end the process with status 2 and a single error line, without a traceback."""
     data = config_data([])
     BAD[name](data)
     path = tmp_path / "config.json"
