--- a/fleet/membership/states.py
+++ b/fleet/membership/states.py
@@ -1,18 +1,21 @@
-"""The states of a member as one process sees it, and what moves it from one to another.
-
-| from      | joining | present | suspected | failed | left |
-|-----------|---------|---------|-----------|--------|------|
-| joining   | -       | vouched | accused   | judged | goes |
-| present   | newer   | -       | accused   | judged | goes |
-| suspected | newer   | refutes | -         | judged | goes |
-| failed    | newer   | refutes | -         | -      | goes |
-| left      | newer   | -       | -         | -      | -    |
-
-vouched: we have reached it, or one who is present tells of it. accused: an accusation of its present
-incarnation and turn stands. refutes: it is a turn further, or all accusers have withdrawn. judged:
-`WITNESSES` accusers and the time to answer, while the observer does not doubt itself; or another observer has
-judged so. goes: it said so itself (quiesce, SIGTERM, upgrade). newer: another process under the name, by a
-higher incarnation.
+"""The states of a fleet member as one process sees it, and the transitions between them.
+
+| from      | joining    | present | suspected | failed | left |
+|-----------|------------|---------|-----------|--------|------|
+| joining   | -          | vouched | accused   | failed | left |
+| present   | superseded | -       | accused   | failed | left |
+| suspected | superseded | refuted | -         | failed | left |
+| failed    | superseded | refuted | -         | -      | left |
+| left      | superseded | -       | -         | -      | -    |
+
+Triggers:
+- vouched: this process has reached the member, or a present member has it in its view.
+- accused: a valid accusation exists, for the member's current incarnation and turn.
+- refuted: the member has a higher turn, or all accusers have withdrawn.
+- failed: `MIN_ACCUSERS` accusers, the time to answer has passed, and the observer doesn't consider itself
+  isolated; or another observer has marked the member failed.
+- left: the member announced its departure (quiesce, SIGTERM, upgrade).
+- superseded: a process with the same name and a higher incarnation has started.
 """
 
 from __future__ import annotations
@@ -21,7 +24,7 @@
 
 
 class State(enum.Enum):
-    """What one process thinks of another."""
+    """The state of a member as one process sees it."""
 
     JOINING = "joining"
     PRESENT = "present"
@@ -30,27 +33,27 @@
     LEFT = "left"
 
 
-class Word(enum.Enum):
-    """What moves a member, as in the table above."""
+class Trigger(enum.Enum):
+    """What causes a transition; see the module's documentation."""
 
     VOUCHED = "vouched"
     ACCUSED = "accused"
-    REFUTES = "refutes"
-    JUDGED = "judged"
-    GOES = "goes"
-    NEWER = "newer"
-
-
-MOVES: dict[tuple[State, Word], State] = {
-    (State.JOINING, Word.VOUCHED): State.PRESENT,
-    (State.JOINING, Word.ACCUSED): State.SUSPECTED,
-    (State.PRESENT, Word.ACCUSED): State.SUSPECTED,
-    (State.SUSPECTED, Word.REFUTES): State.PRESENT,
-    **{(state, Word.JUDGED): State.FAILED for state in (State.JOINING, State.PRESENT, State.SUSPECTED)},
-    (State.FAILED, Word.REFUTES): State.PRESENT,
-    **{(state, Word.GOES): State.LEFT for state in State if state is not State.LEFT},
-    **{(state, Word.NEWER): State.JOINING for state in State if state is not State.JOINING},
+    REFUTED = "refuted"
+    FAILED = "failed"
+    LEFT = "left"
+    SUPERSEDED = "superseded"
+
+
+TRANSITIONS: dict[tuple[State, Trigger], State] = {
+    (State.JOINING, Trigger.VOUCHED): State.PRESENT,
+    (State.JOINING, Trigger.ACCUSED): State.SUSPECTED,
+    (State.PRESENT, Trigger.ACCUSED): State.SUSPECTED,
+    (State.SUSPECTED, Trigger.REFUTED): State.PRESENT,
+    **{(state, Trigger.FAILED): State.FAILED for state in (State.JOINING, State.PRESENT, State.SUSPECTED)},
+    (State.FAILED, Trigger.REFUTED): State.PRESENT,
+    **{(state, Trigger.LEFT): State.LEFT for state in State if state is not State.LEFT},
+    **{(state, Trigger.SUPERSEDED): State.JOINING for state in State if state is not State.JOINING},
 }
 
 COUNTED = frozenset({State.PRESENT, State.SUSPECTED})
-"""Who has a part of what the fleet shares: one that is only suspected may be serving."""
+"""States counted for shared budgets: a member that is only suspected may still be serving."""
