--- a/tests/balancer_stage.py
+++ b/tests/balancer_stage.py
@@ -16,7 +16,7 @@
 from tests.loopback import CuttingServer, Got, Reader, Writer, read_request
 
 HOST, PATH = "shop.example", "/run/1"
-Act = Callable[["Stage", Got, Writer], Awaitable[None]]
+Handler = Callable[["FakeUpstream", Got, Writer], Awaitable[None]]
 
 
 def head(got: Got, extra: str = "", status: str = "200 OK", sealed: bool = True) -> str:
@@ -37,21 +37,21 @@
     return head(got, kind).encode()
 
 
-async def prefill(stage: Stage, got: Got, writer: Writer) -> None:
+async def prefill(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
     body = json.dumps({"kv_ref": f"kv-{got.headers['mastturn-request-id']}", "ntokens": 10, "ver": 1})
     extra = f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write((head(got, extra, sealed=False) + body).encode())
 
 
-async def decode(stage: Stage, got: Got, writer: Writer, events: int = 3) -> None:
+async def decode(upstream: FakeUpstream, got: Got, writer: Writer, events: int = 3) -> None:
     after = int(got.headers.get("last-event-id", 0))
     writer.write(stream_head(got))
     for number in range(after + 1, events + 1):
-        writer.write(chunk(event(number, stage.name)))
+        writer.write(chunk(event(number, upstream.name)))
     writer.write(b"0\r\n\r\n")
 
 
-async def reject(stage: Stage, got: Got, writer: Writer) -> None:
+async def reject(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
     writer.write(
         (
             head(got, status="503 Full", sealed=False) + "Mastturn-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -59,29 +59,29 @@
     )
 
 
-async def misplaced(stage: Stage, got: Got, writer: Writer) -> None:
+async def misplaced(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
     lines = "HTTP/1.1 421 Misdirected Request\r\nMastturn-Upstream-Id: i-9\r\nContent-Length: 0\r\n\r\n"
     writer.write(lines.encode())
 
 
-def answer(status: str, extra: str = "", body: str = "", sealed: bool = True) -> Act:
+def answer(status: str, extra: str = "", body: str = "", sealed: bool = True) -> Handler:
     """Answer with this status, and the id of the request."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def handler(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         lines = f"{extra}Content-Length: {len(body)}\r\n\r\n{body}"
         writer.write(head(got, lines, status, sealed).encode())
 
-    return act
+    return handler
 
 
-def cut_after(events: int, then: str = "", ended: bool = False) -> Act:
+def cut_after(events: int, then: str = "", ended: bool = False) -> Handler:
     """Stream this many events and then some bytes, and break off, or end in order if `ended`."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def handler(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         after = int(got.headers.get("last-event-id", 0))
         writer.write(stream_head(got))
         for number in range(after + 1, after + events + 1):
-            writer.write(chunk(event(number, stage.name)))
+            writer.write(chunk(event(number, upstream.name)))
         if then:
             writer.write(chunk(then))
         if ended:
@@ -90,33 +90,33 @@
             await writer.drain()
             writer.close()
 
-    return act
+    return handler
 
 
-def gated(gate: asyncio.Event, act: Act) -> Act:
-    """Act once the gate is set."""
+def when_set(gate: asyncio.Event, handler: Handler) -> Handler:
+    """Call the handler once the gate is set."""
 
-    async def waits(stage: Stage, got: Got, writer: Writer) -> None:
+    async def waits(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         await gate.wait()
-        await act(stage, got, writer)
+        await handler(upstream, got, writer)
 
     return waits
 
 
-async def whole(stage: Stage, got: Got, writer: Writer) -> None:
-    writer.write((head(got, f"Content-Length: {len(stage.name)}\r\n\r\n") + stage.name).encode())
+async def whole(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    writer.write((head(got, f"Content-Length: {len(upstream.name)}\r\n\r\n") + upstream.name).encode())
 
 
-async def reset(stage: Stage, got: Got, writer: Writer) -> None:
+async def reset(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
     writer.transport.abort()
 
 
-class Stage:
-    """An upstream that answers each request by the next act of its script, and then by the last one."""
+class FakeUpstream:
+    """An upstream that answers each request by the next handler of its script, and then by the last one."""
 
-    def __init__(self, name: str, phase: str = "", *acts: Act, zone: str = "a") -> None:
+    def __init__(self, name: str, phase: str = "", *handlers: Handler, zone: str = "a") -> None:
         self.name, self.phase, self.zone = name, phase, zone
-        self.acts = list(acts) or [prefill if phase == "prefill" else decode if phase else whole]
+        self.handlers = list(handlers) or [prefill if phase == "prefill" else decode if phase else whole]
         self.got: list[Got] = []
         self.freed: list[str] = []
         self.reports: list[str] = []  # target upstream of each load report request
@@ -143,13 +143,13 @@
                 self.reports.append(got.headers["mastturn-target-upstream"])
                 writer.write(self.report)
                 continue
-            act = self.acts.pop(0) if len(self.acts) > 1 else self.acts[0]
+            handler = self.handlers.pop(0) if len(self.handlers) > 1 else self.handlers[0]
             self.got.append(got)
-            await act(self, got, writer)
+            await handler(self, got, writer)
         writer.close()
 
 
-class CuttingStage(Stage):
+class UnframedUpstream(FakeUpstream):
     """An upstream whose answers have neither length nor chunks and end with their connection."""
 
     def __init__(self, name: str, text: str, kind: str = "text/plain", by_reset: bool = False) -> None:
@@ -177,16 +177,16 @@
 
 
 @dataclass
-class Play:
+class BalancerHarness:
     """A balancer under test, with its upstreams."""
 
     balancer: Balancer
     port: int
     readyz: int
-    stages: list[Stage] = field(default_factory=list)
+    upstreams: list[FakeUpstream] = field(default_factory=list)
 
-    def list(self, *stages: Stage) -> None:
-        self.balancer.list_upstreams(tuple(s.entry for s in stages))
+    def list(self, *upstreams: FakeUpstream) -> None:
+        self.balancer.list_upstreams(tuple(s.entry for s in upstreams))
 
     async def ask(self, request_id: str = "r1", method: str = "POST", path: str = PATH, host: str = HOST,
                   headers: str = "", body: bytes = b"b") -> Reply:  # fmt: skip
@@ -244,20 +244,20 @@
 
 
 @asynccontextmanager
-async def playing(
-    *stages: Stage, config: Configuration | None = None, slack: float = 100.0, grace_s: float = 8.0
-) -> AsyncIterator[Play]:
+async def running_balancer(
+    *upstreams: FakeUpstream, config: Configuration | None = None, slack: float = 100.0, grace_s: float = 8.0
+) -> AsyncIterator[BalancerHarness]:
     balancer, http, readyz = await _started(slack, grace_s)
-    for stage in stages:
-        await stage.start()
-    play = Play(balancer, http, readyz, list(stages))
+    for upstream in upstreams:
+        await upstream.start()
+    harness = BalancerHarness(balancer, http, readyz, list(upstreams))
     balancer.configure(config or configuration())
     balancer.count_balancers(1)
-    play.list(*stages)
+    harness.list(*upstreams)
     balancer.allow_ready(True)
     try:
-        yield play
+        yield harness
     finally:
         await balancer.stop()
-        for stage in stages:
-            stage.stop()
+        for upstream in upstreams:
+            upstream.stop()
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -9,47 +9,47 @@
 from passpost.answer_end import Misuse
 from passpost.http1 import AnswerReader, EndKind, Framing, Headers
 from tests.balancer_stage import (
-    Act,
-    CuttingStage,
-    Stage,
+    FakeUpstream,
+    Handler,
+    UnframedUpstream,
     answer,
     chunk,
     configuration,
     cut_after,
     event,
-    playing,
     reset,
     route,
+    running_balancer,
 )
 from tests.loopback import Got, Writer, run
 
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
 
 
-async def _garbage(stage: Stage, got: Got, writer: Writer) -> None:
+async def _garbage(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
     writer.write(b"noise\r\n\r\n")
 
 
 @pytest.mark.parametrize(
-    ("stage", "framing", "kind"),
+    ("upstream", "framing", "kind"),
     [
-        (Stage("u1", "", answer("200 OK", body="whole")), Framing.LENGTH, EndKind.WHOLE),
-        (Stage("u1", "", answer("500 Oh")), Framing.LENGTH, EndKind.WHOLE),
-        (Stage("u1", "", cut_after(2)), Framing.CHUNKED, EndKind.FIN),
-        (Stage("u1", "", reset), Framing.UNKNOWN, EndKind.FIN),
-        (Stage("u1", "", _garbage), Framing.UNKNOWN, EndKind.INVALID),
-        (CuttingStage("u1", "whole"), Framing.CLOSE, EndKind.FIN),
-        (CuttingStage("u1", "part", by_reset=True), Framing.CLOSE, EndKind.RESET),
+        (FakeUpstream("u1", "", answer("200 OK", body="whole")), Framing.LENGTH, EndKind.WHOLE),
+        (FakeUpstream("u1", "", answer("500 Oh")), Framing.LENGTH, EndKind.WHOLE),
+        (FakeUpstream("u1", "", cut_after(2)), Framing.CHUNKED, EndKind.FIN),
+        (FakeUpstream("u1", "", reset), Framing.UNKNOWN, EndKind.FIN),
+        (FakeUpstream("u1", "", _garbage), Framing.UNKNOWN, EndKind.INVALID),
+        (UnframedUpstream("u1", "whole"), Framing.CLOSE, EndKind.FIN),
+        (UnframedUpstream("u1", "part", by_reset=True), Framing.CLOSE, EndKind.RESET),
     ],
     ids=["length", "error", "chunks cut", "nothing", "noise", "closed", "reset at once"],
 )
 def test_each_end_of_an_answer_is_counted_by_its_framing_and_by_what_ended_it(
-    stage: Stage, framing: Framing, kind: EndKind
+    upstream: FakeUpstream, framing: Framing, kind: EndKind
 ) -> None:
     async def test() -> None:
-        async with playing(stage, config=UNSAFE) as play:
-            await play.ask()
-            assert play.balancer.answer_log.ends == {(framing, kind): 1}
+        async with running_balancer(upstream, config=UNSAFE) as harness:
+            await harness.ask()
+            assert harness.balancer.answer_log.ends == {(framing, kind): 1}
 
     run(test())
 
@@ -59,8 +59,8 @@
     sink = logger.add(lines.append, format="{message}", level="INFO")
 
     async def test() -> None:
-        async with playing(CuttingStage("u1", "part", by_reset=True), config=UNSAFE) as play:
-            await play.ask("r7")
+        async with running_balancer(UnframedUpstream("u1", "part", by_reset=True), config=UNSAFE) as harness:
+            await harness.ask("r7")
 
     try:
         run(test())
@@ -77,8 +77,10 @@
 )
 def test_what_a_reset_cuts_never_reaches_a_client_as_whole(text: str, kind: str) -> None:
     async def test() -> None:
-        async with playing(CuttingStage("u1", text, kind, by_reset=True), config=UNSAFE) as play:
-            reply = await play.ask()
+        async with running_balancer(
+            UnframedUpstream("u1", text, kind, by_reset=True), config=UNSAFE
+        ) as harness:
+            reply = await harness.ask()
             assert reply.status == 502 or not reply.whole
 
     run(test())
@@ -87,11 +89,11 @@
 def test_a_request_that_may_be_repeated_goes_to_another_upstream_after_a_reset() -> None:
     async def test() -> None:
         config = configuration(1, route(route_type="safe", tries=2))
-        cutting = [CuttingStage(name, "part", by_reset=True) for name in ("u1", "u2")]
-        async with playing(*cutting, config=config) as play:
-            reply = await play.ask()
+        cutting = [UnframedUpstream(name, "part", by_reset=True) for name in ("u1", "u2")]
+        async with running_balancer(*cutting, config=config) as harness:
+            reply = await harness.ask()
             assert reply.status == 502
-            assert sorted(len(stage.got) for stage in cutting) == [1, 1]
+            assert sorted(len(upstream.got) for upstream in cutting) == [1, 1]
 
     run(test())
 
@@ -105,13 +107,13 @@
     return f"HTTP/1.1 {status}\r\n{lines}{seal}{extra}Content-Length: {len(body)}\r\n\r\n{body}"
 
 
-def says(*answers: str) -> Act:
+def says(*answers: str) -> Handler:
     """Send all of these at once."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def handler(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         writer.write("".join(answers).encode())
 
-    return act
+    return handler
 
 
 STALE = {
@@ -132,16 +134,16 @@
 def test_a_late_second_answer_is_skipped_and_the_next_request_gets_its_own(stale: str) -> None:
     async def test() -> None:
         own = text("r2", "own")
-        stage = Stage(
+        upstream = FakeUpstream(
             "u1", "", answer("200 OK", body="first"), says(stale, own), answer("200 OK", body="third")
         )
-        async with playing(stage, config=UNSAFE) as play:
-            assert (await play.ask("r1")).body == b"first"
-            reply = await play.ask("r2")
+        async with running_balancer(upstream, config=UNSAFE) as harness:
+            assert (await harness.ask("r1")).body == b"first"
+            reply = await harness.ask("r2")
             assert (reply.status, reply.body, reply.headers["mastturn-request-id"]) == (200, b"own", "r2")
-            assert (await play.ask("r3")).body == b"third"
-            assert stage.connections == 2  # more stale answers may follow on the first one
-            assert play.balancer.answer_log.misuses[Misuse.STALE_ANSWER] == stale.count("HTTP/1.1")
+            assert (await harness.ask("r3")).body == b"third"
+            assert upstream.connections == 2  # more stale answers may follow on the first one
+            assert harness.balancer.answer_log.misuses[Misuse.STALE_ANSWER] == stale.count("HTTP/1.1")
 
     run(test())
 
@@ -170,8 +172,8 @@
 def test_a_rejection_without_an_id_is_taken_at_its_word() -> None:
     async def test() -> None:
         rejection = text(None, "", "503 Full", sealed=False, extra="Mastturn-Not-Run: 1\r\n")
-        async with playing(Stage("u1", "", says(rejection)), config=UNSAFE) as play:
-            assert (await play.ask("r1")).status == 503
-            assert not play.balancer.answer_log.misuses
+        async with running_balancer(FakeUpstream("u1", "", says(rejection)), config=UNSAFE) as harness:
+            assert (await harness.ask("r1")).status == 503
+            assert not harness.balancer.answer_log.misuses
 
     run(test())
--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -12,13 +12,13 @@
 from tests.balancer_stage import (
     HOST,
     PATH,
-    Stage,
+    FakeUpstream,
     chunk,
     configuration,
     event,
-    playing,
     read_reply,
     route,
+    running_balancer,
     stream_head,
 )
 from tests.loopback import Got, Writer, run
@@ -29,15 +29,15 @@
 
 @pytest.mark.parametrize("resumable", [False, True])
 def test_a_stream_that_falls_silent_is_broken_off_at_its_deadline(resumable: bool) -> None:
-    async def silent_after_one(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent_after_one(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         writer.write(stream_head(got) + chunk(event(1)))
         await asyncio.sleep(30)
 
     async def test() -> None:
         config = configuration(1, route(resumable=resumable, tries=1))
-        async with playing(Stage("u1", "", silent_after_one), config=config) as play:
+        async with running_balancer(FakeUpstream("u1", "", silent_after_one), config=config) as harness:
             begun = asyncio.get_running_loop().time()
-            reply = await play.ask(headers="Mastturn-Deadline-Ms: 300\r\n")
+            reply = await harness.ask(headers="Mastturn-Deadline-Ms: 300\r\n")
             assert reply.status == 200 and not reply.whole
             assert 0.3 <= asyncio.get_running_loop().time() - begun < 1.5
 
@@ -47,13 +47,15 @@
 def test_time_counts_for_a_request_that_waits_behind_others_of_its_connection() -> None:
     """Two pipelined requests are read; the third stays unparsed until the first has its answer."""
 
-    async def silent(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
-        async with playing(Stage("u1", "", silent), config=configuration(1, route(tries=1))) as play:
+        async with running_balancer(
+            FakeUpstream("u1", "", silent), config=configuration(1, route(tries=1))
+        ) as harness:
             loop = asyncio.get_running_loop()
-            reader, writer = await asyncio.open_connection("127.0.0.1", play.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             begun = loop.time()
             for number in range(3):
                 lines = f"Host: {HOST}\r\nMastturn-Request-Id: r{number}\r\nMastturn-Deadline-Ms: 600\r\n"
@@ -75,13 +77,15 @@
     this test).
     """
 
-    async def silent(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
-        async with playing(Stage("u1", "", silent), config=configuration(1, route(tries=1))) as play:
+        async with running_balancer(
+            FakeUpstream("u1", "", silent), config=configuration(1, route(tries=1))
+        ) as harness:
             loop = asyncio.get_running_loop()
-            reader, writer = await asyncio.open_connection("127.0.0.1", play.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
             for number in range(3):
                 if number == 2:
                     await asyncio.sleep(READ_S)
@@ -100,18 +104,20 @@
 def test_a_stop_leaves_time_to_end_though_an_upstream_is_silent(after_s: float) -> None:
     """The wait for an upstream's own answer beyond the deadline must not use up the time to exit."""
 
-    async def silent(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
         grace_s = 2.0
         config = configuration(1, route(tries=1))
-        async with playing(Stage("u1", "", silent), config=config, grace_s=grace_s) as play:
+        async with running_balancer(
+            FakeUpstream("u1", "", silent), config=config, grace_s=grace_s
+        ) as harness:
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            ending = asyncio.create_task(play.balancer.drain())
+            ending = asyncio.create_task(harness.balancer.drain())
             await asyncio.sleep(after_s)
-            reply = await play.ask(headers="Mastturn-Deadline-Ms: 9000\r\n")
+            reply = await harness.ask(headers="Mastturn-Deadline-Ms: 9000\r\n")
             assert reply.status == 504
             await ending
             assert loop.time() - begun <= grace_s - end_margin(grace_s) + SLACK_S
@@ -120,15 +126,17 @@
 
 
 def test_a_stream_that_is_still_coming_at_its_deadline_is_broken_off() -> None:
-    async def without_end(stage: Stage, got: Got, writer: Writer) -> None:
+    async def without_end(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         writer.write(stream_head(got))
         for number in range(1, 1_000):
             writer.write(chunk(event(number)))
             await asyncio.sleep(0.05)
 
     async def test() -> None:
-        async with playing(Stage("u1", "", without_end), config=configuration(1, route(tries=1))) as play:
-            reply = await play.ask(headers="Mastturn-Deadline-Ms: 300\r\n")
+        async with running_balancer(
+            FakeUpstream("u1", "", without_end), config=configuration(1, route(tries=1))
+        ) as harness:
+            reply = await harness.ask(headers="Mastturn-Deadline-Ms: 300\r\n")
             assert reply.status == 200 and not reply.whole and reply.body.startswith(event(1).encode())
 
     run(test())
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -16,8 +16,7 @@
 from dissemination.doubts import DoubtSum, pack, unpack
 from dissemination.messages import Doubt, DoubtReport
 from passpost.http1 import Answer
-from tests.balancer_stage import Stage as Stand
-from tests.balancer_stage import answer, configuration, playing, route
+from tests.balancer_stage import FakeUpstream, answer, configuration, route, running_balancer
 from tests.fabric_scenes import begun
 from tests.fabric_world import World, play
 from tests.test_dissemination_news import settled
@@ -243,25 +242,28 @@
     """At half weight, as for silence, flapping upstreams were detected after twice the time."""
 
     async def scene() -> None:
-        gone, good = Stand("i-0", ""), [Stand(f"i-{n}", "") for n in range(1, 4)]
-        async with playing(gone, *good, config=configuration(1, route(tries=4))) as stage:
+        gone, good = FakeUpstream("i-0", ""), [FakeUpstream(f"i-{n}", "") for n in range(1, 4)]
+        async with running_balancer(gone, *good, config=configuration(1, route(tries=4))) as harness:
             gone.stop()
-            stage.list(gone, *good)
+            harness.list(gone, *good)
             for n in range(30):
-                await stage.ask(f"r{n}")
-            assert stage.balancer.doubts() == {("i-0", "a"): (1, FAILURE_WEIGHT)}
+                await harness.ask(f"r{n}")
+            assert harness.balancer.doubts() == {("i-0", "a"): (1, FAILURE_WEIGHT)}
 
     asyncio.run(scene())
 
 
 def test_an_upstream_that_fails_requests_gets_no_more_of_them() -> None:
     async def scene() -> None:
-        bad, good = Stand("i-0", "", answer("500 Error")), [Stand(f"i-{n}", "") for n in range(1, 4)]
+        bad, good = (
+            FakeUpstream("i-0", "", answer("500 Error")),
+            [FakeUpstream(f"i-{n}", "") for n in range(1, 4)],
+        )
         config = configuration(1, route(route_type="unsafe", split=()))
-        async with playing(bad, *good, config=config) as stage:
-            stage.list(bad, *good)
+        async with running_balancer(bad, *good, config=config) as harness:
+            harness.list(bad, *good)
             for n in range(60):
-                await stage.ask(f"r{n}")
+                await harness.ask(f"r{n}")
             assert len(bad.got) <= 8 and sum(len(s.got) for s in good) >= 52
 
     asyncio.run(scene())
--- a/tests/test_balancer_whole_answers.py
+++ b/tests/test_balancer_whole_answers.py
@@ -7,14 +7,14 @@
 import pytest
 
 from tests.balancer_stage import (
-    Act,
-    Stage,
+    FakeUpstream,
+    Handler,
     answer,
     chunk,
     configuration,
     head,
-    playing,
     route,
+    running_balancer,
 )
 from tests.loopback import Got, Writer, run
 
@@ -22,10 +22,10 @@
 PLAIN = configuration(1, route(route_type="safe", tries=2))
 
 
-def slow(body: str, pieces: int = 4, pause_s: float = 0.15, last: bool = True) -> Act:
+def slow(body: str, pieces: int = 4, pause_s: float = 0.15, last: bool = True) -> Handler:
     """Send chunks with pauses, so that the length is unknown when forwarding begins."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def handler(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
         writer.write(head(got, "Transfer-Encoding: chunked\r\n\r\n").encode())
         size = -(-len(body) // pieces)
         for i in range(0, len(body), size):
@@ -36,18 +36,18 @@
         else:
             writer.close()
 
-    return act
+    return handler
 
 
-def chunked(body: str) -> Act:
+def chunked(body: str) -> Handler:
     return slow(body, pieces=3, pause_s=0.0)
 
 
-@pytest.mark.parametrize("act", [answer("200 OK", body=LONG), chunked(LONG)], ids=["a length", "chunks"])
-def test_a_long_whole_answer_reaches_the_client_as_it_is(act: Act) -> None:
+@pytest.mark.parametrize("handler", [answer("200 OK", body=LONG), chunked(LONG)], ids=["a length", "chunks"])
+def test_a_long_whole_answer_reaches_the_client_as_it_is(handler: Handler) -> None:
     async def test() -> None:
-        async with playing(Stage("u1", "", act), config=PLAIN) as play:
-            reply = await play.ask()
+        async with running_balancer(FakeUpstream("u1", "", handler), config=PLAIN) as harness:
+            reply = await harness.ask()
             assert (reply.status, reply.whole, reply.body) == (200, True, LONG.encode())
 
     run(test())
@@ -55,8 +55,10 @@
 
 def test_a_slow_answer_without_length_reaches_the_client_as_it_is() -> None:
     async def test() -> None:
-        async with playing(Stage("u1", "", slow("slowly but whole")), config=PLAIN) as play:
-            reply = await play.ask()
+        async with running_balancer(
+            FakeUpstream("u1", "", slow("slowly but whole")), config=PLAIN
+        ) as harness:
+            reply = await harness.ask()
             assert (reply.status, reply.whole, reply.body) == (200, True, b"slowly but whole")
 
     run(test())
@@ -65,10 +67,10 @@
 def test_a_whole_answer_that_breaks_off_is_not_taken_up_by_another_upstream() -> None:
     async def test() -> None:
         config = configuration(1, route(route_type="stream", resumable=True, tries=2))
-        stages = [Stage(name, "", slow("slowly", last=False)) for name in ("u1", "u2")]
-        async with playing(*stages, config=config) as play:
-            reply = await play.ask()
+        upstreams = [FakeUpstream(name, "", slow("slowly", last=False)) for name in ("u1", "u2")]
+        async with running_balancer(*upstreams, config=config) as harness:
+            reply = await harness.ask()
             assert reply.status == 200 and not reply.whole
-            assert sum(len(stage.got) for stage in stages) == 1
+            assert sum(len(upstream.got) for upstream in upstreams) == 1
 
     run(test())
--- a/tests/test_cut_answer_orders.py
+++ b/tests/test_cut_answer_orders.py
@@ -16,7 +16,17 @@
 
 import pytest
 
-from tests.balancer_stage import HOST, PATH, Stage, chunk, configuration, event, head, playing, route
+from tests.balancer_stage import (
+    HOST,
+    PATH,
+    FakeUpstream,
+    chunk,
+    configuration,
+    event,
+    head,
+    route,
+    running_balancer,
+)
 from tests.loopback import OK, Got, Reader, read_request, run
 
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
@@ -49,7 +59,7 @@
         )
 
 
-class OrderedStage(Stage):
+class OrderedUpstream(FakeUpstream):
     """An upstream that cuts each answer as `cut` says."""
 
     def __init__(self) -> None:
@@ -202,8 +212,8 @@
     framing: str, answers: Callable[[str], Iterator[Cut]], caller: Caller
 ) -> None:
     async def test() -> None:
-        stage = OrderedStage()
-        async with playing(stage, config=UNSAFE) as play:
+        stage = OrderedUpstream()
+        async with running_balancer(stage, config=UNSAFE) as play:
             for cut in answers(framing):
                 stage.cut, had = cut, len(stage.got)
                 is_served = await caller.is_served(play.port)
--- a/tests/test_dead_upstreams.py
+++ b/tests/test_dead_upstreams.py
@@ -24,7 +24,7 @@
 from loguru import logger
 
 from passpost.http1 import EndKind, Framing
-from tests.balancer_stage import Stage, answer, configuration, decode, head, playing, route
+from tests.balancer_stage import FakeUpstream, answer, configuration, decode, head, route, running_balancer
 from tests.loopback import Got, Writer, run
 
 SAFE = configuration(1, route(route_type="safe", tries=2))
@@ -32,7 +32,7 @@
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
 
 
-class DyingStage(Stage):
+class DyingUpstream(FakeUpstream):
     """An upstream of a process of its own (`dying_upstream.py`)."""
 
     def __init__(self, framing: str = "close", is_stream: bool = False, name: str = "dying") -> None:
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("framing", ["close", "length", "chunks"])
 def test_what_a_dying_upstream_cuts_never_reaches_a_client_as_whole(framing: str, is_stream: bool) -> None:
     async def test() -> None:
-        async with playing(DyingStage(framing, is_stream), config=UNSAFE) as play:
+        async with running_balancer(DyingUpstream(framing, is_stream), config=UNSAFE) as play:
             reply = await play.ask()
             assert reply.status == 502 or not reply.whole
 
@@ -65,7 +65,7 @@
 
 def test_a_request_that_may_be_repeated_is_answered_by_another_upstream() -> None:
     async def test() -> None:
-        async with playing(DyingStage(), Stage("standing"), config=SAFE) as play:
+        async with running_balancer(DyingUpstream(), FakeUpstream("standing"), config=SAFE) as play:
             ends = play.balancer.answer_log.ends
             number = 0
             while not ends[Framing.CLOSE, EndKind.GONE]:  # until it is drawn
@@ -78,8 +78,8 @@
 
 def test_a_stream_that_may_be_resumed_goes_on_at_another_upstream() -> None:
     async def test() -> None:
-        stages = DyingStage(is_stream=True), Stage("standing", "", decode)
-        async with playing(*stages, config=RESUMABLE) as play:
+        stages = DyingUpstream(is_stream=True), FakeUpstream("standing", "", decode)
+        async with running_balancer(*stages, config=RESUMABLE) as play:
             ends = play.balancer.answer_log.ends
             number = 0
             while not ends[Framing.CLOSE, EndKind.GONE]:  # until it is drawn
@@ -104,7 +104,7 @@
 
 def test_an_answer_whose_upstream_is_gone_is_counted_and_logged_as_such() -> None:
     async def test() -> None:
-        async with playing(DyingStage(), config=UNSAFE) as play:
+        async with running_balancer(DyingUpstream(), config=UNSAFE) as play:
             with log_lines() as lines:
                 await play.ask("r7")
             assert play.balancer.answer_log.ends == {(Framing.CLOSE, EndKind.GONE): 1}
@@ -114,15 +114,15 @@
     run(test())
 
 
-async def unframed(stage: Stage, got: Got, writer: Writer) -> None:
+async def unframed(stage: FakeUpstream, got: Got, writer: Writer) -> None:
     writer.write((head(got, "\r\n") + "whole").encode())
     writer.close()
 
 
 def test_an_answer_whose_upstream_lives_on_is_whole_and_the_connection_that_asked_is_used_again() -> None:
     async def test() -> None:
-        stage = Stage("u1", "", unframed, answer("200 OK", body="next"))
-        async with playing(stage, config=UNSAFE) as play:
+        stage = FakeUpstream("u1", "", unframed, answer("200 OK", body="next"))
+        async with running_balancer(stage, config=UNSAFE) as play:
             reply = await play.ask("r1")
             assert (reply.whole, reply.body) == (True, b"whole")
             assert play.balancer.answer_log.ends == {(Framing.CLOSE, EndKind.FIN): 1}
@@ -134,9 +134,9 @@
 
 def test_an_answer_is_cut_where_another_upstream_has_the_address_by_now() -> None:
     async def test() -> None:
-        stage = Stage("u1", "", unframed)
+        stage = FakeUpstream("u1", "", unframed)
         stage.report = b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
-        async with playing(stage, config=UNSAFE) as play:
+        async with running_balancer(stage, config=UNSAFE) as play:
             assert (await play.ask()).status == 502
             assert play.balancer.answer_log.ends == {(Framing.CLOSE, EndKind.GONE): 1}
 
@@ -149,16 +149,16 @@
     async def test() -> None:
         told, over = asyncio.Event(), asyncio.Event()
 
-        async def whole_then_deaf(stage: Stage, got: Got, writer: Writer) -> None:
+        async def whole_then_deaf(stage: FakeUpstream, got: Got, writer: Writer) -> None:
             await answer("200 OK", body="first")(stage, got, writer)
             await over.wait()  # nothing more is read from this connection
 
-        async def unframed_later(stage: Stage, got: Got, writer: Writer) -> None:
+        async def unframed_later(stage: FakeUpstream, got: Got, writer: Writer) -> None:
             await told.wait()
             await unframed(stage, got, writer)
 
-        stage = Stage("u1", "", whole_then_deaf, unframed_later)
-        async with playing(stage, config=UNSAFE) as play:
+        stage = FakeUpstream("u1", "", whole_then_deaf, unframed_later)
+        async with running_balancer(stage, config=UNSAFE) as play:
             first = asyncio.create_task(play.ask("r1"))
             second = asyncio.create_task(play.ask("r2"))
             done, _ = await asyncio.wait((first, second), return_when=asyncio.FIRST_COMPLETED)
--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -21,7 +21,7 @@
 from mastturnd.exposition import by, counter, gauge, histogram, render
 from mastturnd.pace import MOST, Pace
 from mastturnd.tap import StepLog, listen
-from tests.balancer_stage import Stage, decode, playing, reject
+from tests.balancer_stage import FakeUpstream, decode, reject, running_balancer
 from tests.fabric_callers import configuration as document
 from tests.loopback import run, until
 
@@ -208,8 +208,8 @@
     heard: list[tuple[str, dict[str, Any]]] = []
 
     async def test() -> None:
-        reader, runner = Stage("p1", "prefill", reject), Stage("d1", "decode", decode)
-        async with playing(reader, runner) as play:
+        reader, runner = FakeUpstream("p1", "prefill", reject), FakeUpstream("d1", "decode", decode)
+        async with running_balancer(reader, runner) as play:
             parts = (play.balancer, play.balancer.tiers, play.balancer.upstreams)
             before = [dict(part.__dict__) for part in parts]
             stop = listen(play.balancer, lambda event, fields: heard.append((event, fields)))
@@ -230,7 +230,7 @@
 
 def test_two_may_listen_and_each_ends_by_itself() -> None:
     async def test() -> None:
-        async with playing(Stage("d1", "decode", decode)) as play:
+        async with running_balancer(FakeUpstream("d1", "decode", decode)) as play:
             first: list[str] = []
             second: list[str] = []
             stops = [listen(play.balancer, lambda e, f, to=to: to.append(e)) for to in (first, second)]  # type: ignore[misc]
@@ -248,12 +248,12 @@
 def test_choices_are_recorded_with_what_they_were_made_from() -> None:
     async def test() -> None:
         stages = [
-            Stage("p1", "prefill"),
-            Stage("p2", "prefill"),
-            Stage("d1", "decode"),
-            Stage("d2", "decode"),
+            FakeUpstream("p1", "prefill"),
+            FakeUpstream("p2", "prefill"),
+            FakeUpstream("d1", "decode"),
+            FakeUpstream("d2", "decode"),
         ]
-        async with playing(*stages) as play:
+        async with running_balancer(*stages) as play:
             asked = asyncio.create_task(explaining.record(play.balancer, 2))
             await until(lambda: explaining.is_recording(play.balancer))
             reply = await play.ask("r7", headers=SPLIT)
@@ -274,7 +274,7 @@
 
 def test_to_explain_changes_nothing_that_the_next_choice_is_made_from() -> None:
     async def test() -> None:
-        async with playing(Stage("d1", "decode"), Stage("d2", "decode")) as play:
+        async with running_balancer(FakeUpstream("d1", "decode"), FakeUpstream("d2", "decode")) as play:
             for number in range(5):
                 await play.ask(f"r{number}")
 
@@ -300,7 +300,7 @@
     sink = logger.add(lambda line: lines.append(str(line).rstrip()), format="{message}", level="DEBUG")
 
     async def test() -> None:
-        async with playing(Stage("p1", "prefill"), Stage("d1", "decode")) as play:
+        async with running_balancer(FakeUpstream("p1", "prefill"), FakeUpstream("d1", "decode")) as play:
             steps = StepLog(play.balancer)
             await play.ask("r7", headers=SPLIT)
             steps.remove()
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -21,7 +21,16 @@
 from mastturnd.exposition import render
 from mastturnd.pace import Pace
 from passpost.counters import Final
-from tests.balancer_stage import Play, Stage, cut_after, decode, playing, prefill, reject, reset
+from tests.balancer_stage import (
+    BalancerHarness,
+    FakeUpstream,
+    cut_after,
+    decode,
+    prefill,
+    reject,
+    reset,
+    running_balancer,
+)
 from tests.fabric_callers import configuration
 from tests.fabric_world import World, play
 from tests.loopback import run
@@ -47,7 +56,7 @@
 
 def test_a_stream_counts_with_its_first_event_and_the_tokens_of_its_prompt() -> None:
     async def test() -> None:
-        async with playing(Stage("p1", "prefill"), Stage("d1", "decode")) as play:
+        async with running_balancer(FakeUpstream("p1", "prefill"), FakeUpstream("d1", "decode")) as play:
             assert (await play.ask(headers=SPLIT)).whole
             found = told(play.balancer)
         assert found["station_requests_total/served"] == 1
@@ -66,8 +75,8 @@
 def test_a_prompt_that_a_second_upstream_reads_counts_as_read_again() -> None:
     async def test() -> None:
         # Whichever reader is first resets; the other then reads all of it once more.
-        stages = [Stage("p1", "prefill", reset, prefill), Stage("d1", "decode", decode)]
-        async with playing(*stages) as play:
+        stages = [FakeUpstream("p1", "prefill", reset, prefill), FakeUpstream("d1", "decode", decode)]
+        async with running_balancer(*stages) as play:
             assert (await play.ask(headers=SPLIT)).whole
             found = told(play.balancer)
         assert found["station_prompt_tokens_total/first"] == 900
@@ -78,9 +87,13 @@
 
 def test_shared_parts_that_another_upstream_has_count_when_they_are_read_again() -> None:
     async def test() -> None:
-        stages = [Stage("p1", "prefill"), Stage("p2", "prefill", prefill), Stage("d1", "decode")]
+        stages = [
+            FakeUpstream("p1", "prefill"),
+            FakeUpstream("p2", "prefill", prefill),
+            FakeUpstream("d1", "decode"),
+        ]
         shared = "Mastturn-Token-Count: 900,3\r\nMastturn-Prompt-Prefix: aa:400,bb:500\r\n"
-        async with playing(*stages) as play:
+        async with running_balancer(*stages) as play:
             assert (await play.ask("r1", headers=shared)).whole
             assert told(play.balancer)["station_shared_tokens_again_total"] == 0
             assert (await play.ask("r2", headers=shared)).whole
@@ -99,8 +112,8 @@
 
 def test_a_stream_that_another_upstream_goes_on_with_has_one_first_event() -> None:
     async def test() -> None:
-        async with playing(
-            Stage("d1", "decode", cut_after(1), decode), Stage("d2", "decode", decode)
+        async with running_balancer(
+            FakeUpstream("d1", "decode", cut_after(1), decode), FakeUpstream("d2", "decode", decode)
         ) as play:
             await play.ask()
             assert told(play.balancer)["station_first_event_seconds_count"] == 1
@@ -108,21 +121,21 @@
     run(test())
 
 
-async def _no_upstream(play: Play) -> None:
+async def _no_upstream(play: BalancerHarness) -> None:
     play.list()
     await play.ask()
 
 
-async def _turned_away(play: Play) -> None:
+async def _turned_away(play: BalancerHarness) -> None:
     await play.ask()
 
 
-async def _unconfigured(play: Play) -> None:
+async def _unconfigured(play: BalancerHarness) -> None:
     play.balancer._configuration = None
     await play.ask()
 
 
-async def _queues(play: Play) -> None:
+async def _queues(play: BalancerHarness) -> None:
     play.balancer.tiers.prefill_wait_s = lambda service, now: 1e6  # type: ignore[method-assign]
     play.balancer.tiers.decode_wait_s = lambda service, now: 1e6  # type: ignore[method-assign]
     await play.ask(headers=SPLIT)
@@ -139,7 +152,9 @@
 @pytest.mark.parametrize("why", REFUSED)
 def test_each_refusal_counts_with_its_reason(why: Refusal) -> None:
     async def test() -> None:
-        async with playing(Stage("p1", "prefill", reject), Stage("d1", "decode", reject)) as play:
+        async with running_balancer(
+            FakeUpstream("p1", "prefill", reject), FakeUpstream("d1", "decode", reject)
+        ) as play:
             await REFUSED[why](play)
             found = told(play.balancer)
         refused = {r: found[f"station_refusals_total/{r.value}"] for r in Refusal}
@@ -150,7 +165,7 @@
 
 def test_an_age_that_is_not_known_is_not_told() -> None:
     async def test() -> None:
-        async with playing() as play:
+        async with running_balancer() as play:
             assert "station_news_age_seconds" not in told(play.balancer, None)
 
     run(test())
