--- a/consensus/awake_clock.py
+++ b/consensus/awake_clock.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-STALL_MS = 100.0  # between two looks at the clock; a process that runs looks every 30 ms
-MOST_STALL_MS = 2_000.0  # who stood still for longer was away: others may long have taken its place
+MIN_STALL_MS = 100.0  # between two looks at the clock; a process that runs looks every 30 ms
+MAX_STALL_MS = 2_000.0  # who stood still for longer was away: others may long have taken its place
 
 
 class AwakeClock:
@@ -17,17 +17,17 @@
 
     def __init__(self, stalled: Callable[[float, float], None]) -> None:
         """`stalled`: the process stood still for so long (ms), and what time it is now by this clock."""
-        self._stalled = stalled
-        self._steady: float | None = None  # at the last look
+        self._on_stall = stalled
+        self._last_read: float | None = None  # at the last look
         self._now = 0.0
 
     def read(self, steady: float) -> float:
         """The time by this clock, of a time of the steady clock."""
-        if self._steady is None:
-            self._steady = self._now = steady
-        gap, self._steady = steady - self._steady, steady
-        if STALL_MS < gap <= MOST_STALL_MS:
-            self._stalled(gap, self._now)
+        if self._last_read is None:
+            self._last_read = self._now = steady
+        gap, self._last_read = steady - self._last_read, steady
+        if MIN_STALL_MS < gap <= MAX_STALL_MS:
+            self._on_stall(gap, self._now)
         else:
             self._now += gap
         return self._now
--- a/consensus/campaign.py
+++ b/consensus/campaign.py
@@ -11,7 +11,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from consensus.membership import Change, Keep
+from consensus.membership import Change, NoChange
 from consensus.messages import Answer, Ask, Install, Installed, Prepare, Promised
 from consensus.views import Document, Member, View
 
@@ -27,7 +27,9 @@
 
 
 RESEND_MS = 100.0  # what has no answer by then is sent again, and then after twice as long each time
-SETTLE_MS = 25.0  # more promises than a majority are waited for so long: they widen the choice of holders
+PROMISE_GRACE_MS = (
+    25.0  # more promises than a majority are waited for so long: they widen the choice of holders
+)
 
 
 @dataclass(slots=True)
@@ -37,86 +39,86 @@
     me: Member
     base: View
     epoch: int
-    holders_wanted: int
-    began: float
+    holder_count: int
+    started_at: float
     handover: bool = False
-    change: Change = field(default_factory=Keep)
-    avoid: frozenset[str] = frozenset()  # identities that are not to hold data
+    change: Change = field(default_factory=NoChange)
+    avoided: frozenset[str] = frozenset()  # identities that are not to hold data
     stage: Stage = Stage.ASK
     stage_at: float = 0.0
     sent_at: float = 0.0
     majority_at: float = 0.0
-    yes: set[int] = field(default_factory=set)
-    promised: set[int] = field(default_factory=set)
-    installed: set[int] = field(default_factory=set)  # slots of the view, the others of the base
-    against: set[int] = field(default_factory=set)  # slots that won't count for this attempt
+    willing_slots: set[int] = field(default_factory=set)
+    promised_slots: set[int] = field(default_factory=set)
+    installed_slots: set[int] = field(default_factory=set)  # slots of the view, the others of the base
+    rejecting_slots: set[int] = field(default_factory=set)  # slots that won't count for this attempt
     view: View | None = None
-    later: View | None = None  # one that we did not know of: it ends the campaign
-    above: int = 0  # the highest epoch that somebody has promised
+    later_view: View | None = None  # one that we did not know of: it ends the campaign
+    highest_promised: int = 0  # the highest epoch that somebody has promised
 
-    def begin(self, now: float) -> list[tuple[Member, Ask | Install]]:
+    def start(self, now: float) -> list[tuple[Member, Ask | Install]]:
         """Ask everybody who votes.
 
         The last member of a view with one more may not have accepted it yet, and votes only then.
         """
         self.stage_at = now
         asks = [(m, Ask(self.me.identity, m.identity, self.epoch, self.handover)) for m in self._voters()]
-        added = self.base.added()
+        added = self.base.extra_member()
         if added is None or added == self.me:
             return [*asks]
         return [(added, Install(self.me.identity, added.identity, self.base, None, False)), *asks]
 
-    def answered(self, message: Answer, now: float) -> list[tuple[Member, Prepare]]:
+    def on_answer(self, message: Answer, now: float) -> list[tuple[Member, Prepare]]:
         """Somebody would promise, or not."""
-        slot = self._count(message.sender, message.epoch, message.ok, message.promised, message.view)
+        slot = self._agreeing_slot(message.sender, message.epoch, message.ok, message.promised, message.view)
         if slot is None or self.stage is not Stage.ASK:
             return []
-        self.yes.add(slot)
-        if not self._is_majority(self.yes):
+        self.willing_slots.add(slot)
+        if not self._is_majority(self.willing_slots):
             return []
         self.stage, self.stage_at = Stage.PREPARE, now
         return [(self.me, self._prepare(self.me))]
 
-    def told(self, message: Promised, now: float) -> list[tuple[Member, Prepare]]:
+    def on_promised(self, message: Promised, now: float) -> list[tuple[Member, Prepare]]:
         """Somebody has promised, or refused; once we have ourselves, the others are to."""
-        slot = self._count(message.sender, message.epoch, message.ok, message.promised, message.view)
+        slot = self._agreeing_slot(message.sender, message.epoch, message.ok, message.promised, message.view)
         if slot is None or self.stage is not Stage.PREPARE:
             return []
-        own = message.sender == self.me.identity and slot not in self.promised
-        self.promised.add(slot)
-        if not self.majority_at and self._is_majority(self.promised):
+        own = message.sender == self.me.identity and slot not in self.promised_slots
+        self.promised_slots.add(slot)
+        if not self.majority_at and self._is_majority(self.promised_slots):
             self.majority_at = now
         if not own:
             return []
         self.stage_at = now  # the others' syncs have their own time
         return [(m, self._prepare(m)) for m in self._voters() if m != self.me]
 
-    def install(self, document: Document, now: float) -> list[tuple[Member, Install]]:
+    def start_install(self, document: Document, now: float) -> list[tuple[Member, Install]]:
         """Once enough have promised: the view, with the data for those who are to hold it."""
         own = self.base.slot_of(self.me.identity)
-        if self.stage is not Stage.PREPARE or not self.majority_at or own not in self.promised:
+        if self.stage is not Stage.PREPARE or not self.majority_at or own not in self.promised_slots:
             return []
-        everybody = len(self.promised) == len(self._voters())
-        if not everybody and now < self.majority_at + SETTLE_MS:
+        everybody = len(self.promised_slots) == len(self._voters())
+        if not everybody and now < self.majority_at + PROMISE_GRACE_MS:
             return []
-        chosen = self._choose(own)
-        if len(chosen) < self.holders_wanted:
+        chosen = self._choose_holders(own)
+        if len(chosen) < self.holder_count:
             return []
         holders = tuple(self.change.slot_after(slot) for slot in chosen)
         self.view = View(self.epoch, holders[0], holders, self.change.members(self.base))
         self.stage, self.stage_at = Stage.INSTALL, now
-        return [(m, self._install(m, document)) for m in map(self.view.at, holders)]
+        return [(m, self._install(m, document)) for m in map(self.view.member_at, holders)]
 
-    def confirmed(self, message: Installed) -> list[tuple[Member, Install]]:
+    def on_installed(self, message: Installed) -> list[tuple[Member, Install]]:
         """Somebody has accepted the view, or refused; with all holders, the witnesses that it still takes."""
         agrees = self._agrees(message.sender, message.epoch, message.ok, message.promised, message.view)
         if not agrees or self.stage is not Stage.INSTALL or self.view is None:
             return []
         slot = self.view.slot_of(message.sender)
-        if slot is None or slot in self.installed:
+        if slot is None or slot in self.installed_slots:
             return []
-        self.installed.add(slot)
-        if not self.installed.issuperset(self.view.holders):
+        self.installed_slots.add(slot)
+        if not self.installed_slots.issuperset(self.view.holders):
             return []
         if self._is_accepted(self.view):
             self.stage = Stage.WON
@@ -131,12 +133,12 @@
         self.sent_at = now
         match self.stage:
             case Stage.ASK:
-                done = self.yes | self.against
-            case Stage.PREPARE if self.base.slot_of(self.me.identity) in self.promised:
-                done = self.promised | self.against
+                done = self.willing_slots | self.rejecting_slots
+            case Stage.PREPARE if self.base.slot_of(self.me.identity) in self.promised_slots:
+                done = self.promised_slots | self.rejecting_slots
             case Stage.INSTALL if self.view is not None:
-                waited = [slot for slot in self.view.holders if slot not in self.installed]
-                return [(m, self._install(m, document)) for m in map(self.view.at, waited)]
+                waited = [slot for slot in self.view.holders if slot not in self.installed_slots]
+                return [(m, self._install(m, document)) for m in map(self.view.member_at, waited)]
             case _:
                 return []
         waiting = [m for m in self._voters() if m != self.me and self.base.slot_of(m.identity) not in done]
@@ -154,36 +156,38 @@
     def _witnesses(self) -> list[Member]:
         """Those who are to accept the view without data: voters, and one that it adds."""
         assert self.view is not None
-        added = self.change.joins(self.base)
+        added = self.change.added_member(self.base)
         members = [*self._voters(), added] if added is not None else self._voters()
         return [m for m in members if self.view.slot_of(m.identity) not in self.view.holders]
 
-    def _choose(self, own: int) -> list[int]:
+    def _choose_holders(self, own: int) -> list[int]:
         """Ourselves, then whoever held the data before, then others; another zone first."""
 
         def rank(slot: int) -> tuple[bool, bool, bool, int]:
-            member = self.base.at(slot)
+            member = self.base.member_at(slot)
             return (
-                member.identity in self.avoid,
+                member.identity in self.avoided,
                 slot not in self.base.holders,
                 member.zone == self.me.zone,
                 slot,
             )
 
-        others = sorted(self.promised - {own}, key=rank)
-        return [own, *others[: self.holders_wanted - 1]]
+        others = sorted(self.promised_slots - {own}, key=rank)
+        return [own, *others[: self.holder_count - 1]]
 
     def _voters(self) -> list[Member]:
-        return [self.base.at(slot) for slot in self.change.voters(self.base)]
+        return [self.base.member_at(slot) for slot in self.change.voters(self.base)]
 
     def _is_majority(self, slots: set[int]) -> bool:
         return len(slots) >= self.base.majority
 
     def _is_accepted(self, view: View) -> bool:
         """Whether a majority of the base and of the view has accepted it; at most one of them is new."""
-        return len(self.installed) >= max(self.base.majority, view.majority)
+        return len(self.installed_slots) >= max(self.base.majority, view.majority)
 
-    def _count(self, sender: str, epoch: int, ok: bool, promised: int, view: View | None) -> int | None:
+    def _agreeing_slot(
+        self, sender: str, epoch: int, ok: bool, promised: int, view: View | None
+    ) -> int | None:
         """The slot of a voter that agrees with this attempt."""
         return self.base.slot_of(sender) if self._agrees(sender, epoch, ok, promised, view) else None
 
@@ -191,13 +195,13 @@
         """Whether somebody with a say in it agrees with this attempt; too many who don't end it."""
         if epoch != self.epoch or self.stage in (Stage.WON, Stage.LOST):
             return False
-        self.above = max(self.above, promised)
+        self.highest_promised = max(self.highest_promised, promised)
         later = view if view is not None and view.epoch > self.base.epoch else None
         if later is not None and later.epoch == self.epoch:
             later = None  # ours
-        if later is not None and (self.later is None or later.epoch > self.later.epoch):
-            self.later = later
-        added = self.change.joins(self.base)
+        if later is not None and (self.later_view is None or later.epoch > self.later_view.epoch):
+            self.later_view = later
+        added = self.change.added_member(self.base)
         if added is not None and sender == added.identity:
             return ok and later is None
         slot = self.base.slot_of(sender)
@@ -205,17 +209,17 @@
             return False
         assert slot is not None
         if ok and later is None:
-            self.against.discard(slot)
+            self.rejecting_slots.discard(slot)
             return True
         # Whoever knows of a later view is not counted: if that view is in force, a majority is out of reach.
-        self.against.add(slot)
+        self.rejecting_slots.add(slot)
         retry = self.stage is Stage.ASK and promised >= self.epoch
-        if retry or len(self._voters()) - len(self.against) < self.base.majority:
+        if retry or len(self._voters()) - len(self.rejecting_slots) < self.base.majority:
             self.stage = Stage.LOST
         return False
 
 
-def founding(members: list[Member], slots: int, holders: int) -> View:
+def initial_view(members: list[Member], slots: int, holders: int) -> View:
     """The first view, led by the first of its members; raises ValueError with too few to hold the data."""
     me = members[0]
     if len(members) < holders:
--- a/consensus/codec.py
+++ b/consensus/codec.py
@@ -6,13 +6,13 @@
 from typing import Any
 
 from consensus.messages import DOCUMENT, VIEW
-from consensus.views import Document, Member, Memory, Taken, View
+from consensus.views import AcceptedVersion, Document, DurableState, Member, View
 from transport.wire import FrameReader, Kinds
 
 RECORDS = Kinds()
 
 
-def member_of(raw: Any) -> Member:
+def decode_member(raw: Any) -> Member:
     """A member; raises ValueError on a port that is none, which could not be written again."""
     member = raw if isinstance(raw, Member) else Member(**raw)
     if not 0 <= member.port < 65536:
@@ -20,11 +20,11 @@
     return member
 
 
-def view_of(raw: Any) -> View | None:
+def decode_view(raw: Any) -> View | None:
     """A view; raises ValueError on one that names slots which it does not have."""
     if raw is None or isinstance(raw, View):
         return raw
-    members = tuple(None if m is None else member_of(m) for m in raw["members"])
+    members = tuple(None if m is None else decode_member(m) for m in raw["members"])
     view = View(raw["epoch"], raw["primary"], tuple(raw["holders"]), members)
     for slot in (view.primary, *view.holders):
         if not 0 <= slot < len(members) or members[slot] is None:
@@ -32,18 +32,18 @@
     return view
 
 
-def document_of(raw: Any) -> Document | None:
+def decode_document(raw: Any) -> Document | None:
     """A document."""
     if raw is None or isinstance(raw, Document):
         return raw
-    taken = tuple(Taken(t["ver"], t["digest"]) for t in raw["taken"])
+    taken = tuple(AcceptedVersion(t["ver"], t["digest"]) for t in raw["taken"])
     return Document(raw["number"], raw["ver"], raw["body"], taken)
 
 
-_READERS = {"view": view_of, "document": document_of, "member": member_of}
+_READERS = {"view": decode_view, "document": decode_document, "member": decode_member}
 
 
-def revive(message: Any) -> Any:
+def decode_nested(message: Any) -> Any:
     """A message as it was before it was encoded."""
     found = {
         f.name: _READERS[f.name](getattr(message, f.name)) for f in fields(message) if f.name in _READERS
@@ -101,35 +101,37 @@
 Record = PromiseRecord | ViewRecord | WriteRecord | WholeRecord
 
 
-def write_record(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """The bytes for the disk."""
     return RECORDS.encode(record)
 
 
-def read_record(data: bytes) -> Record:
+def decode_record(data: bytes) -> Record:
     """A record; raises WireError."""
     frame = FrameReader().feed(data)[0]
-    found: Record = revive(RECORDS.decode(frame.number, frame.body))
+    found: Record = decode_nested(RECORDS.decode(frame.number, frame.body))
     return found
 
 
-def whole(memory: Memory) -> WholeRecord:
+def snapshot_record(durable_state: DurableState) -> WholeRecord:
     """All of a memory as one record."""
-    return WholeRecord(memory.identity, memory.promised, memory.view, memory.document)
+    return WholeRecord(
+        durable_state.identity, durable_state.promised, durable_state.view, durable_state.document
+    )
 
 
-def apply(memory: Memory, record: Record) -> None:
+def apply_record(durable_state: DurableState, record: Record) -> None:
     """Bring a memory to where it stands after a record."""
     match record:
         case PromiseRecord(promised):
-            memory.promised = max(memory.promised, promised)
+            durable_state.promised = max(durable_state.promised, promised)
         case ViewRecord(view, document):
-            memory.view, memory.promised = view, max(memory.promised, view.epoch)
-            memory.document = memory.document if document is None else document
+            durable_state.view, durable_state.promised = view, max(durable_state.promised, view.epoch)
+            durable_state.document = durable_state.document if document is None else document
         case WriteRecord(document):
-            memory.document = memory.document.with_change(document)
+            durable_state.document = durable_state.document.with_change(document)
         case WholeRecord(identity, promised, view, document):
-            memory.identity, memory.promised, memory.view, memory.document = (
+            durable_state.identity, durable_state.promised, durable_state.view, durable_state.document = (
                 identity,
                 promised,
                 view,
--- a/consensus/disk_queue.py
+++ b/consensus/disk_queue.py
@@ -15,30 +15,30 @@
 from typing import Any, TypeVar
 
 from config.errors import DiskError
-from consensus.slots import MOST_RECORD_BYTES, Loaded, Store
+from consensus.slots import MAX_RECORD_BYTES, Loaded, Store
 
-MOST_GROUP_BYTES = 1 << 20
-SHORT_S = 0.05  # without memory to answer it is tried again after this
+MAX_GROUP_BYTES = 1 << 20
+MEMORY_RETRY_S = 0.05  # without memory to answer it is tried again after this
 _T = TypeVar("_T")
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Load:
-    done: asyncio.Future[Loaded]
-    era: int
+    future: asyncio.Future[Loaded]
+    known_failures: int
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Append:
-    done: asyncio.Future[None]
-    era: int
+    future: asyncio.Future[None]
+    known_failures: int
     record: bytes
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Checkpoint:
-    done: asyncio.Future[None]
-    era: int
+    future: asyncio.Future[None]
+    known_failures: int
     state: bytes
 
 
@@ -60,13 +60,13 @@
         self._loop = asyncio.get_running_loop()
         self._commands: queue.SimpleQueue[_Load | _Append | _Checkpoint | _Stop] = queue.SimpleQueue()
         self._next: _Load | _Append | _Checkpoint | _Stop | None = None  # taken while a group was made
-        self._taken: list[_Load | _Append | _Checkpoint] = []  # off the queue, and not answered
-        self._failures = 0  # counted by the thread
-        self._era = 0  # the failures that the loop was told of
+        self._in_progress: list[_Load | _Append | _Checkpoint] = []  # off the queue, and not answered
+        self._failure_count = 0  # counted by the thread
+        self._known_failures = 0  # the failures that the loop was told of
         self._waiting = 0
         self._log_bytes = 0
         self._stopped = False
-        self._alone = False
+        self._is_loop_closed = False
         self._ended = asyncio.Event()
         # A hanging disk must not keep the process from ending: nothing waits for the thread at exit.
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
@@ -85,21 +85,21 @@
     def load(self) -> asyncio.Future[Loaded]:
         """What is kept, as `Store.load`; fails with DiskError."""
         done: asyncio.Future[Loaded] = self._loop.create_future()
-        self._give(_Load(done, self._era))
+        self._enqueue(_Load(done, self._known_failures))
         return done
 
     def append(self, record: bytes) -> asyncio.Future[None]:
         """Resolved once the record is synced; fails with DiskError. Raises ValueError for one too long."""
-        if len(record) > MOST_RECORD_BYTES:
+        if len(record) > MAX_RECORD_BYTES:
             raise ValueError(f"a record of {len(record)} bytes; make a checkpoint of what is so long")
         done: asyncio.Future[None] = self._loop.create_future()
-        self._give(_Append(done, self._era, record))
+        self._enqueue(_Append(done, self._known_failures, record))
         return done
 
     def checkpoint(self, state: bytes) -> asyncio.Future[None]:
         """Resolved once the state is what is kept, as `Store.checkpoint`; fails with DiskError."""
         done: asyncio.Future[None] = self._loop.create_future()
-        self._give(_Checkpoint(done, self._era, state))
+        self._enqueue(_Checkpoint(done, self._known_failures, state))
         return done
 
     async def close(self) -> None:
@@ -113,7 +113,7 @@
         await self._ended.wait()
         self._thread.join()
 
-    def _give(self, command: _Load | _Append | _Checkpoint) -> None:
+    def _enqueue(self, command: _Load | _Append | _Checkpoint) -> None:
         if self._stopped:
             raise DiskError("the queue to the disk is closed", "give no command after close")
         self._waiting += 1
@@ -122,39 +122,39 @@
     # --- in the thread
 
     def _run(self) -> None:
-        while not self._alone:
+        while not self._is_loop_closed:
             command, self._next = self._next or self._commands.get(), None
             if isinstance(command, _Stop):
-                self._tell(self._ended.set)
+                self._call_in_loop(self._ended.set)
                 return
-            self._taken = [command]
+            self._in_progress = [command]
             try:
-                self._carry_out(command)
+                self._execute(command)
             except Exception as error:  # there is no memory to do it, or to answer
-                self._fail_taken(error)
+                self._fail_in_progress(error)
 
-    def _carry_out(self, command: _Load | _Append | _Checkpoint) -> None:
+    def _execute(self, command: _Load | _Append | _Checkpoint) -> None:
         if isinstance(command, _Append):
-            self._append(self._group(command))
+            self._append(self._collect_group(command))
         elif isinstance(command, _Load):
             self._load(command)
         else:
             self._checkpoint(command)
 
-    def _fail_taken(self, error: Exception) -> None:
+    def _fail_in_progress(self, error: Exception) -> None:
         """Whoever waits hears of a failure, however long there is no memory to say so."""
         while True:
             try:
-                waiting: list[asyncio.Future[Any]] = [command.done for command in self._taken]
+                waiting: list[asyncio.Future[Any]] = [command.future for command in self._in_progress]
                 self._fail(waiting, error, failed_now=True)
                 return
             except MemoryError:
-                time.sleep(SHORT_S)
+                time.sleep(MEMORY_RETRY_S)
 
-    def _group(self, first: _Append) -> list[_Append]:
+    def _collect_group(self, first: _Append) -> list[_Append]:
         """An append and those that wait next behind it, up to a bound on their bytes."""
         group, size = [first], len(first.record)
-        while size < MOST_GROUP_BYTES:
+        while size < MAX_GROUP_BYTES:
             try:
                 command = self._commands.get_nowait()
             except queue.Empty:
@@ -163,18 +163,18 @@
                 self._next = command
                 break
             group.append(command)
-            self._taken.append(command)
+            self._in_progress.append(command)
             size += len(command.record)
         return group
 
     def _append(self, commands: Sequence[_Append]) -> None:
-        late = [command.done for command in commands if command.era != self._failures]
-        group = [command for command in commands if command.era == self._failures]
+        late = [command.future for command in commands if command.known_failures != self._failure_count]
+        group = [command for command in commands if command.known_failures == self._failure_count]
         if late:
-            self._fail(late, _overtaken())
+            self._fail(late, _earlier_failure())
         if not group:
             return
-        waiting = [command.done for command in group]
+        waiting = [command.future for command in group]
         try:
             self._store.append_all([command.record for command in group])
         except Exception as error:
@@ -183,32 +183,32 @@
             self._answer(waiting, lambda done: done.set_result(None))
 
     def _checkpoint(self, command: _Checkpoint) -> None:
-        if command.era != self._failures:
-            self._fail([command.done], _overtaken())
+        if command.known_failures != self._failure_count:
+            self._fail([command.future], _earlier_failure())
             return
         try:
             self._store.checkpoint(command.state)
         except Exception as error:
-            self._fail([command.done], error, failed_now=True)
+            self._fail([command.future], error, failed_now=True)
         else:
-            self._answer([command.done], lambda done: done.set_result(None))
+            self._answer([command.future], lambda done: done.set_result(None))
 
     def _load(self, command: _Load) -> None:
         try:
             loaded = self._store.load()
         except Exception as error:
-            self._fail([command.done], error, failed_now=True)
+            self._fail([command.future], error, failed_now=True)
         else:
-            self._answer([command.done], lambda done: done.set_result(loaded))
+            self._answer([command.future], lambda done: done.set_result(loaded))
 
     def _fail(
         self, waiting: Sequence[asyncio.Future[_T]], error: Exception, failed_now: bool = False
     ) -> None:
-        self._failures += failed_now
-        failures = self._failures
+        self._failure_count += failed_now
+        failures = self._failure_count
 
         def tell() -> None:
-            self._era = failures  # also where nobody waits any more
+            self._known_failures = failures  # also where nobody waits any more
 
         self._answer(waiting, lambda done: done.set_exception(error), tell)
 
@@ -230,14 +230,14 @@
                 if not done.done():  # else whoever waited was cancelled
                     resolve(done)
 
-        self._tell(in_loop)
+        self._call_in_loop(in_loop)
 
-    def _tell(self, call: Callable[[], object]) -> None:
+    def _call_in_loop(self, call: Callable[[], object]) -> None:
         try:
             self._loop.call_soon_threadsafe(call)
         except RuntimeError:  # the loop is closed: nobody waits any more, or gives anything
-            self._alone = True
+            self._is_loop_closed = True
 
 
-def _overtaken() -> DiskError:
+def _earlier_failure() -> DiskError:
     return DiskError("a command given before this one failed", "give it again, on top of what is kept")
--- a/consensus/effects.py
+++ b/consensus/effects.py
@@ -59,7 +59,7 @@
     """We are primary of this view from now on; None: no longer."""
 
     view: View | None
-    goes_on: bool = False  # we led the view that it came from, so nobody else has led since
+    is_continuation: bool = False  # we led the view that it came from, so nobody else has led since
 
 
 Effect = Send | Persist | Reply | Committed | Lead
@@ -71,13 +71,13 @@
 
     slots: int
     holders: int
-    beat_ms: float = 150.0
-    lost_ms: float = 600.0  # without a beat for so long the primary is taken for lost
-    stage_ms: float = 500.0  # each stage of a campaign
-    silent_ms: float = 450.0  # a holder that answers nothing for so long is replaced
-    write_ms: float = 350.0  # a write that is not synced everywhere by then ends the view
-    quorum_ms: float = 900.0  # a primary that hears no majority for so long stands down
-    dead_ms: float = 1_500.0  # a member silent for so long loses its slot to one that waits
-    join_ms: float = 250.0
-    found_ms: float = 2_500.0  # the founder waits so long for all to come
+    heartbeat_ms: float = 150.0
+    leader_timeout_ms: float = 600.0  # without a beat for so long the primary is taken for lost
+    stage_timeout_ms: float = 500.0  # each stage of a campaign
+    member_timeout_ms: float = 450.0  # a holder that answers nothing for so long is replaced
+    write_timeout_ms: float = 350.0  # a write that is not synced everywhere by then ends the view
+    quorum_timeout_ms: float = 900.0  # a primary that hears no majority for so long stands down
+    dead_after_ms: float = 1_500.0  # a member silent for so long loses its slot to one that waits
+    join_interval_ms: float = 250.0
+    bootstrap_timeout_ms: float = 2_500.0  # the founder waits so long for all to come
     spread: Spread = field(default_factory=Spread)
--- a/consensus/failure_detector.py
+++ b/consensus/failure_detector.py
@@ -11,10 +11,12 @@
 import heapq
 from collections import deque
 
-MARGIN = 1.1  # times the second longest silence of late: one alone may have been a machine that was stopped
-LONGEST_MS = 2_000.0  # no leader is waited for longer, however long silences were
-REMEMBERED_MS = 300_000.0
-SPAN_MS = 10_000.0  # of each such span the longest silence is kept
+TIMEOUT_MARGIN = (
+    1.1  # times the second longest silence of late: one alone may have been a machine that was stopped
+)
+MAX_TIMEOUT_MS = 2_000.0  # no leader is waited for longer, however long silences were
+RETENTION_MS = 300_000.0
+BUCKET_MS = 10_000.0  # of each such span the longest silence is kept
 
 
 class FailureDetector:
@@ -22,31 +24,33 @@
 
     def __init__(self, usual_ms: float, beat_ms: float) -> None:
         """`usual_ms`: the time that holds on a quiet machine; `beat_ms`: from one beat to the next."""
-        self._usual_ms, self._beat_ms = usual_ms, beat_ms
-        self._spans: deque[tuple[float, float]] = deque()  # when each began, and the longest silence in it
-        self._leader, self._beat_at = "", 0.0  # who beat last, and when
+        self._min_timeout_ms, self._heartbeat_ms = usual_ms, beat_ms
+        self._buckets: deque[tuple[float, float]] = deque()  # when each began, and the longest silence in it
+        self._leader, self._heartbeat_at = "", 0.0  # who beat last, and when
 
-    def beat(self, leader: str, now: float) -> None:
+    def on_heartbeat(self, leader: str, now: float) -> None:
         """A leader has beaten: `leader` names it and its term."""
         if leader == self._leader:
-            self._remember(now - self._beat_at, now)
-        self._leader, self._beat_at = leader, now
+            self._record_silence(now - self._heartbeat_at, now)
+        self._leader, self._heartbeat_at = leader, now
 
-    def stalled(self, stall_ms: float, now: float) -> None:
+    def on_stall(self, stall_ms: float, now: float) -> None:
         """This process stood still for so long: as leader it would have been silent for a beat more."""
-        self._remember(stall_ms + self._beat_ms, now)
+        self._record_silence(stall_ms + self._heartbeat_ms, now)
 
     def timeout_ms(self, now: float) -> float:
         """A leader that is silent for so long is taken for lost."""
-        while self._spans and now - self._spans[0][0] > REMEMBERED_MS:
-            self._spans.popleft()
-        longest = heapq.nlargest(2, (silence for _, silence in self._spans))
+        while self._buckets and now - self._buckets[0][0] > RETENTION_MS:
+            self._buckets.popleft()
+        longest = heapq.nlargest(2, (silence for _, silence in self._buckets))
         repeated = longest[1] if len(longest) > 1 else 0.0
-        return min(max(self._usual_ms, MARGIN * repeated), max(self._usual_ms, LONGEST_MS))
-
-    def _remember(self, silence_ms: float, now: float) -> None:
-        if self._spans and now - self._spans[-1][0] < SPAN_MS:
-            began, longest = self._spans[-1]
-            self._spans[-1] = (began, max(longest, silence_ms))
+        return min(
+            max(self._min_timeout_ms, TIMEOUT_MARGIN * repeated), max(self._min_timeout_ms, MAX_TIMEOUT_MS)
+        )
+
+    def _record_silence(self, silence_ms: float, now: float) -> None:
+        if self._buckets and now - self._buckets[-1][0] < BUCKET_MS:
+            began, longest = self._buckets[-1]
+            self._buckets[-1] = (began, max(longest, silence_ms))
         else:
-            self._spans.append((now, silence_ms))
+            self._buckets.append((now, silence_ms))
--- a/consensus/leaving.py
+++ b/consensus/leaving.py
@@ -13,28 +13,28 @@
 from consensus.messages import Leaving, Released
 from consensus.views import Member
 
-AGAIN_MS = 100.0  # a member that leaves says so again until it is released
+RESEND_MS = 100.0  # a member that leaves says so again until it is released
 SETTLE_MS = 50.0  # a leader that is told to stop waits so long for others that leave too
-HEARD_MS = 1_000.0  # one that has not said so for longer leaves no more: it has started again, or is gone
+EXPIRY_MS = 1_000.0  # one that has not said so for longer leaves no more: it has started again, or is gone
 
 
-class Leavers:
+class LeavingMembers:
     """The members that are told to stop, as far as this process has heard."""
 
     def __init__(self) -> None:
-        self._said_at: dict[str, float] = {}  # by identity
+        self._notified_at: dict[str, float] = {}  # by identity
 
     def add(self, identity: str, now: float) -> None:
         """A member says that it leaves, or has named us its successor."""
-        self._said_at[identity] = now
+        self._notified_at[identity] = now
 
     def expire(self, now: float) -> None:
         """Who has not said so for a while leaves no more."""
-        self._said_at = {i: at for i, at in self._said_at.items() if now - at < HEARD_MS}
+        self._notified_at = {i: at for i, at in self._notified_at.items() if now - at < EXPIRY_MS}
 
     def identities(self) -> frozenset[str]:
         """All of them."""
-        return frozenset(self._said_at)
+        return frozenset(self._notified_at)
 
 
 class Departure:
@@ -44,7 +44,7 @@
         self._identity, self._emit = identity, emit
         self.is_begun = False
         self.is_released = False
-        self._begun_at = self._told_at = -1e12
+        self._begun_at = self._sent_at = -1e12
 
     def begin(self, now: float) -> None:
         """The process is told to stop."""
@@ -54,13 +54,13 @@
         """Whether others that were told to stop in the same moment have been heard of."""
         return now - self._begun_at >= SETTLE_MS
 
-    def look(self, leader: Member | None, now: float) -> None:
+    def tick(self, leader: Member | None, now: float) -> None:
         """Tell the leader once more if it is time; called while we don't lead ourselves."""
-        due = self.is_begun and not self.is_released and now - self._told_at >= AGAIN_MS
+        due = self.is_begun and not self.is_released and now - self._sent_at >= RESEND_MS
         if due and leader is not None and leader.identity != self._identity:
-            self._told_at = now
+            self._sent_at = now
             self._emit(Send(leader.ip, Leaving(self._identity, leader.identity)))
 
-    def released(self, message: Released) -> None:
+    def on_released(self, message: Released) -> None:
         """The leader says that nothing rests on us any more."""
         self.is_released = self.is_released or (self.is_begun and message.to == self._identity)
--- a/consensus/membership.py
+++ b/consensus/membership.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class NoChange:
     """The same members."""
 
     def voters(self, base: View) -> list[int]:
@@ -34,13 +34,13 @@
         """The slot in the next view of whoever has this one in the base and stays."""
         return slot
 
-    def joins(self, base: View) -> Member | None:
+    def added_member(self, base: View) -> Member | None:
         """The newcomer that accepts the next view before it is in force, if there is one."""
         return None
 
 
 @dataclass(frozen=True, slots=True)
-class Replace(Keep):
+class Replace(NoChange):
     """A newcomer takes a slot that nobody has any more."""
 
     slot: int
@@ -48,7 +48,7 @@
 
     def voters(self, base: View) -> list[int]:
         """As the base, without the slot: neither its old nor its new occupant has a say."""
-        return [slot for slot in Keep.voters(self, base) if slot != self.slot]
+        return [slot for slot in NoChange.voters(self, base) if slot != self.slot]
 
     def members(self, base: View) -> tuple[Member | None, ...]:
         """As the base, with the newcomer in the slot."""
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Add(Keep):
+class Add(NoChange):
     """A newcomer becomes one member more."""
 
     newcomer: Member
@@ -65,13 +65,13 @@
         """As the base, and the newcomer behind."""
         return (*base.members, self.newcomer)
 
-    def joins(self, base: View) -> Member | None:
+    def added_member(self, base: View) -> Member | None:
         """The newcomer: it counts among those who accept."""
         return self.newcomer
 
 
 @dataclass(frozen=True, slots=True)
-class Remove(Keep):
+class Remove(NoChange):
     """One member of a view that has one more goes; the last one takes its slot."""
 
     slot: int
@@ -79,7 +79,7 @@
 
     def voters(self, base: View) -> list[int]:
         """As the base, without the slot."""
-        return [slot for slot in Keep.voters(self, base) if slot != self.slot]
+        return [slot for slot in NoChange.voters(self, base) if slot != self.slot]
 
     def members(self, base: View) -> tuple[Member | None, ...]:
         """As the base, with the last member in the slot."""
@@ -92,4 +92,4 @@
         return self.slot if slot == self.size - 1 else slot
 
 
-Change = Keep | Replace | Add | Remove
+Change = NoChange | Replace | Add | Remove
--- a/consensus/patience.py
+++ b/consensus/patience.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-MOST = 8.0
-EASE_MS = 5_000.0  # after so long without a wait in vain half of the patience goes
+MAX_FACTOR = 8.0
+DECAY_MS = 5_000.0  # after so long without a wait in vain half of the patience goes
 
 
-class Patience:
+class TimeoutBackoff:
     """A factor of 1 to 8 for the times that syncs have a part in; milliseconds of the steady clock."""
 
     def __init__(self) -> None:
@@ -15,15 +15,15 @@
 
     def factor(self, now: float) -> float:
         """How many times as long as usual to wait."""
-        while self._factor > 1.0 and now - self._changed_at > EASE_MS:
-            self._factor, self._changed_at = self._factor / 2, self._changed_at + EASE_MS
+        while self._factor > 1.0 and now - self._changed_at > DECAY_MS:
+            self._factor, self._changed_at = self._factor / 2, self._changed_at + DECAY_MS
         return self._factor
 
-    def keep(self, now: float) -> None:
+    def hold(self, now: float) -> None:
         """A wait was long, and not in vain: what we have of patience is needed."""
         self.factor(now)
         self._changed_at = now
 
-    def lose(self, now: float) -> None:
+    def increase(self, now: float) -> None:
         """A wait was in vain."""
-        self._factor, self._changed_at = min(MOST, self.factor(now) * 2), now
+        self._factor, self._changed_at = min(MAX_FACTOR, self.factor(now) * 2), now
--- a/consensus/slots.py
+++ b/consensus/slots.py
@@ -43,14 +43,14 @@
 from config.errors import DiskError
 from consensus.files import Files
 
-_MARK = b"bgs1"
+_MAGIC = b"bgs1"
 _SLOT = struct.Struct("<4sQQ")  # mark, generation, length of the state
 _FRAME = struct.Struct("<IQQ")  # length of the record, generation, sequence number
 _SUM = struct.Struct("<I")
 _SLOT_HEAD = _SLOT.size + _SUM.size
 _FRAME_HEAD = _FRAME.size + _SUM.size
-_CHAIN = zlib.crc32(_MARK)
-MOST_RECORD_BYTES = 16 * 2**20
+_CHAIN = zlib.crc32(_MAGIC)
+MAX_RECORD_BYTES = 16 * 2**20
 _T = TypeVar("_T")
 
 
@@ -68,7 +68,7 @@
     synced: bool
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether the disk holds nothing that was ever acknowledged: it is new or was wiped."""
         return self.state is None and not self.records
 
@@ -105,7 +105,7 @@
         self._folder, self._files = folder, files
         self._slots = (folder / f"{prefix}slot.0", folder / f"{prefix}slot.1")
         self._logs = (folder / f"{prefix}log.0", folder / f"{prefix}log.1")
-        self._known: set[Path] = set()  # files whose names the folder's last sync covered
+        self._linked: set[Path] = set()  # files whose names the folder's last sync covered
         self._loaded = False
         self._synced = False  # whether what was loaded is known to be on disk
         self._generation = 0
@@ -133,11 +133,11 @@
     def load(self) -> Loaded:
         """What is kept; raises DiskError where the folder can't be read, or holds a state that is damaged."""
         self._loaded = False
-        names = self._reading(partial(self._files.names, self._folder), self._folder)
+        names = self._guard_read(partial(self._files.names, self._folder), self._folder)
         slots = [_read_slot(at, self._read(path, names)) for at, path in enumerate(self._slots)]
         logs = [_read_log(at, self._read(path, names)) for at, path in enumerate(self._logs)]
         newest = max(slots, key=lambda slot: slot.generation)
-        self._check_whole(newest, slots, logs)
+        self._check_intact(newest, slots, logs)
         generation = newest.generation
         log = logs[generation % 2]
         if log.generation != generation:
@@ -146,7 +146,7 @@
         self._sequence, self._chain, self._end = len(log.records) + (log.end > 0), log.chain, log.end
         self._log_is_clean = log.size == log.end
         self._failed_checkpoint = any(slot.present and slot.state is None for slot in slots)
-        self._known.clear()
+        self._linked.clear()
         self._loaded, self._synced = True, False
         try:
             self.sync()
@@ -154,7 +154,7 @@
             return Loaded(generation, newest.state, log.records, False)
         return Loaded(generation, newest.state, log.records, True)
 
-    def _check_whole(self, newest: _Slot, slots: Sequence[_Slot], logs: Sequence[_Log]) -> None:
+    def _check_intact(self, newest: _Slot, slots: Sequence[_Slot], logs: Sequence[_Log]) -> None:
         completed = max(log.generation or 0 for log in logs)
         if completed <= newest.generation and (newest.state is not None or not slots[0].present):
             return
@@ -167,13 +167,13 @@
     def _read(self, path: Path, names: Sequence[str]) -> bytes:
         if path.name not in names:
             return b""
-        return self._reading(partial(self._files.read, path), path)
+        return self._guard_read(partial(self._files.read, path), path)
 
-    def _reading(self, call: Callable[[], _T], path: Path) -> _T:
+    def _guard_read(self, call: Callable[[], _T], path: Path) -> _T:
         try:
             return call()
         except OSError as error:
-            raise _refused(error, "read", path) from error
+            raise _disk_error(error, "read", path) from error
 
     # --- writing
 
@@ -206,9 +206,9 @@
         generation = self._generation + 1
         slot, log = self._slots[generation % 2], self._logs[generation % 2]
         self._failed_checkpoint = True
-        self._writing(partial(self._write_slot, slot, generation, state), slot)
+        self._guard_write(partial(self._write_slot, slot, generation, state), slot)
         frame, chain = _frame(b"", generation, 0, _CHAIN)
-        self._writing(partial(self._write_log, log, 0, frame, cut=True), log)
+        self._guard_write(partial(self._write_log, log, 0, frame, cut=True), log)
         self._failed_checkpoint, self._log_is_clean = False, True
         self._generation = generation
         self._sequence, self._chain, self._end = 1, chain, len(frame)
@@ -224,7 +224,7 @@
             self._sync_loaded()
             self._synced = True
         if self._failed_checkpoint:
-            self._take_back_checkpoint()
+            self._undo_checkpoint()
             self._failed_checkpoint = False
         if self._generation > 0 and self._sequence == 0:
             frame, chain = _frame(b"", self._generation, 0, _CHAIN)
@@ -233,25 +233,25 @@
 
     def _sync_loaded(self) -> None:
         """Makes last what an earlier process may have written or cut off without a sync, in whatever file."""
-        names = self._reading(partial(self._files.names, self._folder), self._folder)
+        names = self._guard_read(partial(self._files.names, self._folder), self._folder)
         present = [path for path in self._slots + self._logs if path.name in names]
         for path in present:
-            self._writing(partial(self._files.sync, path), path)
-        self._writing(partial(self._files.sync_folder, self._folder), self._folder)
-        self._known.update(present)
+            self._guard_write(partial(self._files.sync, path), path)
+        self._guard_write(partial(self._files.sync_folder, self._folder), self._folder)
+        self._linked.update(present)
 
-    def _take_back_checkpoint(self) -> None:
+    def _undo_checkpoint(self) -> None:
         """Empties the next generation's log, then its slot: the log must not outlive what it vouches for."""
         at = (self._generation + 1) % 2
         for path in (self._logs[at], self._slots[at]):
-            self._writing(partial(self._empty, path), path)
+            self._guard_write(partial(self._empty, path), path)
 
     def _empty(self, path: Path) -> None:
         self._files.truncate(path, 0)
         self._sync_file(path)
 
     def _write_slot(self, path: Path, generation: int, state: bytes) -> None:
-        head = _SLOT.pack(_MARK, generation, len(state))
+        head = _SLOT.pack(_MAGIC, generation, len(state))
         self._files.write(path, 0, head + _SUM.pack(zlib.crc32(state, zlib.crc32(head))))
         if state:
             self._files.write(path, _SLOT_HEAD, state)
@@ -261,7 +261,7 @@
         """Writes behind the kept frames of the log; what a failed write left there is cut off first."""
         path, cut = self._logs[self._generation % 2], not self._log_is_clean
         self._log_is_clean = False
-        self._writing(partial(self._write_log, path, self._end, frames, cut=cut), path)
+        self._guard_write(partial(self._write_log, path, self._end, frames, cut=cut), path)
         self._log_is_clean = True
         self._end += len(frames)
 
@@ -274,20 +274,20 @@
     def _sync_file(self, path: Path) -> None:
         """Syncs a file, and its folder if its name is new."""
         self._files.sync(path)
-        if path not in self._known:
+        if path not in self._linked:
             self._files.sync_folder(self._folder)
-            self._known.add(path)
+            self._linked.add(path)
 
-    def _writing(self, call: Callable[[], None], path: Path) -> None:
+    def _guard_write(self, call: Callable[[], None], path: Path) -> None:
         try:
             call()
         except OSError as error:
-            raise _refused(error, "write", path) from error
+            raise _disk_error(error, "write", path) from error
 
 
 def _frame(record: bytes, generation: int, sequence: int, chain: int) -> tuple[bytes, int]:
     """A record as it stands in the log, and the checksum that the next one goes on from."""
-    if len(record) > MOST_RECORD_BYTES:
+    if len(record) > MAX_RECORD_BYTES:
         raise ValueError(f"a record of {len(record)} bytes; make a checkpoint of what is so long")
     head = _FRAME.pack(len(record), generation, sequence)
     chain = zlib.crc32(record, zlib.crc32(head, chain))
@@ -299,7 +299,7 @@
     if len(data) >= _SLOT_HEAD:
         mark, generation, length = _SLOT.unpack_from(data)
         (checksum,) = _SUM.unpack_from(data, _SLOT.size)
-        if mark == _MARK and generation > 0 and generation % 2 == at and length <= len(data) - _SLOT_HEAD:
+        if mark == _MAGIC and generation > 0 and generation % 2 == at and length <= len(data) - _SLOT_HEAD:
             state = data[_SLOT_HEAD : _SLOT_HEAD + length]
             if zlib.crc32(state, zlib.crc32(data[: _SLOT.size])) == checksum:
                 return _Slot(True, generation, state)
@@ -329,7 +329,7 @@
     return _Log(kept, tuple(records), end, chain, len(data))
 
 
-def _refused(error: OSError, what: str, path: Path) -> DiskError:
+def _disk_error(error: OSError, what: str, path: Path) -> DiskError:
     """A failed call as an error whose message names the remedy."""
     remedy = {
         errno.ENOSPC: "free space on the disk; the next call tries again",
--- a/consensus/spread.py
+++ b/consensus/spread.py
@@ -34,7 +34,7 @@
         chosen = [first]
         while waiting and len(chosen) < count:
             taken = list(chosen)
-            nearest = min(waiting, key=lambda member: self._crowding(member, taken))
+            nearest = min(waiting, key=lambda member: self._shared_domains(member, taken))
             waiting.remove(nearest)
             chosen.append(nearest)
         return [first, *sorted(chosen[1:], key=lambda member: order[member.identity])]
@@ -42,7 +42,7 @@
     def _region(self, member: Member) -> str:
         return self.region_of.get(member.zone, "")
 
-    def _crowding(self, member: Member, chosen: Sequence[Member]) -> tuple[int, int]:
+    def _shared_domains(self, member: Member, chosen: Sequence[Member]) -> tuple[int, int]:
         """How many of those chosen share the region and the zone of a member."""
         in_region = sum(self._region(other) == self._region(member) for other in chosen)
         in_zone = sum(other.zone == member.zone for other in chosen)
--- a/consensus/terms.py
+++ b/consensus/terms.py
@@ -10,11 +10,11 @@
 from consensus.primary import Command, Primary
 from consensus.views import Member
 
-REPEAT_MS = 100.0  # a successor that nobody has heard of by then is named again
-TIMES_NAMED = 2  # each of the first two heirs
+RESEND_MS = 100.0  # a successor that nobody has heard of by then is named again
+ATTEMPTS_PER_SUCCESSOR = 2  # each of the first two heirs
 
 
-class LastTerm:
+class PreviousTerm:
     """Our last term: its epoch, who was silent in it, and the commands that have no answer yet."""
 
     def __init__(self, emit: Callable[[Effect], None]) -> None:
@@ -26,25 +26,25 @@
     def end(self, primary: Primary) -> None:
         """A term has ended; what has no answer may have been taken or not."""
         self._epoch, self._heard_at = primary.view.epoch, dict(primary.heard_at)
-        self._commands += primary.pending()
+        self._commands += primary.pending_commands()
 
     def is_base_of(self, campaign: Campaign) -> bool:
         """Whether the view that was won follows ours at once: then nobody has led between the two."""
         return campaign.base.epoch == self._epoch
 
-    def hand_on(self, campaign: Campaign, primary: Primary) -> list[Command]:
+    def transfer_to(self, campaign: Campaign, primary: Primary) -> list[Command]:
         """Whoever has not spoken in the campaign is silent since before; and the commands to go on with."""
         since = self._heard_at if self.is_base_of(campaign) else {}
-        heard = {campaign.base.at(slot).identity for slot in campaign.promised}
-        heard |= {primary.view.at(slot).identity for slot in campaign.installed}
+        heard = {campaign.base.member_at(slot).identity for slot in campaign.promised_slots}
+        heard |= {primary.view.member_at(slot).identity for slot in campaign.installed_slots}
         for slot, member in enumerate(primary.view.members):
             before = campaign.base.slot_of(member.identity) if member is not None else None
             if before is not None and member is not None and member.identity not in heard:
-                primary.heard_at[slot] = min(since.get(before, primary.heard_at[slot]), campaign.began)
+                primary.heard_at[slot] = min(since.get(before, primary.heard_at[slot]), campaign.started_at)
         commands, self._commands = self._commands, []
         return commands
 
-    def let_go(self) -> None:
+    def reject_commands(self) -> None:
         """What has waited for our next term is answered elsewhere."""
         for command in self._commands:
             self._emit(Reply(command.token, Verdict.MOVED))
@@ -57,24 +57,24 @@
     def __init__(self, emit: Callable[[Effect], None]) -> None:
         self._emit = emit
         self._identity, self._epoch = "", 0  # ours, and that of the term that has ended
-        self._heirs: list[Member] = []  # to be named, the next one first
-        self._at = 0.0
+        self._successors: list[Member] = []  # to be named, the next one first
+        self._sent_at = 0.0
 
-    def name(self, primary: Primary, now: float, leaving: frozenset[str]) -> None:
+    def start(self, primary: Primary, now: float, leaving: frozenset[str]) -> None:
         """The term ends: the best heir, if there is one, is to take over; without a sign of it the next."""
-        heirs = [heir for heir in primary.heirs(now, leaving) for _ in range(TIMES_NAMED)]
-        self._heirs = heirs[: 2 * TIMES_NAMED]
-        self._identity, self._epoch = primary.memory.identity, primary.view.epoch
-        self._name(now)
+        heirs = [heir for heir in primary.successors(now, leaving) for _ in range(ATTEMPTS_PER_SUCCESSOR)]
+        self._successors = heirs[: 2 * ATTEMPTS_PER_SUCCESSOR]
+        self._identity, self._epoch = primary.durable_state.identity, primary.view.epoch
+        self._send_next(now)
 
-    def look(self, promised: int, now: float) -> None:
+    def tick(self, promised: int, now: float) -> None:
         """Name one again if it is time and nobody has asked for our promise since."""
         if promised > self._epoch:
-            self._heirs.clear()
-        if now - self._at >= REPEAT_MS:
-            self._name(now)
+            self._successors.clear()
+        if now - self._sent_at >= RESEND_MS:
+            self._send_next(now)
 
-    def _name(self, now: float) -> None:
-        if self._heirs:
-            heir, self._at = self._heirs.pop(0), now
+    def _send_next(self, now: float) -> None:
+        if self._successors:
+            heir, self._sent_at = self._successors.pop(0), now
             self._emit(Send(heir.ip, Succeed(self._identity, heir.identity, self._epoch)))
--- a/consensus/views.py
+++ b/consensus/views.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from operator import attrgetter
 
-MOST_REMEMBERED = 4_096  # changes in the history: about a day at 4,500 a day, in some 300 kB
+MAX_HISTORY = 4_096  # changes in the history: about a day at 4,500 a day, in some 300 kB
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,36 +43,36 @@
                 return slot
         return None
 
-    def at(self, slot: int) -> Member:
+    def member_at(self, slot: int) -> Member:
         """The member at a slot that is taken."""
         member = self.members[slot]
         if member is None:
             raise ValueError(f"slot {slot} is empty")
         return member
 
-    def added(self) -> Member | None:
+    def extra_member(self) -> Member | None:
         """The member that a view with one more than an odd number has beside them, until one is removed."""
         return self.members[-1] if len(self.members) % 2 == 0 else None
 
     def leader(self) -> Member:
         """The primary."""
-        return self.at(self.primary)
+        return self.member_at(self.primary)
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class AcceptedVersion:
     """A version that was taken once, and the digest of what was sent under its number."""
 
     ver: int
     digest: str
 
 
-class Past(enum.Enum):
+class ChangeStatus(enum.Enum):
     """Whether a change was ever taken, as far as the history tells."""
 
-    TAKEN = "taken"
-    NEVER = "never"
-    FORGOTTEN = "forgotten"  # its version is older than all that the history holds
+    ACCEPTED = "taken"
+    NOT_ACCEPTED = "never"
+    UNKNOWN = "forgotten"  # its version is older than all that the history holds
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,33 +86,33 @@
     number: int = 0  # of the write that made it, counted from 1
     ver: int = 0
     body: bytes = b""
-    taken: tuple[Taken, ...] = ()  # the oldest first
+    taken: tuple[AcceptedVersion, ...] = ()  # the oldest first
 
-    def past(self, ver: int, digest: str) -> Past:
+    def change_status(self, ver: int, digest: str) -> ChangeStatus:
         """Whether this very configuration was taken once.
 
         What is not in the history was never taken, unless the history is cut and the version is older than
         its oldest: then nobody can tell, and the caller gets neither an acknowledgement nor a refusal.
         """
         if ver > self.ver:
-            return Past.NEVER
+            return ChangeStatus.NOT_ACCEPTED
         is_cut = self.number > len(self.taken)
         if is_cut and (not self.taken or ver < self.taken[0].ver):
-            return Past.FORGOTTEN
+            return ChangeStatus.UNKNOWN
         place = bisect_left(self.taken, ver, key=attrgetter("ver"))
-        is_there = place < len(self.taken) and self.taken[place] == Taken(ver, digest)
-        return Past.TAKEN if is_there else Past.NEVER
+        is_there = place < len(self.taken) and self.taken[place] == AcceptedVersion(ver, digest)
+        return ChangeStatus.ACCEPTED if is_there else ChangeStatus.NOT_ACCEPTED
 
     def after(self, ver: int, body: bytes, digest: str) -> Document:
         """The document that the next write makes."""
-        taken = (*self.taken, Taken(ver, digest))[-MOST_REMEMBERED:]
+        taken = (*self.taken, AcceptedVersion(ver, digest))[-MAX_HISTORY:]
         return Document(self.number + 1, ver, body, taken)
 
     def latest_change(self) -> Document:
         """The last write alone, as it is sent and logged: without the history before it."""
         return Document(self.number, self.ver, self.body, self.taken[-1:])
 
-    def takes(self, change: Document) -> bool:
+    def accepts(self, change: Document) -> bool:
         """Whether a write is the next one, or the last one once more."""
         if change.number == self.number:
             return self.latest_change() == change.latest_change()
@@ -123,7 +123,7 @@
 
         Earlier releases send and log the whole document with each write; its last change is all that counts.
         """
-        if not self.takes(change):
+        if not self.accepts(change):
             raise ValueError(f"write {change.number} does not follow write {self.number}")
         if change.number == self.number:
             return self
@@ -131,7 +131,7 @@
 
 
 @dataclass(slots=True)
-class Memory:
+class DurableState:
     """What a control process must not forget; every change of it is synced before anybody hears of it."""
 
     identity: str
--- a/control/node.py
+++ b/control/node.py
@@ -14,9 +14,9 @@
 from config.settings import Settings, parse_address
 from consensus import messages
 from consensus.awake_clock import AwakeClock
-from consensus.codec import revive
+from consensus.codec import decode_nested
 from consensus.effects import Committed, Effect, Lead, Persist, Reply, Send, Spec, Verdict
-from consensus.keeper import FOUNDER, Keeper
+from consensus.keeper import FOUNDER_PREFIX, StateStore
 from consensus.primary import Command, Get
 from consensus.replica import Replica
 from consensus.spread import Spread
@@ -58,7 +58,7 @@
         self.reader = ConfigurationReader()
         self._loop = asyncio.get_running_loop()
         assert settings.data_dir is not None
-        self._keeper = Keeper(settings.data_dir, self._disk)
+        self._keeper = StateStore(settings.data_dir, self._disk)
         self._replica: Replica | None = None
         self._clock = AwakeClock(self._stalled)
         own = Endpoint(settings.ip, settings.control_port)
@@ -78,11 +78,13 @@
         settings = self.settings
         ctl = settings.listen.ctl or ""
         is_first = settings.bootstrap and bool(settings.seed_addrs) and min(settings.seed_addrs) == ctl
-        memory = await self._keeper.load(is_first)
-        me = Member(memory.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone)
-        founder = memory.identity.startswith(FOUNDER)
+        durable_state = await self._keeper.load(is_first)
+        me = Member(
+            durable_state.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone
+        )
+        founder = durable_state.identity.startswith(FOUNDER_PREFIX)
         self._replica = Replica(
-            me, memory, spec_of(settings), settings.seed_ips, founder, secrets.randbits(32)
+            me, durable_state, spec_of(settings), settings.seed_ips, founder, secrets.randbits(32)
         )
         self._replica.start(self.now())
         await self._links.start()
@@ -117,14 +119,18 @@
 
     def _is_followed(self, replica: Replica) -> bool:
         leader = replica.leader()
-        return leader is not None and leader.identity != replica.me.identity and replica.is_led(self.now())
+        return (
+            leader is not None
+            and leader.identity != replica.me.identity
+            and replica.has_live_leader(self.now())
+        )
 
     def reconfigure(self, settings: Settings) -> None:
         """The settings file has changed."""
         self.settings = settings
         self._publisher.reconfigure(settings)
         if self._replica is not None:
-            self._replica.follow_seeds(settings.seed_ips)
+            self._replica.set_seeds(settings.seed_ips)
 
     # ---- what operators' calls need
 
@@ -137,10 +143,10 @@
         replica = self._replica
         if replica is None:
             return None
-        leader = replica.heard_leader(self.now())
+        leader = replica.live_leader(self.now())
         return None if leader is None or leader.identity == replica.me.identity else leader
 
-    def parts(self) -> tuple[Replica | None, Publisher, Keeper]:
+    def parts(self) -> tuple[Replica | None, Publisher, StateStore]:
         """What a report of this process is read off."""
         return self._replica, self._publisher, self._keeper
 
@@ -179,7 +185,7 @@
         """Somebody believes no leader of this epoch or an earlier one."""
         if self._replica is not None:
             logger.warning("event=epoch_outrun heard={}", epoch)
-            self._replica.outrun(epoch)
+            self._replica.skip_epochs_to(epoch)
 
     # ---- the machine
 
@@ -190,12 +196,12 @@
     def _stalled(self, stall_ms: float, now: float) -> None:
         logger.info("event=stalled ms={:.0f}", stall_ms)
         if self._replica is not None:
-            self._replica.stalled(stall_ms, now)
+            self._replica.on_stall(stall_ms, now)
 
     def _tick(self) -> None:
         self._ticker = self._loop.call_later(TICK_S, self._tick)
         assert self._replica is not None
-        self._keeper.look()
+        self._keeper.check_health()
         self._replica.tick(self.now())
         self._carry_out()
         self.tallies.tick(self._other_members(self._replica))
@@ -203,7 +209,7 @@
 
     def _disk(self, well: bool) -> None:
         if self._replica is not None:
-            self._replica.disk(well)
+            self._replica.on_disk_health(well)
             self._carry_out()
 
     def _heard(self, link: Link, message: Any) -> None:
@@ -217,7 +223,7 @@
             self._publisher.heard(link, message)
             return
         try:
-            revived = revive(message)
+            revived = decode_nested(message)
             if isinstance(revived, messages.Install) and revived.view is None:
                 raise ValueError("there is no view to install")
         except (ValueError, KeyError, TypeError) as error:
@@ -225,7 +231,7 @@
             link.close()
             return
         self._links.identify(link, self._control_at(link.peer))
-        self._replica.hear(link.peer, revived, self.now())
+        self._replica.on_message(link.peer, revived, self.now())
         self._carry_out()
 
     def _control_at(self, ip: str) -> Endpoint:
@@ -237,7 +243,7 @@
 
     def _other_members(self, replica: Replica) -> tuple[str, ...] | None:
         """The IPs of the other members of the latest view that was heard of; None without one."""
-        view = replica.acceptor.latest
+        view = replica.acceptor.latest_view
         if view is None:
             return None
         return tuple(m.ip for m in view.members if m is not None and m.ip != replica.me.ip)
@@ -252,11 +258,11 @@
             return
         self._running = True
         try:
-            while (effects := replica.take()) or self._local:
+            while (effects := replica.take_effects()) or self._local:
                 for effect in effects:
                     self._do_in_turn(replica, effect)
                 while self._local:
-                    replica.hear(replica.me.ip, self._local.popleft(), self.now())
+                    replica.on_message(replica.me.ip, self._local.popleft(), self.now())
         finally:
             self._running = False
 
@@ -278,7 +284,7 @@
                 else:
                     self._send(ip, message)
             case Persist(record, then):
-                self._keeper.keep(record, lambda: self._synced(then))
+                self._keeper.append(record, lambda: self._synced(then))
             case Reply():
                 future = self._owed.get(effect.token)
                 if future is not None and not future.done():
--- a/control/operators.py
+++ b/control/operators.py
@@ -12,7 +12,7 @@
 from consensus.effects import Reply as Outcome
 from consensus.effects import Verdict
 from consensus.primary import Command, Get, Put
-from consensus.views import Document, Member, Past
+from consensus.views import ChangeStatus, Document, Member
 from transport.calls import Call, Calls, Reply, say
 
 CALLS = Calls()
@@ -88,7 +88,7 @@
         return found
     document = found.document or Document()
     if base != document.ver:
-        past = document.past(patch.ver, patch.digest)
+        past = document.change_status(patch.ver, patch.digest)
         return _told(Outcome(found.token, _VERDICTS[past], document), patch.ver)
     try:
         result = apply_patch(document.body, patch, control.reader)
@@ -98,7 +98,11 @@
     return _told(await _decide(control, put), patch.ver)
 
 
-_VERDICTS = {Past.TAKEN: Verdict.DONE, Past.NEVER: Verdict.STALE, Past.FORGOTTEN: Verdict.UNSURE}
+_VERDICTS = {
+    ChangeStatus.ACCEPTED: Verdict.DONE,
+    ChangeStatus.NOT_ACCEPTED: Verdict.STALE,
+    ChangeStatus.UNKNOWN: Verdict.UNSURE,
+}
 
 
 def _base(call: Call) -> int:
--- a/control/tally_keeper.py
+++ b/control/tally_keeper.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from tallies.effects import Counted, Effect, Keep, KeepAll, Tell
+from tallies.effects import Acknowledge, Effect, PersistAdds, PersistState, Send
 from tallies.journal import Journal
 from tallies.messages import Message
 from tallies.replica import TallyReplica
@@ -41,14 +41,14 @@
         if not self._is_loaded:
             return
         if others is not None:
-            self.replica.follow(others)
+            self.replica.set_peers(others)
         self.replica.tick(_wall_ms(), self._now())
         self._carry_out()
 
     def heard(self, ip: str, message: Message) -> None:
         """A message of another control process."""
         if self._is_loaded:
-            self.replica.heard(ip, message, self._now())
+            self.replica.on_message(ip, message, self._now())
             self._carry_out()
 
     # ---- callers
@@ -59,7 +59,7 @@
 
     def takes_adds(self) -> bool:
         """Whether the disk can be counted on for one more."""
-        return self._journal.is_well()
+        return self._journal.is_healthy()
 
     def total(self, tally: str) -> int:
         """The sum of a tally as far as it is known here."""
@@ -80,7 +80,7 @@
     # ---- effects
 
     def _synced(self, record: int) -> None:
-        self.replica.synced(record, self._now())
+        self.replica.on_synced(record, self._now())
         self._carry_out()
 
     def _carry_out(self) -> None:
@@ -88,7 +88,7 @@
             return
         self._is_running = True
         try:
-            while effects := self.replica.take():
+            while effects := self.replica.take_effects():
                 for effect in effects:
                     self._do(effect)
         finally:
@@ -96,13 +96,13 @@
 
     def _do(self, effect: Effect) -> None:
         match effect:
-            case Tell(ip, message):
+            case Send(ip, message):
                 self._send(ip, message)
-            case Keep(number, adds):
-                self._journal.keep(number, adds)
-            case KeepAll():
-                self._journal.keep_all()
-            case Counted(token):
+            case PersistAdds(number, adds):
+                self._journal.append(number, adds)
+            case PersistState():
+                self._journal.write_state()
+            case Acknowledge(token):
                 done = self._callers.get(token)
                 if done is not None and not done.done():
                     done.set_result(None)
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -87,8 +87,8 @@
 def taken_once(context: Any, ver: int) -> None:
     """The holders have written it once, however often it came."""
     world: World = context.stories.world
-    memory = world.node(world.primary())._keeper.memory
-    assert [t.ver for t in memory.document.taken].count(ver) == 1
+    durable_state = world.node(world.primary())._keeper.durable_state
+    assert [t.ver for t in durable_state.document.taken].count(ver) == 1
     assert context.ended.tries > 1
 
 
--- a/mastturn/capacity/days.py
+++ b/mastturn/capacity/days.py
@@ -42,7 +42,7 @@
         replica = machine.role._replica
         if machine.role.leads():
             return "primary"
-        view = replica.acceptor.latest
+        view = replica.acceptor.latest_view
         slot = view.slot_of(replica.me.identity) if view is not None else None
         if slot is None:
             return "newcomer"
--- a/mastturn/capacity/troubles.py
+++ b/mastturn/capacity/troubles.py
@@ -20,7 +20,7 @@
 
 def _epoch(fleet: Fleet) -> int:
     """The newest that any control process has heard of: more with each election and each new member."""
-    views = [m.role._replica.acceptor.latest for m in fleet.cores.values() if m.role is not None]
+    views = [m.role._replica.acceptor.latest_view for m in fleet.cores.values() if m.role is not None]
     return max(int(view.epoch) for view in views if view is not None)
 
 
--- a/mastturn/control_check/defects.py
+++ b/mastturn/control_check/defects.py
@@ -11,7 +11,7 @@
 from consensus.messages import Install, Message, Promised, Written
 from consensus.primary import Command, Primary, Put
 from consensus.replica import Replica
-from consensus.views import Member, Memory, Past, View
+from consensus.views import ChangeStatus, DurableState, Member, View
 
 LEASE_MS = 400.0
 FEW = 1  # changes that a forgetful process remembers
@@ -37,12 +37,12 @@
 class _OpenAcceptor(Acceptor):
     """Votes with nothing in hand."""
 
-    def votes(self) -> bool:
+    def can_vote(self) -> bool:
         """Always."""
-        return not self.sick
+        return not self.is_disk_failed
 
-    def _install(self, ip: str, message: Install, now: float) -> None:
-        super()._install(ip, replace(message, active=True), now)
+    def _on_install(self, ip: str, message: Install, now: float) -> None:
+        super()._on_install(ip, replace(message, active=True), now)
 
 
 class _Replaced(Replica):
@@ -52,13 +52,19 @@
     primary_kind: type[Primary] = Primary
 
     def __init__(
-        self, me: Member, memory: Memory, spec: Spec, seeds: tuple[str, ...], founder: bool, seed: int
+        self,
+        me: Member,
+        durable_state: DurableState,
+        spec: Spec,
+        seeds: tuple[str, ...],
+        founder: bool,
+        seed: int,
     ) -> None:
-        super().__init__(me, memory, spec, seeds, founder, seed)
+        super().__init__(me, durable_state, spec, seeds, founder, seed)
         self.acceptor.__class__ = self.acceptor_kind
 
-    def _win(self, campaign: Campaign, now: float) -> None:
-        super()._win(campaign, now)
+    def _on_campaign_won(self, campaign: Campaign, now: float) -> None:
+        super()._on_campaign_won(campaign, now)
         if self.primary is not None:
             self.primary.__class__ = self.primary_kind
 
@@ -81,16 +87,22 @@
     acceptor_kind = _OpenAcceptor
 
     def __init__(
-        self, me: Member, memory: Memory, spec: Spec, seeds: tuple[str, ...], founder: bool, seed: int
+        self,
+        me: Member,
+        durable_state: DurableState,
+        spec: Spec,
+        seeds: tuple[str, ...],
+        founder: bool,
+        seed: int,
     ) -> None:
-        memory.identity = me.node
-        super().__init__(replace(me, identity=me.node), memory, spec, seeds, founder, seed)
+        durable_state.identity = me.node
+        super().__init__(replace(me, identity=me.node), durable_state, spec, seeds, founder, seed)
 
 
 class _TrustingPrimary(Primary):
     """Answers without proof that nobody has taken its place."""
 
-    def _owe(self, command: Command, verdict: Verdict, now: float) -> None:
+    def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
         self._emit(Reply(command.token, verdict, self.committed))
 
 
@@ -103,11 +115,11 @@
 class _LeasedPrimary(Primary):
     """Answers without proof for a while after a majority was heard."""
 
-    def _owe(self, command: Command, verdict: Verdict, now: float) -> None:
+    def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
         if now - self.quorum_at() < LEASE_MS:
             self._emit(Reply(command.token, verdict, self.committed))
         else:
-            super()._owe(command, verdict, now)
+            super()._reply_when_proven(command, verdict, now)
 
 
 class LeaseByJumpingClock(_Replaced):
@@ -119,12 +131,12 @@
 class HoldersShrinkAlone(Replica):
     """A primary leaves a silent holder out without asking anybody."""
 
-    def _wants_change(self, primary: Primary, now: float) -> bool:
-        silent = set(primary.silent(now, self._spec.silent_ms))
+    def _needs_view_change(self, primary: Primary, now: float) -> bool:
+        silent = set(primary.silent_slots(now, self._spec.member_timeout_ms))
         left = tuple(s for s in primary.view.holders if s not in silent)
         if len(left) < len(primary.view.holders):
             primary.view = replace(primary.view, holders=left)
-        return super()._wants_change(primary, now)
+        return super()._needs_view_change(primary, now)
 
 
 class _NamedCampaign(Campaign):
@@ -136,29 +148,29 @@
         return len(slots) >= 1 if self.handover else super()._is_majority(slots)
 
     def _is_accepted(self, view: View) -> bool:
-        return bool(self.installed) if self.handover else super()._is_accepted(view)
+        return bool(self.installed_slots) if self.handover else super()._is_accepted(view)
 
 
 class SuccessorWithoutMajority(Replica):
     """The successor that was named leads at once, whoever else is elected."""
 
-    def _run(self, now: float, handover: bool = False) -> None:
+    def _start_campaign(self, now: float, handover: bool = False) -> None:
         named = handover and self.primary is None
-        super()._run(now, handover)
+        super()._start_campaign(now, handover)
         campaign = self.candidate.campaign
         if named and campaign is not None:
             campaign.__class__ = _NamedCampaign
-            campaign.holders_wanted = 1
+            campaign.holder_count = 1
 
 
 class _MinorityPrimary(Primary):
     """Acknowledges a write once it is on its own disk."""
 
-    def written(self, message: Written, now: float) -> None:
+    def on_written(self, message: Written, now: float) -> None:
         """As if the other holders had kept it too."""
         if message.ok and message.number == self.committed.number + 1:
-            self._kept |= set(self.view.holders) - {self.view.primary}
-        super().written(message, now)
+            self._synced_slots |= set(self.view.holders) - {self.view.primary}
+        super().on_written(message, now)
 
 
 class AnswersFromMinority(_Replaced):
@@ -170,11 +182,11 @@
 class _HastyRefusals(Primary):
     """Refuses without proof that nobody has taken its place."""
 
-    def _owe(self, command: Command, verdict: Verdict, now: float) -> None:
+    def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
         if verdict is Verdict.STALE:
             self._emit(Reply(command.token, verdict, self.committed))
         else:
-            super()._owe(command, verdict, now)
+            super()._reply_when_proven(command, verdict, now)
 
 
 class RefusesWithoutProof(_Replaced):
@@ -222,7 +234,10 @@
     def submit(self, command: Command, now: float) -> None:
         """As if the history ended there."""
         known = self.committed
-        if isinstance(command, Put) and known.past(command.ver, command.digest) is Past.TAKEN:
+        if (
+            isinstance(command, Put)
+            and known.change_status(command.ver, command.digest) is ChangeStatus.ACCEPTED
+        ):
             recent = {taken.ver for taken in known.taken[-FEW:]}
             command = command if command.ver in recent else replace(command, digest="forgotten")
         super().submit(command, now)
@@ -245,10 +260,10 @@
 class _KeepsOldData(Acceptor):
     """Accepts a view, and keeps the data that it had."""
 
-    def _install(self, ip: str, message: Install, now: float) -> None:
-        if message.document is not None and message.view.leader().identity != self.memory.identity:
-            message = replace(message, document=self.memory.document)
-        super()._install(ip, message, now)
+    def _on_install(self, ip: str, message: Install, now: float) -> None:
+        if message.document is not None and message.view.leader().identity != self.durable_state.identity:
+            message = replace(message, document=self.durable_state.document)
+        super()._on_install(ip, message, now)
 
 
 class SkipsAChange(_Replaced):
@@ -269,8 +284,8 @@
 class LeadsWithAnOldDisk(Replica):
     """A process that was away for long goes on from the view that it knows."""
 
-    def _run(self, now: float, handover: bool = False) -> None:
-        super()._run(now, handover)
+    def _start_campaign(self, now: float, handover: bool = False) -> None:
+        super()._start_campaign(now, handover)
         campaign = self.candidate.campaign
         if campaign is not None:
             campaign.__class__ = _BlindCampaign
@@ -281,7 +296,7 @@
 
     def _send_write(self, slots: set[int]) -> None:
         super()._send_write(slots)
-        self._kept.add(self.view.primary)
+        self._synced_slots.add(self.view.primary)
 
 
 class AnswersBeforeOwnSync(_Replaced):
--- a/mastturn/control_check/disk.py
+++ b/mastturn/control_check/disk.py
@@ -6,8 +6,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from consensus.codec import Record, apply
-from consensus.views import Memory
+from consensus.codec import Record, apply_record
+from consensus.views import DurableState
 
 
 class Disk:
@@ -17,7 +17,7 @@
         self, sync_ms: float, chance: random.Random, later: Callable[[float, Callable[[], None]], None]
     ) -> None:
         self._sync_ms, self._random, self._later = sync_ms, chance, later
-        self.kept: Memory | None = None  # None: empty
+        self.kept: DurableState | None = None  # None: empty
         self._queue: deque[tuple[Record, Callable[[bool], None]]] = deque()
         self._group = 0
         self._turn = 0  # of the sync under way; a later one makes it void
@@ -37,7 +37,7 @@
         for _ in range(self._random.choice((0, 0, 1, 9))):
             if not self._queue or self.refuses or self.kept is None:
                 break
-            apply(self.kept, self._queue.popleft()[0])
+            apply_record(self.kept, self._queue.popleft()[0])
         self._queue.clear()
         self._turn += 1
 
@@ -45,7 +45,7 @@
         """An empty disk, on which a new identity was synced."""
         self._queue.clear()
         self._turn += 1
-        self.kept = Memory(identity)
+        self.kept = DurableState(identity)
 
     def well(self) -> None:
         """The trouble is over; what hung is synced now."""
@@ -74,7 +74,7 @@
         synced = [self._queue.popleft() for _ in range(group)]
         assert self.kept is not None
         for record, _ in synced:
-            apply(self.kept, record)
+            apply_record(self.kept, record)
         self.syncs += 1
         if self._queue:
             self._start()
--- a/mastturn/control_check/liveness.py
+++ b/mastturn/control_check/liveness.py
@@ -70,7 +70,7 @@
 
     def started(self, machine: Machine) -> None:
         """A process runs from now on."""
-        if machine.replica is not None and machine.replica.memory.slot() is None:
+        if machine.replica is not None and machine.replica.durable_state.slot() is None:
             self._slotless[machine.ip] = (self._world.now, machine.life)
 
     def troubled(self, kind: str, machine: Machine | None) -> None:
@@ -146,7 +146,7 @@
         now, machine = self._world.now, self._world.machines.get(ip)
         if machine is None or machine.replica is None or machine.life != life or machine.frozen:
             del self._slotless[ip]
-        elif machine.replica.memory.slot() is not None:
+        elif machine.replica.durable_state.slot() is not None:
             self.slots_taken.append(now - began)
             del self._slotless[ip]
         elif self._is_apart(ip) or not self._reaches_a_seed(machine):
--- a/mastturn/control_check/local.py
+++ b/mastturn/control_check/local.py
@@ -11,20 +11,20 @@
 from consensus.campaign import Stage
 from consensus.codec import Record, WholeRecord
 from consensus.effects import Committed, Lead, Persist, Reply, Send, Spec
-from consensus.membership import Add, Change, Keep, Remove, Replace
+from consensus.membership import Add, Change, NoChange, Remove, Replace
 from consensus.messages import Beat, Heard, Message
 from consensus.primary import Command
 from consensus.replica import Replica
-from consensus.views import Document, Member, Memory, View
+from consensus.views import Document, DurableState, Member, View
 
 # Times and what rests on them alone: here nothing does, since every question is answered with a yes and every
 # campaign begins when the search says so. Two processes that differ in nothing else are one.
 TIMES = frozenset(
-    "heard_at heard_from leading_at began stage_at sent_at now write_at refused behind next_try _beat_at "
-    "_heard_at _epoch _succession started _asked_at _ticked_at _came patience _hung_at write_ms "
-    "took_ms _resend_at _told_at _begun_at detector".split()
+    "heard_at heard_from leading_at started_at stage_at sent_at now write_at refused behind next_try "
+    "_heartbeat_at _heard_at _epoch _succession started _asked_at _ticked_at _last_asked_at "
+    "timeout_backoff _hung_at write_ms took_ms _resend_at _sent_at _begun_at detector".split()
 )
-KEYS = frozenset({"_said_at"})  # of these the keys count, and the times that they stand for don't
+KEYS = frozenset({"_notified_at"})  # of these the keys count, and the times that they stand for don't
 LAPSE_MS = 700.0
 SETTLE_MS = 30.0
 
@@ -116,7 +116,7 @@
     now: float
 
 
-Make = Callable[[Member, Memory, Spec, tuple[str, ...], bool, int], Replica]
+Make = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
 
 
 class Processes:
@@ -161,7 +161,7 @@
         return self._facts[process]
 
     def changes(self, process: int) -> tuple[Change, ...]:
-        """The changes of members that it might begin, `Keep` first."""
+        """The changes of members that it might begin, `NoChange` first."""
         return self._changes[process]
 
     def may_join(self, process: int) -> bool:
@@ -178,12 +178,12 @@
         key = (-1 - index, Boot(kept))
         found = self._steps.get(key)
         if found is None:
-            memory = Memory(kept.identity, kept.promised, kept.view, kept.document)
+            durable_state = DurableState(kept.identity, kept.promised, kept.view, kept.document)
             me = Member(kept.identity, f"core-{index}", ip, 7700, f"{ip}:8166", f"zone-{index}")
             seeds = self.ips[:3]
             founder = kept.identity == "i0" and kept.promised == 0
-            replica = self._make(me, memory, self.spec, seeds, founder, 0)
-            replica.candidate.chance = Still()  # type: ignore[assignment]
+            replica = self._make(me, durable_state, self.spec, seeds, founder, 0)
+            replica.candidate.rng = Still()  # type: ignore[assignment]
             replica.start(0.0)
             found = self._steps[key] = self._settle_down(_Process(replica, 0.0), ip)
         return found
@@ -211,7 +211,7 @@
         replica = one.replica
         match event:
             case Hear(ip, message):
-                replica.hear(ip, message, one.now)
+                replica.on_message(ip, message, one.now)
             case Run(change):
                 one.now += LAPSE_MS
                 self._run(replica, _changes(replica)[change], one.now)
@@ -219,28 +219,28 @@
                 replica.stop(one.now)
             case Settle():
                 one.now += SETTLE_MS
-                replica._advance(one.now)
+                replica._advance_campaign(one.now)
             case AskIn():
                 if replica.acceptor.is_displaced():
-                    replica.acceptor.forget()
+                    replica.acceptor.release_slot()
                 one.now += LAPSE_MS
-                if replica.memory.slot() is None:
-                    replica._inquirer.ask_in()
+                if replica.durable_state.slot() is None:
+                    replica._discovery.request_slot()
                 elif replica._departure.is_begun:
-                    replica._departure.look(replica.leader(), one.now)
+                    replica._departure.tick(replica.leader(), one.now)
                 else:
-                    replica._inquirer.inquire()
+                    replica._discovery.query_members()
             case Submit(command):
                 replica.submit(command, one.now)
 
     def _run(self, replica: Replica, change: Change, now: float) -> None:
         """As the real one; a change of members comes when the search says so, not when it is due."""
-        if change == Keep():
-            replica._run(now, handover=True)
+        if change == NoChange():
+            replica._start_campaign(now, handover=True)
             return
-        view = replica.memory.view
+        view = replica.durable_state.view
         assert view is not None
-        replica.candidate.run(view, now, True, change, replica._leavers.identities())
+        replica.candidate.start_campaign(view, now, True, change, replica._leaving_members.identities())
 
     def _settle_down(self, one: _Process, ip: str) -> Outcome:
         """Carry out what comes back to the process itself, and number what it has become."""
@@ -249,7 +249,7 @@
         told: list[Reply | Committed | Lead] = []
         local: deque[Message] = deque()
         while True:
-            for effect in one.replica.take():
+            for effect in one.replica.take_effects():
                 match effect:
                     case Send(to, message) if to == ip:
                         local.append(message)
@@ -261,7 +261,7 @@
                         told.append(effect)
             if not local:
                 break
-            one.replica.hear(ip, local.popleft(), one.now)
+            one.replica.on_message(ip, local.popleft(), one.now)
         if self._reduced:
             self._forget(one.replica)
         key = canonical(one)
@@ -274,7 +274,7 @@
             self._facts.append(_facts(one.replica))
             self._changes.append(_changes(one.replica))
             departure = one.replica._departure
-            self._joining.append(one.replica.memory.slot() is None or departure.is_begun)
+            self._joining.append(one.replica.durable_state.slot() is None or departure.is_begun)
             self._ending.append(departure.is_begun and one.replica.may_end())
             campaign = one.replica.candidate.campaign
             self._settles.append(campaign is not None and campaign.majority_at > 0 and campaign.view is None)
@@ -293,35 +293,35 @@
         """Drop what only says that somebody refused, and hints that nobody asks for."""
         campaign = replica.candidate.campaign
         if campaign is not None:
-            campaign.against.clear()
-            campaign.later, campaign.above = None, 0
+            campaign.rejecting_slots.clear()
+            campaign.later_view, campaign.highest_promised = None, 0
             if campaign.stage is not Stage.ASK:
-                campaign.yes.clear()
+                campaign.willing_slots.clear()
         primary = replica.primary
         if primary is not None:
-            primary.above = 0
+            primary.highest_promised = 0
         if primary is not None and not self._reads:
-            primary.number, primary.acked = 0, {}
-            primary._proofs.clear()
+            primary.heartbeat_number, primary.acked_heartbeats = 0, {}
+            primary._pending_replies.clear()
         if not self._joins:
-            replica.acceptor.latest, replica.acceptor._in_force = replica.memory.view, None
+            replica.acceptor.latest_view, replica.acceptor._in_force = replica.durable_state.view, None
 
     def __len__(self) -> int:
         return len(self._images)
 
 
 def _facts(replica: Replica) -> Facts:
-    memory, campaign, primary = replica.memory, replica.candidate.campaign, replica.primary
+    durable_state, campaign, primary = replica.durable_state, replica.candidate.campaign, replica.primary
     return Facts(
         replica.me.identity,
-        memory.promised,
-        memory.view,
-        memory.slot() is not None,
+        durable_state.promised,
+        durable_state.view,
+        durable_state.slot() is not None,
         campaign.epoch if campaign is not None else 0,
         campaign is not None and campaign.view is not None,
         primary.view.epoch if primary is not None else 0,
         primary.committed.number if primary is not None else 0,
-        memory.document.latest_change(),
+        durable_state.document.latest_change(),
         _counted(replica),
     )
 
@@ -329,16 +329,16 @@
 def _changes(replica: Replica) -> tuple[Change, ...]:
     """All changes of members that a leader might begin, whoever is silent or leaves."""
     primary = replica.primary
-    if primary is None or replica.memory.slot() is None:
-        return (Keep(),)
+    if primary is None or replica.durable_state.slot() is None:
+        return (NoChange(),)
     view = primary.view
     others = [slot for slot, m in enumerate(view.members) if m is not None and slot != view.primary]
-    if view.added() is not None:
-        return (Keep(), *(Remove(slot, len(view.members)) for slot in others))
-    found: list[Change] = [Keep()]
-    for join in replica._newcomers._joins.values():
+    if view.extra_member() is not None:
+        return (NoChange(), *(Remove(slot, len(view.members)) for slot in others))
+    found: list[Change] = [NoChange()]
+    for join in replica._newcomers._requests.values():
         if view.slot_of(join.sender) is None and join.promised >= view.epoch:
-            same = [slot for slot in others if view.at(slot).ip == join.member.ip]
+            same = [slot for slot in others if view.member_at(slot).ip == join.member.ip]
             found += [Replace(slot, join.member) for slot in same] or [Add(join.member)]
     return tuple(found)
 
@@ -347,11 +347,11 @@
     """Whose answers have been counted at the stage that a process is in."""
     campaign, primary = replica.candidate.campaign, replica.primary
     if campaign is not None and campaign.view is not None:
-        return frozenset(campaign.view.at(slot).identity for slot in campaign.installed)
+        return frozenset(campaign.view.member_at(slot).identity for slot in campaign.installed_slots)
     if campaign is not None:
-        return frozenset(campaign.base.at(slot).identity for slot in campaign.promised)
+        return frozenset(campaign.base.member_at(slot).identity for slot in campaign.promised_slots)
     if primary is not None:
-        return frozenset(primary.view.at(slot).identity for slot in primary._kept)
+        return frozenset(primary.view.member_at(slot).identity for slot in primary._synced_slots)
     return frozenset()
 
 
--- a/mastturn/control_check/lockstep.py
+++ b/mastturn/control_check/lockstep.py
@@ -10,14 +10,14 @@
 from collections import deque
 from collections.abc import Callable
 
-from consensus.codec import Record, apply, whole
+from consensus.codec import Record, apply_record, snapshot_record
 from consensus.effects import Committed, Lead, Persist, Reply, Send, Spec
 from consensus.messages import Beat, Heard, Message
 from consensus.replica import Replica
-from consensus.views import Member, Memory
+from consensus.views import DurableState, Member
 
 TICK_MS = 25.0
-Make = Callable[[Member, Memory, Spec, tuple[str, ...], bool, int], Replica]
+Make = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
 
 
 class Lockstep:
@@ -38,7 +38,7 @@
         self.went_on: list[bool] = []  # of each `Lead`
         self._sent: deque[tuple[int, int, Message]] = deque()
         self._held: dict[int, list[Persist]] = {}
-        self.disks = {i: Memory(f"i{i}") for i in range(machines)}
+        self.disks = {i: DurableState(f"i{i}") for i in range(machines)}
         self.replicas: dict[int, Replica] = {}
         for index in range(machines):
             self.boot(index, founder=index == 0)
@@ -49,15 +49,17 @@
     def boot(self, index: int, founder: bool = False) -> None:
         """A process starts on what its disk holds."""
         disk = self.disks[index]
-        memory = Memory(disk.identity, disk.promised, disk.view, disk.document)
-        me = Member(memory.identity, f"core-{index}", ip(index), 7700, f"{ip(index)}:8166", f"z{index}")
+        durable_state = DurableState(disk.identity, disk.promised, disk.view, disk.document)
+        me = Member(
+            durable_state.identity, f"core-{index}", ip(index), 7700, f"{ip(index)}:8166", f"z{index}"
+        )
         seeds = tuple(ip(i) for i in range(3))
-        self.replicas[index] = self._make(me, memory, self.spec, seeds, founder, index)
+        self.replicas[index] = self._make(me, durable_state, self.spec, seeds, founder, index)
         self.replicas[index].start(self.now)
 
     def wipe(self, index: int, identity: str) -> None:
         """The process loses its disk and starts anew."""
-        self.disks[index] = Memory(identity)
+        self.disks[index] = DurableState(identity)
         self.boot(index)
 
     def lose(self, index: int) -> None:
@@ -104,7 +106,7 @@
         while True:
             for index, replica in list(self.replicas.items()):
                 if index not in self.frozen:
-                    for effect in replica.take():
+                    for effect in replica.take_effects():
                         if self.replicas.get(index) is replica:
                             self._do(index, effect)
             if not self._sent:
@@ -112,7 +114,7 @@
             sender, receiver, message = self._next()
             self._step()
             if receiver in self.replicas and receiver not in self.frozen:
-                self.replicas[receiver].hear(ip(sender), message, self.now)
+                self.replicas[receiver].on_message(ip(sender), message, self.now)
 
     def _next(self) -> tuple[int, int, Message]:
         """The message that arrives next; those from one process to another stay in order."""
@@ -164,7 +166,7 @@
         self._step()
         if self.replicas.get(index) is not replica:
             return
-        apply(self.disks[index], record)
+        apply_record(self.disks[index], record)
         self._step()
         for send in then:
             if self.replicas.get(index) is replica:
@@ -183,7 +185,7 @@
 
     def synced(self, index: int) -> bool:
         """Whether the disk holds all that the process knows."""
-        return whole(self.disks[index]) == whole(self.replicas[index].memory)
+        return snapshot_record(self.disks[index]) == snapshot_record(self.replicas[index].durable_state)
 
 
 def ip(index: int) -> str:
--- a/mastturn/control_check/losses.py
+++ b/mastturn/control_check/losses.py
@@ -19,7 +19,7 @@
 from consensus.effects import Committed, Lead, Reply, Verdict
 from consensus.primary import Command, Get, Put
 from consensus.replica import Replica
-from consensus.views import Memory
+from consensus.views import DurableState
 from mastturn.control_check.lockstep import TICK_MS, Lockstep, Make
 from mastturn.control_check.rules import Asked, BrokenRuleError, Rules
 
@@ -198,7 +198,7 @@
             self._boot_newcomer()
 
     def _boot_newcomer(self) -> None:
-        self.world.disks[self.newcomer] = Memory(f"i{self.newcomer}")
+        self.world.disks[self.newcomer] = DurableState(f"i{self.newcomer}")
         self.world.boot(self.newcomer)
         self.world.settle()
 
@@ -271,10 +271,12 @@
         leader = world.primary()
         if leader is None or not self._is_over():
             return False
-        view = world.replicas[leader].memory.view
+        view = world.replicas[leader].durable_state.view
         assert view is not None
-        accepted = {r.memory.identity for r in world.replicas.values() if r.memory.view == view}
-        return view.added() is None and all(m is not None and m.identity in accepted for m in view.members)
+        accepted = {r.durable_state.identity for r in world.replicas.values() if r.durable_state.view == view}
+        return view.extra_member() is None and all(
+            m is not None and m.identity in accepted for m in view.members
+        )
 
     def _told(self, effect: Reply | Committed | Lead) -> None:
         match effect:
--- a/mastturn/control_check/machine.py
+++ b/mastturn/control_check/machine.py
@@ -8,11 +8,11 @@
 from typing import Protocol
 
 from consensus.awake_clock import AwakeClock
-from consensus.codec import whole
+from consensus.codec import snapshot_record
 from consensus.effects import Committed, Effect, Lead, Persist, Reply, Send, Spec
 from consensus.messages import Message
 from consensus.replica import Replica
-from consensus.views import Member, Memory
+from consensus.views import DurableState, Member
 from mastturn.control_check.disk import Disk
 
 TICK_MS = 25.0
@@ -41,7 +41,9 @@
     def leads(self, machine: Machine, effect: Lead) -> None:
         """A process begins or ends to lead."""
 
-    def make(self, me: Member, memory: Memory, seeds: tuple[str, ...], founder: bool, seed: int) -> Replica:
+    def make(
+        self, me: Member, durable_state: DurableState, seeds: tuple[str, ...], founder: bool, seed: int
+    ) -> Replica:
         """A process."""
 
 
@@ -67,19 +69,19 @@
 
     def _stalled(self, stall_ms: float, now: float) -> None:
         if self.replica is not None:
-            self.replica.stalled(stall_ms, now)
+            self.replica.on_stall(stall_ms, now)
 
     def start(self, seeds: tuple[str, ...], founder: bool) -> None:
         """A process starts on what the disk holds."""
         kept = self.disk.kept
         assert kept is not None
-        memory = Memory(kept.identity, kept.promised, kept.view, kept.document)
+        durable_state = DurableState(kept.identity, kept.promised, kept.view, kept.document)
         me = Member(kept.identity, self.node, self.ip, 7700, f"{self.ip}:8166", self.zone)
         self.life += 1
         self._sick = False
         self._clock = AwakeClock(self._stalled)
         seed = self._around.chance.getrandbits(32)
-        self.replica = self._around.make(me, memory, seeds, founder, seed)
+        self.replica = self._around.make(me, durable_state, seeds, founder, seed)
         self.replica.start(self.clock())
         self._tick(self.life)
 
@@ -121,7 +123,7 @@
 
         def call() -> None:
             if self.replica is not None and life == self.life:
-                self.replica.hear(ip, message, self.clock())
+                self.replica.on_message(ip, message, self.clock())
 
         self.run(call)
 
@@ -139,11 +141,11 @@
 
     def _carry(self) -> None:
         while self.replica is not None:
-            for effect in self.replica.take():
+            for effect in self.replica.take_effects():
                 self._do(effect)
             if not self._local:
                 return
-            self.replica.hear(self.ip, self._local.popleft(), self.clock())
+            self.replica.on_message(self.ip, self._local.popleft(), self.clock())
 
     def _do(self, effect: Effect) -> None:
         match effect:
@@ -182,13 +184,15 @@
         if self._sick or self.replica is None:
             return
         self._sick = True
-        self.replica.disk(False)
+        self.replica.on_disk_health(False)
         self._around.later(CHECKPOINT_MS, lambda: self._checkpoint(life))
 
     def _checkpoint(self, life: int) -> None:
         if life != self.life or self.replica is None:
             return
-        self.disk.keep(whole(self.replica.memory), lambda well: self._checkpointed(life, well))
+        self.disk.keep(
+            snapshot_record(self.replica.durable_state), lambda well: self._checkpointed(life, well)
+        )
 
     def _checkpointed(self, life: int, well: bool) -> None:
         def call() -> None:
@@ -196,7 +200,7 @@
                 return
             if well:
                 self._sick = False
-                self.replica.disk(True)
+                self.replica.on_disk_health(True)
             else:
                 self._around.later(CHECKPOINT_MS, lambda: self._checkpoint(life))
 
--- a/mastturn/control_check/rules.py
+++ b/mastturn/control_check/rules.py
@@ -7,7 +7,7 @@
 from consensus import views
 from consensus.effects import Committed, Reply, Verdict
 from consensus.primary import Get, Put
-from consensus.views import Document, Past, Taken
+from consensus.views import AcceptedVersion, ChangeStatus, Document
 
 
 class BrokenRuleError(Exception):
@@ -33,9 +33,13 @@
     chain: dict[int, Document] = field(default_factory=dict)
     epochs: dict[int, int] = field(default_factory=dict)  # epoch: the newest number committed in it
     told: int = 0  # the newest number that an operator was told of
-    winners: dict[int, Taken] = field(default_factory=dict)  # by base version: what was acknowledged
-    refused: dict[Taken, int] = field(default_factory=dict)
-    taken: set[Taken] = field(default_factory=set)  # all that was ever committed, also what is forgotten
+    winners: dict[int, AcceptedVersion] = field(
+        default_factory=dict
+    )  # by base version: what was acknowledged
+    refused: dict[AcceptedVersion, int] = field(default_factory=dict)
+    taken: set[AcceptedVersion] = field(
+        default_factory=set
+    )  # all that was ever committed, also what is forgotten
     leaders: dict[int, str] = field(default_factory=dict)  # epoch: who led it
     acknowledged: int = 0
     reads: int = 0
@@ -70,7 +74,7 @@
         """Whether a document is the one before it with one change more."""
         if document is None or before is None:
             return
-        if document.taken != (*before.taken, document.taken[-1])[-views.MOST_REMEMBERED :]:
+        if document.taken != (*before.taken, document.taken[-1])[-views.MAX_HISTORY :]:
             raise BrokenRuleError("one chain", f"{_brief(document)} does not follow {_brief(before)}")
 
     def leads(self, epoch: int, identity: str) -> None:
@@ -99,9 +103,9 @@
         self.told = max(self.told, document.number)
 
     def _put(self, put: Put, verdict: Verdict, document: Document) -> None:
-        taken = Taken(put.ver, put.digest)
+        taken = AcceptedVersion(put.ver, put.digest)
         if verdict is Verdict.UNSURE:
-            if document.past(put.ver, put.digest) is not Past.FORGOTTEN:
+            if document.change_status(put.ver, put.digest) is not ChangeStatus.UNKNOWN:
                 raise BrokenRuleError("an answer", f"{taken} has none, though {_brief(document)} can tell")
             return
         if verdict is not Verdict.DONE:
@@ -109,7 +113,10 @@
                 raise BrokenRuleError("refused", f"{taken} is refused and was taken")
             self.refused[taken] = document.number
             return
-        if taken not in self.taken or document.past(put.ver, put.digest) is not Past.TAKEN:
+        if (
+            taken not in self.taken
+            or document.change_status(put.ver, put.digest) is not ChangeStatus.ACCEPTED
+        ):
             raise BrokenRuleError("no loss", f"{taken} is acknowledged and not in {_brief(document)}")
         if self.winners.setdefault(put.base, taken) != taken:
             raise BrokenRuleError("race", f"{taken} and {self.winners[put.base]} on version {put.base}")
--- a/mastturn/control_check/shape.py
+++ b/mastturn/control_check/shape.py
@@ -7,10 +7,10 @@
 
 from consensus.effects import Spec
 from consensus.replica import Replica
-from consensus.views import Member, Memory
+from consensus.views import DurableState, Member
 from mastturn.control_check.network import Air
 
-Make = Callable[[Member, Memory, Spec, tuple[str, ...], bool, int], Replica]
+Make = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
 
 
 @dataclass(frozen=True, slots=True)
--- a/mastturn/control_check/steps.py
+++ b/mastturn/control_check/steps.py
@@ -10,11 +10,11 @@
 from collections.abc import Hashable
 from dataclasses import replace
 
-from consensus.codec import WholeRecord, apply, whole
+from consensus.codec import WholeRecord, apply_record, snapshot_record
 from consensus.effects import Send, Spec
 from consensus.messages import Answer, Ask
 from consensus.replica import Replica
-from consensus.views import Memory
+from consensus.views import DurableState
 from mastturn.control_check.judged import book_of, judge, rules_of
 from mastturn.control_check.local import (
     AskIn,
@@ -55,7 +55,7 @@
     def begin(self) -> State:
         """All have accepted the first view, and its primary leads."""
         size, members = self._size, self.bounds.machines
-        kept = tuple(self._values.number(whole(Memory(f"i{i}"))) for i in range(size))
+        kept = tuple(self._values.number(snapshot_record(DurableState(f"i{i}"))) for i in range(size))
         none: tuple[int, ...] = (0,) * size
         left = left_of(self.bounds)
         tries = (self.bounds.tries,) * len(self.commands)
@@ -67,7 +67,7 @@
             state = self._act(state, f"join {index}")
         state = self._deliver_all(state)
         founder = self.processes.replica(state.processes[0])
-        assert founder._founding.is_ours
+        assert founder._bootstrap.is_pending
         state = self._found(state)
         for _ in range(4):
             state = self._deliver_all(state)
@@ -82,7 +82,7 @@
 
     def _found(self, state: State) -> State:
         replica = self.processes.replica(state.processes[0])
-        replica._founding.found(replica._newcomers.members(), 0.0)
+        replica._bootstrap.try_start(replica._newcomers.members(), 0.0)
         return self._after(state, 0, self.processes.adopt(replica, 0))
 
     def _deliver_all(self, state: State) -> State:
@@ -165,7 +165,7 @@
                 return self._restart(state, index, self._values[state.kept[index]])
             case "wipe":
                 state = replace(state, left=replace(left, wipes=left.wipes - 1))
-                return self._restart(state, index, whole(Memory(f"w{index}-{left.wipes}")))
+                return self._restart(state, index, snapshot_record(DurableState(f"w{index}-{left.wipes}")))
             case "end":
                 return self._go(state, index)
             case "lose":
@@ -203,11 +203,11 @@
     def _sync(self, state: State, index: int) -> State:
         then: tuple[Send, ...]
         record, then = self._values[state.queues[index][0]]
-        memory = _memory(self._values[state.kept[index]])
-        apply(memory, record)
+        durable_state = _durable_state(self._values[state.kept[index]])
+        apply_record(durable_state, record)
         state = replace(
             state,
-            kept=put(state.kept, index, self._values.number(whole(memory))),
+            kept=put(state.kept, index, self._values.number(snapshot_record(durable_state))),
             queues=put(state.queues, index, state.queues[index][1:]),
         )
         sent = state.sent
@@ -228,7 +228,7 @@
     def _go(self, state: State, index: int) -> State:
         """A machine goes for good, with its disk."""
         gone = tuple(sorted({*state.gone, index}))
-        nothing = self._values.number(whole(Memory(f"gone{index}")))
+        nothing = self._values.number(snapshot_record(DurableState(f"gone{index}")))
         outcome = self.processes.boot(index, self._values[nothing])
         return replace(
             state,
@@ -295,5 +295,5 @@
     return not (isinstance(hear.message, Answer) and hear.message.ok)
 
 
-def _memory(kept: WholeRecord) -> Memory:
-    return Memory(kept.identity, kept.promised, kept.view, kept.document)
+def _durable_state(kept: WholeRecord) -> DurableState:
+    return DurableState(kept.identity, kept.promised, kept.view, kept.document)
--- a/mastturn/control_check/troubles.py
+++ b/mastturn/control_check/troubles.py
@@ -135,7 +135,7 @@
     def _somebody_waits(self) -> bool:
         """Whether a process runs that has no slot."""
         running = [m.replica for m in self._world.machines.values() if m.replica is not None]
-        return any(replica.memory.slot() is None for replica in running)
+        return any(replica.durable_state.slot() is None for replica in running)
 
     def _ago(self, least: float, most: float) -> float:
         return self._world.chance.uniform(least, most)
--- a/mastturn/control_check/world.py
+++ b/mastturn/control_check/world.py
@@ -12,7 +12,7 @@
 from consensus.primary import Command, Get
 from consensus.replica import Replica
 from consensus.spread import Spread
-from consensus.views import Member, Memory
+from consensus.views import DurableState, Member
 from mastturn.control_check.liveness import Liveness
 from mastturn.control_check.machine import Machine
 from mastturn.control_check.network import Network
@@ -130,9 +130,11 @@
         self._identities += 1
         return f"i{self._identities}"
 
-    def make(self, me: Member, memory: Memory, seeds: tuple[str, ...], founder: bool, seed: int) -> Replica:
+    def make(
+        self, me: Member, durable_state: DurableState, seeds: tuple[str, ...], founder: bool, seed: int
+    ) -> Replica:
         """A process."""
-        return self._make(me, memory, self.spec, seeds, founder, seed)
+        return self._make(me, durable_state, self.spec, seeds, founder, seed)
 
     def primary(self) -> Machine | None:
         """The machine that leads the latest view, if it runs."""
@@ -148,7 +150,7 @@
         replica, life = machine.replica, machine.life
         if replica is None:
             return
-        machine.run(lambda: replica.follow_seeds(self.seeds()))
+        machine.run(lambda: replica.set_seeds(self.seeds()))
         self.later(SETTINGS_MS, lambda: self._follow(machine) if machine.life == life else None)
 
     def is_member(self, machine: Machine) -> bool:
@@ -158,8 +160,10 @@
             return False
         assert leader.replica is not None and leader.replica.primary is not None
         view = leader.replica.primary.view
-        has_accepted = machine.replica.memory.view == view and machine.replica.memory.slot() is not None
-        return has_accepted and view.added() is None
+        has_accepted = (
+            machine.replica.durable_state.view == view and machine.replica.durable_state.slot() is not None
+        )
+        return has_accepted and view.extra_member() is None
 
     def tell(self, what: str) -> None:
         """A line of the story."""
@@ -216,7 +220,7 @@
             return
         replica = machine.replica
         # As the host tells callers: a leader that was not heard of a moment ago is nobody to go to.
-        leader = replica.heard_leader(machine.clock()) if replica is not None else None
+        leader = replica.live_leader(machine.clock()) if replica is not None else None
         hint = leader.ip if leader is not None and leader.ip != machine.ip else ""
         self.tell(f"{machine.ip} answers {operator.name} {reply.verdict} {command}")
         known, of = operator, command
--- a/mastturnd/control_report.py
+++ b/mastturnd/control_report.py
@@ -20,11 +20,11 @@
 
 def _standing(replica: Replica | None) -> str:
     """What this process is in the view that it knows."""
-    if replica is None or replica.memory.slot() is None:
+    if replica is None or replica.durable_state.slot() is None:
         return "newcomer"
     if replica.primary is not None:
         return "primary"
-    return "holder" if replica.memory.is_holder() else "witness"
+    return "holder" if replica.durable_state.is_holder() else "witness"
 
 
 def status(node: ControlNode) -> dict[str, Any]:
@@ -40,7 +40,7 @@
         "program": program(),
         "edition": EDITION,
         "standing": _standing(replica),
-        "disk_well": keeper.is_well(),
+        "disk_well": keeper.is_healthy(),
         "synced": keeper.synced,
         "take_overs": publisher.take_overs,
         "leads_ms": publisher.leads_ms(),
@@ -60,12 +60,12 @@
     if replica is None:
         return found
     now = node.now()
-    memory, view, leader = replica.memory, replica.acceptor.latest, replica.leader()
+    durable_state, view, leader = replica.durable_state, replica.acceptor.latest_view, replica.leader()
     found |= {
-        "promised": memory.promised,
-        "ver": memory.document.ver if memory.is_holder() else 0,
-        "writes": memory.document.number if memory.is_holder() else 0,
-        "led": replica.is_led(now),
+        "promised": durable_state.promised,
+        "ver": durable_state.document.ver if durable_state.is_holder() else 0,
+        "writes": durable_state.document.number if durable_state.is_holder() else 0,
+        "led": replica.has_live_leader(now),
         "leader": leader.node if leader is not None else "",
     }
     if view is not None:
@@ -101,20 +101,20 @@
     return {
         "ready": node.tallies.is_ready(),
         "disk_well": node.tallies.takes_adds(),
-        "tallies": adds.tallies(),
+        "tallies": adds.tally_count(),
         "ids": adds.live,
         "folded": adds.folded()[0],
-        "digests_compared": replica.compared,
+        "digests_compared": replica.compared_digests,
         "adds_sent": replica.sent_adds,
-        "adds_repaired": replica.repaired,
+        "adds_repaired": replica.repaired_adds,
         "members": [
             {
                 "ip": peer.ip,
-                "equal": peer.equals,
+                "equal": peer.is_equal,
                 "silent_ms": round(min(peer.silent_ms, MOST_MS)),
                 "differs_ms": round(peer.differs_ms),
             }
-            for peer in replica.standing(node.now())
+            for peer in replica.peer_statuses(node.now())
         ],
     }
 
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -16,7 +16,7 @@
 from config.checking import ConfigurationReader
 from config.settings import Settings, parse_address
 from consensus import messages
-from consensus.codec import revive
+from consensus.codec import decode_nested
 from consensus.effects import Reply as Outcome
 from consensus.messages import Answer, Ask, Join, Known
 from consensus.primary import Command
@@ -139,7 +139,7 @@
         if not isinstance(message, messages.Message):
             return
         try:
-            revived = revive(message)
+            revived = decode_nested(message)
         except (ValueError, KeyError, TypeError) as error:
             logger.warning("event=bad_message peer={} error={!r}", link.peer, str(error))
             link.close()
--- a/mastturnd/salvage.py
+++ b/mastturnd/salvage.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 from config.errors import DiskError, WireError
-from consensus.codec import apply, read_record
+from consensus.codec import apply_record, decode_record
 from consensus.files import OsFiles
 from consensus.slots import Store
-from consensus.views import Memory
+from consensus.views import DurableState
 from mastturnd.wrong import FailedError, WrongCallError
 
 FILES = ("slot.0", "slot.1", "log.0", "log.1")
@@ -39,20 +39,20 @@
         raise WrongCallError(
             f"{folder} holds none of {', '.join(FILES)}", "name the data_dir of a control process"
         )
-    memory = Memory("")
+    durable_state = DurableState("")
     with tempfile.TemporaryDirectory(prefix="salvage-") as copy:
         try:
             for name in found:
                 shutil.copyfile(place / name, Path(copy) / name)
             loaded = Store.open(Path(copy), OsFiles()).load()
             for part in ([loaded.state] if loaded.state is not None else []) + list(loaded.records):
-                apply(memory, read_record(part))
+                apply_record(durable_state, decode_record(part))
         except OSError as error:
             raise WrongCallError(f"{folder} can't be read ({error.strerror})", "see its rights") from None
         except (DiskError, WireError, IndexError, ValueError, KeyError, TypeError) as error:
             raise FailedError(f"{folder} can't be read whole ({error})", "try the disk of another") from None
-    view = memory.view
-    holders = tuple(view.at(slot).node for slot in view.holders) if view is not None else ()
-    document = memory.document
+    view = durable_state.view
+    holders = tuple(view.member_at(slot).node for slot in view.holders) if view is not None else ()
+    document = durable_state.document
     epoch = view.epoch if view is not None else 0
-    return Salvaged(document.ver, document.body, epoch, memory.is_holder(), holders)
+    return Salvaged(document.ver, document.body, epoch, durable_state.is_holder(), holders)
--- a/tallies/adds.py
+++ b/tallies/adds.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from tallies.messages import Add, Folded, FoldedAdds, State
-from tallies.ranges import MODULUS, MOST_STAMP, ROOT, DigestTree, packed
+from tallies.ranges import MAX_STAMP, MODULUS, ROOT, DigestTree, encode_hash_sum
 
 
 class AddSet:
@@ -37,11 +37,11 @@
         """The add of this id, if it is known and not folded."""
         return self._ids.get(tally, {}).get(id_)
 
-    def knows(self, tally: str) -> bool:
+    def has_tally(self, tally: str) -> bool:
         """Whether anything was added to it."""
         return tally in self._folded or tally in self._ids
 
-    def tallies(self) -> int:
+    def tally_count(self) -> int:
         """How many were added to."""
         return len(self._folded.keys() | self._ids.keys())
 
@@ -67,7 +67,7 @@
         """Take adds in; those that changed anything. Of one id with two stamps the earlier one holds."""
         changed = []
         for add in adds:
-            if not self.folded_until <= add.stamp <= MOST_STAMP:
+            if not self.folded_until <= add.stamp <= MAX_STAMP:
                 logger.warning(
                     "event=tally_add_outside stamp={} folded_until={}", add.stamp, self.folded_until
                 )
@@ -79,7 +79,7 @@
                 self._drop(known)
             self._ids.setdefault(add.tally, {})[add.id] = add
             self._live_sums[add.tally] = self._live_sums.get(add.tally, 0) + add.amount
-            self.tree.put(add)
+            self.tree.insert(add)
             self.live += 1
             self.newest = max(self.newest, add.stamp)
             changed.append(add)
@@ -91,7 +91,7 @@
         self._live_sums[add.tally] -= add.amount
         if not ids:
             del self._ids[add.tally], self._live_sums[add.tally]
-        self.tree.take_out(add)
+        self.tree.remove(add)
         self.live -= 1
 
     def fold(self, until: int) -> None:
@@ -120,10 +120,10 @@
 
     # ---- to others and to the disk
 
-    def told_folded(self) -> FoldedAdds:
+    def folded_message(self) -> FoldedAdds:
         """What is folded, for another replica."""
         count, total = self._folded_sum
-        return FoldedAdds(self.folded_until, count, packed(total), self._folded_entries())
+        return FoldedAdds(self.folded_until, count, encode_hash_sum(total), self._folded_entries())
 
     def _folded_entries(self) -> tuple[Folded, ...]:
         return tuple(Folded(tally, sum_) for tally, sum_ in sorted(self._folded.items()))
@@ -132,7 +132,7 @@
         """Everything, for the disk."""
         adds = tuple(add for ids in self._ids.values() for add in ids.values())
         count, total = self._folded_sum
-        return State(self.folded_until, count, packed(total), self._folded_entries(), adds)
+        return State(self.folded_until, count, encode_hash_sum(total), self._folded_entries(), adds)
 
     def load(self, state: State) -> None:
         """Begin with what the disk has."""
--- a/tallies/effects.py
+++ b/tallies/effects.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Send:
     """Send a message to the control process at an IP; it may be lost."""
 
     ip: str
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistAdds:
     """Bring these adds to the disk, then call `synced` with the number."""
 
     number: int
@@ -24,15 +24,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepAll:
+class PersistState:
     """Bring the whole state to the disk: some of it is not among adds that were to be kept."""
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class Acknowledge:
     """The add of this token is as safe as it has to be: it may be acknowledged."""
 
     token: int
 
 
-Effect = Tell | Keep | KeepAll | Counted
+Effect = Send | PersistAdds | PersistState | Acknowledge
--- a/tallies/ranges.py
+++ b/tallies/ranges.py
@@ -16,7 +16,7 @@
 FAN = 16
 LEVELS = 10  # the root is level 9: it spans 139 years
 ROOT = (LEVELS - 1, 0)
-MOST_STAMP = LEAF_MS * FAN ** (LEVELS - 1) - 1
+MAX_STAMP = LEAF_MS * FAN ** (LEVELS - 1) - 1
 MODULUS = 2**64
 
 Node = tuple[int, int]  # level and index
@@ -28,7 +28,7 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest())
 
 
-def packed(total: int) -> bytes:
+def encode_hash_sum(total: int) -> bytes:
     """A sum of hashes as it goes to others."""
     return total.to_bytes(8)
 
@@ -45,22 +45,22 @@
         self._sums: dict[Node, tuple[int, int]] = {}  # adds and the sum of their hashes
         self._leaves: dict[int, dict[tuple[str, str], Add]] = {}
 
-    def put(self, add: Add) -> None:
+    def insert(self, add: Add) -> None:
         """One more."""
         leaf = add.stamp // LEAF_MS
         self._leaves.setdefault(leaf, {})[add.tally, add.id] = add
-        self._move(leaf, 1, hash_of(add))
+        self._adjust(leaf, 1, hash_of(add))
 
-    def take_out(self, add: Add) -> None:
+    def remove(self, add: Add) -> None:
         """One less."""
         leaf = add.stamp // LEAF_MS
         held = self._leaves[leaf]
         del held[add.tally, add.id]
         if not held:
             del self._leaves[leaf]
-        self._move(leaf, -1, -hash_of(add))
+        self._adjust(leaf, -1, -hash_of(add))
 
-    def _move(self, leaf: int, count: int, total: int) -> None:
+    def _adjust(self, leaf: int, count: int, total: int) -> None:
         index = leaf
         for level in range(LEVELS):
             known = self._sums.get((level, index), (0, 0))
@@ -90,7 +90,7 @@
     def digest_of(self, node: Node) -> RangeDigest:
         """A node as others are told of it."""
         count, total = self.sum_of(node)
-        return RangeDigest(*node, count, packed(total))
+        return RangeDigest(*node, count, encode_hash_sum(total))
 
     def children_of(self, node: Node) -> list[RangeDigest]:
         """The nodes below one that hold anything, the newest first."""
--- a/tests/fabric_disk.py
+++ b/tests/fabric_disk.py
@@ -79,7 +79,7 @@
 class _Command:
     kind: str
     data: bytes
-    done: asyncio.Future[Any]
+    future: asyncio.Future[Any]
 
 
 class InlineQueue:
@@ -142,15 +142,15 @@
             late = list(self._commands)  # whoever gave them took the failed one as kept
             self._commands.clear()
             for command in group:
-                self._settle(command.done, error)
+                self._settle(command.future, error)
             for command in late:
                 self._settle(
-                    command.done, DiskError("a command given before this one failed", "give it again")
+                    command.future, DiskError("a command given before this one failed", "give it again")
                 )
         else:
             for command in group:
-                if not command.done.done():
-                    command.done.set_result(found)
+                if not command.future.done():
+                    command.future.set_result(found)
         self._is_busy = False
         if self._commands:
             self._begin()
--- a/tests/fabric_world.py
+++ b/tests/fabric_world.py
@@ -21,7 +21,7 @@
 from config.errors import WireError
 from config.settings import Settings
 from consensus import messages as control
-from consensus.codec import revive
+from consensus.codec import decode_nested
 from consensus.views import View
 from control.node import KINDS, ControlNode
 from dissemination import messages as news
@@ -240,7 +240,7 @@
         replica = self.node(self.primary())._replica
         assert replica is not None and replica.primary is not None
         view = replica.primary.view
-        return next(view.at(s).node for s in view.holders if s != view.primary)
+        return next(view.member_at(s).node for s in view.holders if s != view.primary)
 
     def witness(self) -> str:
         """A member that holds no data."""
@@ -319,7 +319,7 @@
             for frame in reader.feed(data):
                 message = KINDS.decode(frame.number, frame.body)
                 if isinstance(message, control.Message):
-                    message = revive(message)
+                    message = decode_nested(message)
                 self.heard.append((self._world.now(), here, there, message))
                 if (text := describe(message)) is not None:
                     self.say(f"{here} -> {there}: {text}")
@@ -383,7 +383,7 @@
 def _view(view: View | None) -> str:
     if view is None:
         return "no view"
-    backups = ",".join(view.at(s).node for s in view.holders if s != view.primary)
+    backups = ",".join(view.member_at(s).node for s in view.holders if s != view.primary)
     members = ",".join(m.node if m is not None else "-" for m in view.members)
     return f"epoch {view.epoch}: primary {view.leader().node}, backup {backups}, members {members}"
 
--- a/tests/test_consensus_departure.py
+++ b/tests/test_consensus_departure.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from consensus.joining import FRESH_MS, Newcomers, Standing
-from consensus.leaving import HEARD_MS
-from consensus.membership import Add, Change, Keep, Remove
+from consensus.joining import FRESH_REQUEST_MS, MembershipStatus, Newcomers
+from consensus.leaving import EXPIRY_MS
+from consensus.membership import Add, Change, NoChange, Remove
 from consensus.messages import Install, Join, Leaving, Prepare
 from consensus.primary import Put
 from consensus.spread import Spread
-from consensus.views import Member, Memory, View
+from consensus.views import DurableState, Member, View
 from mastturn.control_check.lockstep import Lockstep, ip
 from mastturn.control_check.losses import STAY_MS, Case, How, Replacement, cases
 
@@ -26,7 +26,7 @@
 def with_newcomer(machines: int = 3, losses: int = 1) -> Lockstep:
     """A newcomer waits beside the members, which are all well."""
     world = Lockstep(machines, losses)
-    world.disks[machines] = Memory(f"i{machines}")
+    world.disks[machines] = DurableState(f"i{machines}")
     world.boot(machines)
     world.run(400.0)
     world.lines.clear()
@@ -47,7 +47,7 @@
     run_until_it_may_end(world, index)
     leader = world.primary()
     assert leader is not None and leader != index
-    view = world.replicas[leader].memory.view
+    view = world.replicas[leader].durable_state.view
     assert view is not None and index not in view.holders and view.slot_of(f"i{index}") == index
 
 
@@ -57,11 +57,11 @@
     run_until_it_may_end(world, index)
     leader = world.primary()
     assert leader is not None
-    view = world.replicas[leader].memory.view
+    view = world.replicas[leader].durable_state.view
     assert view is not None and view.slot_of(f"i{index}") is None and view.slot_of("i3") is not None
     assert len(view.members) == 3
     assert view.epoch - 1 >= 2  # one view with both of them, and one without the one that leaves
-    assert all(world.replicas[i].memory.view == view for i in range(4) if i != index)
+    assert all(world.replicas[i].durable_state.view == view for i in range(4) if i != index)
 
 
 def test_nothing_is_released_while_the_view_has_one_member_more() -> None:
@@ -83,7 +83,7 @@
     assert not world.replicas[1].may_end()
     world.cuts.clear()
     world.run(1_500.0)
-    view = world.replicas[0].memory.view
+    view = world.replicas[0].durable_state.view
     assert world.replicas[1].may_end() and view is not None and 1 not in view.holders
 
 
@@ -99,7 +99,7 @@
     world.replicas[0].resign(world.now)
     world.settle()
     world.lose(0)
-    assert world.replicas[2].memory.document.ver == 3 and world.replicas[2].memory.is_holder()
+    assert world.replicas[2].durable_state.document.ver == 3 and world.replicas[2].durable_state.is_holder()
 
 
 def test_all_that_are_told_to_stop_at_once_end_without_waiting() -> None:
@@ -143,13 +143,13 @@
     world.replicas[2].stop(world.now)
     while not any(line.startswith("0 -> 1 Install 2") for line in world.lines):
         world.run(25.0)
-    accepted = world.replicas[1].memory.view
+    accepted = world.replicas[1].durable_state.view
     assert accepted is not None and accepted.epoch == 2 and len(accepted.members) == 4
     world.lost = set()
     world.lose(0)
     world.run(2_500.0)
     assert world.primary() == 1
-    last = world.replicas[1].memory.view
+    last = world.replicas[1].durable_state.view
     assert last is not None and last.slot_of("i3") is not None
 
 
@@ -160,42 +160,42 @@
     world.run(200.0)
     world.boot(2)
     world.run(2_500.0)
-    assert world.replicas[2].memory.view is None  # there is no slot for it
+    assert world.replicas[2].durable_state.view is None  # there is no slot for it
     world.lose(1)
     world.run(3_000.0)
     leader = world.primary()
     assert leader is not None
-    view = world.replicas[leader].memory.view
+    view = world.replicas[leader].durable_state.view
     assert view is not None and view.slot_of("i2") is not None and view.slot_of("i1") is None
 
 
 def test_one_more_than_the_slots_goes_again_if_nobody_leaves_any_more() -> None:
     world = with_newcomer()
     world.hear(2, 0, Leaving("i2", "i0"))  # said once, and never again
-    world.run(HEARD_MS + 1_500.0)
-    view = world.replicas[0].memory.view
+    world.run(EXPIRY_MS + 1_500.0)
+    view = world.replicas[0].durable_state.view
     assert view is not None and len(view.members) == 3
 
 
 def test_a_member_does_not_forget_its_slot_for_a_view_that_came_to_nothing() -> None:
     world = Lockstep()
-    first = world.replicas[0].memory.view
+    first = world.replicas[0].durable_state.view
     assert first is not None
     other = View(7, 1, (1, 0), (*first.members[:2], member(9)))
     world.frozen = {0, 1}
     world.hear(1, 2, Prepare("i1", "i2", 7))
-    world.replicas[2].acceptor.learn(other)
+    world.replicas[2].acceptor.observe_view(other)
     world.run(100.0)
-    assert world.replicas[2].memory.slot() == 2
+    assert world.replicas[2].durable_state.slot() == 2
     world.hear(1, 2, Install("i1", "i2", other, None, True))
     world.run(100.0)
-    assert world.replicas[2].memory.slot() is None and world.disks[2].promised >= 7
+    assert world.replicas[2].durable_state.slot() is None and world.disks[2].promised >= 7
 
 
 def test_changes_of_members_keep_the_slots_of_those_that_stay() -> None:
     base = View(4, 0, (0, 1), tuple(member(i) for i in range(3)))
     added = View(5, 0, (0, 1), Add(member(3)).members(base))
-    assert added.added() == member(3) and added.majority == 3 and base.added() is None
+    assert added.extra_member() == member(3) and added.majority == 3 and base.extra_member() is None
     remove = Remove(1, 4)
     assert remove.members(added) == (member(0), member(3), member(2))
     assert [remove.slot_after(slot) for slot in (0, 2, 3)] == [0, 2, 1]
@@ -210,26 +210,26 @@
 
     def due(dead: tuple[int, ...], leaving: tuple[int, ...], silent: tuple[int, ...]) -> Change:
         present = everybody - {*dead, *silent}
-        return newcomers.change(view, Standing(dead, leaving, silent, present), 0.0)
+        return newcomers.due_change(view, MembershipStatus(dead, leaving, silent, present), 0.0)
 
     assert due((2,), (1,), (2,)) == Remove(2, 4)
     assert due((), (1,), ()) == Remove(1, 4)
     assert due((), (), (0, 2)) == Remove(2, 4)
     assert due((), (), ()) == Remove(3, 4)
     assert due((), (1,), (3,)) == Remove(3, 4)  # the newcomer itself is lost
-    assert due((), (1,), (2, 3)) == Keep()  # too few are left to agree
-    may_be_lost = Standing(present=everybody - {1})
-    assert newcomers.change(view, may_be_lost, 0.0) == Keep()
+    assert due((), (1,), (2, 3)) == NoChange()  # too few are left to agree
+    may_be_lost = MembershipStatus(present=everybody - {1})
+    assert newcomers.due_change(view, may_be_lost, 0.0) == NoChange()
     last = View(5, 3, (3, 1), tuple(member(i) for i in range(4)))
-    assert newcomers.change(last, Standing(present=everybody), 0.0) == Remove(0, 4)
+    assert newcomers.due_change(last, MembershipStatus(present=everybody), 0.0) == Remove(0, 4)
 
 
 def test_a_newcomer_that_has_not_asked_for_a_while_is_not_named() -> None:
     newcomers = Newcomers(Spread())
     view = View(5, 0, (0, 1), tuple(member(i) for i in range(3)))
-    newcomers.take(Join("i3", "", member(3), 5), 0.0)
-    assert newcomers.change(view, Standing(dead=(2,)), FRESH_MS) == Add(member(3))
-    assert newcomers.change(view, Standing(dead=(2,)), FRESH_MS + 1.0) == Keep()
+    newcomers.add(Join("i3", "", member(3), 5), 0.0)
+    assert newcomers.due_change(view, MembershipStatus(dead=(2,)), FRESH_REQUEST_MS) == Add(member(3))
+    assert newcomers.due_change(view, MembershipStatus(dead=(2,)), FRESH_REQUEST_MS + 1.0) == NoChange()
 
 
 def test_any_two_majorities_of_neighbouring_views_share_a_member() -> None:
@@ -245,13 +245,13 @@
 
 def test_a_newcomer_is_named_again_only_with_a_promise_of_the_view_in_force() -> None:
     world = with_newcomer()
-    view = world.replicas[0].memory.view
+    view = world.replicas[0].durable_state.view
     assert view is not None
     world.hear(3, 0, Join("i3", "i0", member(3), 0))
     world.cut(3)
     leader = world.replicas[0]
     assert leader.primary is not None
-    assert leader._newcomers.change(view, Standing(leaving=(2,)), 0.0) == Keep()
+    assert leader._newcomers.due_change(view, MembershipStatus(leaving=(2,)), 0.0) == NoChange()
 
 
 @pytest.mark.parametrize("how", How)
--- a/tests/test_consensus_history.py
+++ b/tests/test_consensus_history.py
@@ -9,11 +9,19 @@
 from hypothesis import strategies as st
 
 from consensus import views
-from consensus.codec import Record, WholeRecord, WriteRecord, apply, read_record, whole, write_record
+from consensus.codec import (
+    Record,
+    WholeRecord,
+    WriteRecord,
+    apply_record,
+    decode_record,
+    encode_record,
+    snapshot_record,
+)
 from consensus.effects import Verdict
 from consensus.messages import KINDS, Write
 from consensus.primary import Get, Put
-from consensus.views import MOST_REMEMBERED, Document, Memory, Past
+from consensus.views import MAX_HISTORY, ChangeStatus, Document, DurableState
 from mastturn.control_check.history import play
 from mastturn.control_check.lockstep import Lockstep
 from mastturn.control_check.network import Air
@@ -35,86 +43,89 @@
     steps: list[int], most: int, ver: int, same: bool
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(views, "MOST_REMEMBERED", most)
+        patch.setattr(views, "MAX_HISTORY", most)
         document, taken = Document(), dict[int, str]()
         for step in steps:
             number = document.ver + step
             taken[number] = f"d{number}"
             document = document.after(number, b"", taken[number])
         digest = taken.get(ver, "") if same else "another"
-        past = document.past(ver, digest)
+        past = document.change_status(ver, digest)
     was_taken = taken.get(ver) == digest
-    assert past is not Past.NEVER or not was_taken
-    assert past is not Past.TAKEN or was_taken
-    assert past is not Past.FORGOTTEN or (len(taken) > most and ver < min([*taken][-most:]))
+    assert past is not ChangeStatus.NOT_ACCEPTED or not was_taken
+    assert past is not ChangeStatus.ACCEPTED or was_taken
+    assert past is not ChangeStatus.UNKNOWN or (len(taken) > most and ver < min([*taken][-most:]))
 
 
 def test_a_change_is_remembered_for_thousands_of_changes_and_then_left_open() -> None:
     document = document_of(10_000)
-    assert len(document.taken) == MOST_REMEMBERED
-    assert document.past(2 * 8_000, "digest-8000") is Past.TAKEN
-    assert document.past(2 * 8_000, "another") is Past.NEVER
-    assert document.past(2 * 8_000 + 1, "between") is Past.NEVER
-    assert document.past(2, "digest-1") is Past.FORGOTTEN
-    assert document.past(20_002, "later") is Past.NEVER
+    assert len(document.taken) == MAX_HISTORY
+    assert document.change_status(2 * 8_000, "digest-8000") is ChangeStatus.ACCEPTED
+    assert document.change_status(2 * 8_000, "another") is ChangeStatus.NOT_ACCEPTED
+    assert document.change_status(2 * 8_000 + 1, "between") is ChangeStatus.NOT_ACCEPTED
+    assert document.change_status(2, "digest-1") is ChangeStatus.UNKNOWN
+    assert document.change_status(20_002, "later") is ChangeStatus.NOT_ACCEPTED
 
 
 def test_what_a_write_costs_does_not_grow_with_the_history() -> None:
     sizes = []
     for changes in (1, 100, 10_000):
         change = document_of(changes).latest_change()
-        sizes.append((len(KINDS.encode(Write("a", "b", 3, change))), len(write_record(WriteRecord(change)))))
+        sizes.append((len(KINDS.encode(Write("a", "b", 3, change))), len(encode_record(WriteRecord(change)))))
     assert max(w for w, _ in sizes) - min(w for w, _ in sizes) <= 16
     assert max(r for _, r in sizes) - min(r for _, r in sizes) <= 16
-    everything = [len(write_record(whole(Memory("a", document=document_of(n))))) for n in (5_000, 10_000)]
-    assert abs(everything[0] - everything[1]) <= 8 * MOST_REMEMBERED  # versions and digests get longer digits
+    everything = [
+        len(encode_record(snapshot_record(DurableState("a", document=document_of(n)))))
+        for n in (5_000, 10_000)
+    ]
+    assert abs(everything[0] - everything[1]) <= 8 * MAX_HISTORY  # versions and digests get longer digits
 
 
 def test_records_of_writes_bring_back_the_whole_history() -> None:
-    memory, kept = Memory("a"), Memory("a")
+    durable_state, kept = DurableState("a"), DurableState("a")
     for number in range(1, 200):
-        memory.document = memory.document.after(3 * number, BODY, f"digest-{number}")
-        record = read_record(write_record(WriteRecord(memory.document.latest_change())))
-        apply(kept, record)
-        apply(kept, record)  # the same write may stand there twice
-    assert kept == memory
+        durable_state.document = durable_state.document.after(3 * number, BODY, f"digest-{number}")
+        record = decode_record(encode_record(WriteRecord(durable_state.document.latest_change())))
+        apply_record(kept, record)
+        apply_record(kept, record)  # the same write may stand there twice
+    assert kept == durable_state
 
 
 def test_a_write_that_does_not_follow_is_no_record() -> None:
-    memory = Memory("a", document=document_of(4))
+    durable_state = DurableState("a", document=document_of(4))
     later = document_of(6)
     with pytest.raises(ValueError, match="write 6 does not follow write 4"):
-        apply(memory, WriteRecord(later.latest_change()))
+        apply_record(durable_state, WriteRecord(later.latest_change()))
     other = replace(document_of(4), body=b"another")
     with pytest.raises(ValueError, match="write 4 does not follow write 4"):
-        apply(memory, WriteRecord(other.latest_change()))
-    assert memory.document == document_of(4)
+        apply_record(durable_state, WriteRecord(other.latest_change()))
+    assert durable_state.document == document_of(4)
 
 
 def test_records_of_the_release_before_are_read() -> None:
     """It logged the whole document with each write, with the last 512 changes."""
-    memory, document = Memory("a"), Document()
+    durable_state, document = DurableState("a"), Document()
     for number in range(1, 700):
         document = document.after(number, BODY, f"digest-{number}")
-        apply(memory, WriteRecord(replace(document, taken=document.taken[-512:])))
-    assert memory.document == document
+        apply_record(durable_state, WriteRecord(replace(document, taken=document.taken[-512:])))
+    assert durable_state.document == document
     before: Record = WholeRecord("a", 7, None, replace(document, taken=document.taken[-512:]))
-    apply(memory, before)
-    assert memory.document.past(100, "digest-100") is Past.FORGOTTEN
-    assert memory.document.past(600, "digest-600") is Past.TAKEN
+    apply_record(durable_state, before)
+    assert durable_state.document.change_status(100, "digest-100") is ChangeStatus.UNKNOWN
+    assert durable_state.document.change_status(600, "digest-600") is ChangeStatus.ACCEPTED
 
 
 def test_a_holder_takes_writes_of_a_leader_of_the_release_before() -> None:
     world = Lockstep()
     follower = world.replicas[1]
-    view = follower.memory.view
+    view = follower.durable_state.view
     assert view is not None
     document = Document()
     for number in range(1, 600):
         document = document.after(number, BODY, f"digest-{number}")
         sent = replace(document, taken=document.taken[-512:])
         world.hear(0, 1, Write("i0", "i1", view.epoch, sent))
-    assert world.disks[1].document == follower.memory.document == document
+    assert world.disks[1].document == follower.durable_state.document == document
 
 
 def put(number: int, token: int = 1) -> Put:
@@ -134,7 +145,7 @@
 
 
 def test_an_order_older_than_the_history_has_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(views, "MOST_REMEMBERED", 8)
+    monkeypatch.setattr(views, "MAX_HISTORY", 8)
     world = Lockstep()
     for number in range(1, 12):
         world.replicas[0].submit(put(number), world.now)
@@ -172,7 +183,7 @@
     machines: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Operators send changes of long ago once more, to any process, while machines come and go."""
-    monkeypatch.setattr(views, "MOST_REMEMBERED", most)
+    monkeypatch.setattr(views, "MAX_HISTORY", most)
     losses = (machines - 1) // 2
     shapes = [
         Shape(machines, losses, repeats=True),
--- a/tests/test_consensus_spread.py
+++ b/tests/test_consensus_spread.py
@@ -8,12 +8,12 @@
 
 from config.settings import CloudApi, Faults, Settings
 from consensus.effects import Spec
-from consensus.joining import Newcomers, Standing
-from consensus.membership import Add, Keep, Remove, Replace
+from consensus.joining import MembershipStatus, Newcomers
+from consensus.membership import Add, NoChange, Remove, Replace
 from consensus.messages import Join
 from consensus.replica import Replica
 from consensus.spread import Spread
-from consensus.views import Member, Memory, View
+from consensus.views import DurableState, Member, View
 from control.node import spec_of
 from mastturn.control_check.history import play
 from mastturn.control_check.shape import Shape
@@ -67,7 +67,7 @@
     """Newcomers that may be named in a view."""
     found = Newcomers(ONE_ZONE)
     for member in newcomers:
-        found.take(Join(member.identity, "", member, view.epoch), 0.0)
+        found.add(Join(member.identity, "", member, view.epoch), 0.0)
     return found
 
 
@@ -75,35 +75,35 @@
     *inside, newcomer = members("aabb")
     inside[2] = replace(inside[2], zone="a")
     view = View(5, 0, (0, 1), tuple(inside))
-    everybody = Standing(present=frozenset(range(3)))
+    everybody = MembershipStatus(present=frozenset(range(3)))
     newcomers = waiting(view, newcomer)
-    assert newcomers.change(view, everybody, 0.0) == Add(newcomer)
+    assert newcomers.due_change(view, everybody, 0.0) == Add(newcomer)
     wider = View(6, 0, (0, 1), (*inside, newcomer))
-    all_four = Standing(present=frozenset(range(4)))
-    assert newcomers.change(wider, all_four, 0.0) == Remove(1, 4)
+    all_four = MembershipStatus(present=frozenset(range(4)))
+    assert newcomers.due_change(wider, all_four, 0.0) == Remove(1, 4)
     after = View(7, 0, (0, 1), Remove(1, 4).members(wider))
     assert ONE_ZONE.excess(after.members) == 1  # two zones can't do better
-    assert newcomers.change(after, everybody, 0.0) == Keep()
+    assert newcomers.due_change(after, everybody, 0.0) == NoChange()
 
 
 def test_nobody_is_exchanged_while_one_may_be_lost_or_where_nothing_is_gained() -> None:
     *inside, newcomer = members("aabc")
     view = View(5, 0, (0, 1), tuple(inside))
     newcomers = waiting(view, newcomer)
-    assert newcomers.change(view, Standing(present=frozenset({0, 1})), 0.0) == Keep()
-    assert newcomers.change(view, Standing(present=frozenset({0, 1, 2})), 0.0) == Add(newcomer)
+    assert newcomers.due_change(view, MembershipStatus(present=frozenset({0, 1})), 0.0) == NoChange()
+    assert newcomers.due_change(view, MembershipStatus(present=frozenset({0, 1, 2})), 0.0) == Add(newcomer)
     apart = View(5, 0, (0, 1), tuple(members("abc")))
     other = replace(newcomer, zone="a")
-    everybody = Standing(present=frozenset(range(3)))
-    assert waiting(apart, other).change(apart, everybody, 0.0) == Keep()
+    everybody = MembershipStatus(present=frozenset(range(3)))
+    assert waiting(apart, other).due_change(apart, everybody, 0.0) == NoChange()
 
 
 def test_of_several_newcomers_the_one_that_spreads_best_comes_first() -> None:
     *inside, near, far = members("abcbc")
     view = View(5, 0, (0, 1), (*inside[:2], None))
-    assert waiting(view, near, far).change(view, Standing(), 0.0) == Replace(2, far)
+    assert waiting(view, near, far).due_change(view, MembershipStatus(), 0.0) == Replace(2, far)
     view = View(5, 0, (0, 1), tuple(inside))
-    assert waiting(view, near, far).change(view, Standing(dead=(2,)), 0.0) == Add(far)
+    assert waiting(view, near, far).due_change(view, MembershipStatus(dead=(2,)), 0.0) == Add(far)
 
 
 def test_where_zones_may_be_lost_there_are_slots_for_it() -> None:
@@ -126,10 +126,10 @@
 
 
 def heedless(
-    me: Member, memory: Memory, spec: Spec, seeds: tuple[str, ...], founder: bool, seed: int
+    me: Member, durable_state: DurableState, spec: Spec, seeds: tuple[str, ...], founder: bool, seed: int
 ) -> Replica:
     """A planted defect: a control process that takes members as they come."""
-    return Replica(me, memory, replace(spec, spread=Spread()), seeds, founder, seed)
+    return Replica(me, durable_state, replace(spec, spread=Spread()), seeds, founder, seed)
 
 
 def test_members_taken_as_they_come_do_not_bear_it() -> None:
--- a/tests/test_control_host_disk.py
+++ b/tests/test_control_host_disk.py
@@ -11,10 +11,10 @@
 
 from config.errors import DiskError
 from consensus import messages as control
-from consensus.codec import PromiseRecord, WriteRecord, whole, write_record
-from consensus.keeper import AGAIN_S, LOG_BYTES, STUCK_S, Keeper
+from consensus.codec import PromiseRecord, WriteRecord, encode_record, snapshot_record
+from consensus.keeper import MAX_LOG_BYTES, RETRY_S, SYNC_TIMEOUT_S, StateStore
 from consensus.slots import Loaded, Store
-from consensus.views import Document, Memory
+from consensus.views import Document, DurableState
 from control.node import TICK_S
 from tests.fabric import Process
 from tests.fabric_callers import configuration
@@ -31,7 +31,7 @@
         self.told: list[bool] = []
         self.done: list[int] = []
 
-    async def load(self, founder: bool = False) -> Keeper:
+    async def load(self, founder: bool = False) -> StateStore:
         """A keeper that has loaded, as a process of its own."""
         process = Process(self.world.network, "core-1", "10.1.0.1")
         process.machine = Machine(
@@ -39,31 +39,34 @@
         )
         process.machine.disk = self.disk
 
-        async def begin() -> Keeper:
-            keeper = Keeper("/disk", self.told.append)
+        async def begin() -> StateStore:
+            keeper = StateStore("/disk", self.told.append)
             await keeper.load(founder)
             return keeper
 
         return await self.world.loop.create_task(begin(), context=process.context)
 
-    def keep(self, keeper: Keeper, number: int) -> None:
+    def keep(self, keeper: StateStore, number: int) -> None:
         """Sync a write, as the machine does: the memory is changed first."""
-        keeper.memory.document = keeper.memory.document.after(number, b"", str(number))
-        assert keeper.memory.document.number == number
-        change = keeper.memory.document.latest_change()
-        keeper.keep(WriteRecord(change), lambda: self.done.append(number))
+        keeper.durable_state.document = keeper.durable_state.document.after(number, b"", str(number))
+        assert keeper.durable_state.document.number == number
+        change = keeper.durable_state.document.latest_change()
+        keeper.append(WriteRecord(change), lambda: self.done.append(number))
 
 
 def test_a_new_disk_gets_an_identity_that_stays() -> None:
     async def scene(world: World) -> None:
         bench = Bench(world)
         first = await bench.load(founder=True)
-        assert first.memory.identity.startswith("f")
+        assert first.durable_state.identity.startswith("f")
         again = await bench.load(founder=False)
-        assert again.memory.identity == first.memory.identity
+        assert again.durable_state.identity == first.durable_state.identity
         bench.disk.wipe()
         wiped = await bench.load(founder=False)
-        assert wiped.memory.identity.startswith("m") and wiped.memory.identity != first.memory.identity
+        assert (
+            wiped.durable_state.identity.startswith("m")
+            and wiped.durable_state.identity != first.durable_state.identity
+        )
 
     play(scene, starts=False)
 
@@ -77,12 +80,12 @@
         await world.wait(0.01)
         assert bench.done == [1]
         bench.keep(keeper, 2)
-        keeper.memory.promised = 7
-        keeper.keep(PromiseRecord(7), lambda: bench.done.append(7))
+        keeper.durable_state.promised = 7
+        keeper.append(PromiseRecord(7), lambda: bench.done.append(7))
         await world.wait(0.01)
         bench.disk.lose_power()
         again = await bench.load()
-        assert again.memory.document.number == 2 and again.memory.promised == 7
+        assert again.durable_state.document.number == 2 and again.durable_state.promised == 7
 
     play(scene, starts=False)
 
@@ -98,13 +101,13 @@
         bench.keep(keeper, 2)
         await world.wait(0.3)
         bench.disk.is_full = False
-        await world.wait(2 * AGAIN_S)
+        await world.wait(2 * RETRY_S)
         assert bench.told == [False, True] and bench.done == []
         bench.keep(keeper, 3)
         await world.wait(0.01)
         assert bench.done == [3]
         again = await bench.load()
-        assert again.memory.document.number == 3
+        assert again.durable_state.document.number == 3
 
     play(scene, starts=False)
 
@@ -119,14 +122,14 @@
         bench.keep(keeper, 1)
         await world.wait(0.05)
         bench.disk.is_full = False
-        keeper.memory.promised = 4
-        keeper.keep(PromiseRecord(4), lambda: bench.done.append(4))
+        keeper.durable_state.promised = 4
+        keeper.append(PromiseRecord(4), lambda: bench.done.append(4))
         await world.wait(0.01)
         assert bench.done == []
-        await world.wait(2 * AGAIN_S)
+        await world.wait(2 * RETRY_S)
         assert bench.done == []
         again = await bench.load()
-        assert again.memory.document.number == 1 and again.memory.promised == 4
+        assert again.durable_state.document.number == 1 and again.durable_state.promised == 4
 
     play(scene, starts=False)
 
@@ -163,11 +166,11 @@
         assert at - times[0] >= sync_ms, f"{who} answers {whom} after {at - times[0]:.0f} ms"
 
 
-async def look_for(world: World, keeper: Keeper, seconds: float) -> None:
+async def look_for(world: World, keeper: StateStore, seconds: float) -> None:
     """Look as often as the host does, so that the time is not taken for a stall of the process."""
     for _ in range(round(seconds / TICK_S) + 1):
         await world.wait(TICK_S)
-        keeper.look()
+        keeper.check_health()
 
 
 def test_a_sync_that_hangs_is_told_and_goes_on() -> None:
@@ -176,9 +179,9 @@
         keeper = await bench.load()
         bench.disk.hang(True)
         bench.keep(keeper, 1)
-        await look_for(world, keeper, STUCK_S / 2)
+        await look_for(world, keeper, SYNC_TIMEOUT_S / 2)
         assert bench.told == []
-        await look_for(world, keeper, STUCK_S)
+        await look_for(world, keeper, SYNC_TIMEOUT_S)
         assert bench.told == [False] and not keeper.is_idle()
         bench.disk.hang(False)
         await world.wait(0.05)
@@ -193,11 +196,11 @@
         keeper = await bench.load()
         bench.disk.hang(True)
         bench.keep(keeper, 1)
-        await look_for(world, keeper, STUCK_S / 2)
-        await world.wait(2 * STUCK_S)  # nothing runs
-        keeper.look()
+        await look_for(world, keeper, SYNC_TIMEOUT_S / 2)
+        await world.wait(2 * SYNC_TIMEOUT_S)  # nothing runs
+        keeper.check_health()
         assert bench.told == []
-        await look_for(world, keeper, STUCK_S)
+        await look_for(world, keeper, SYNC_TIMEOUT_S)
         assert bench.told == [False]
 
     play(scene, starts=False)
@@ -234,17 +237,17 @@
             mock.patch("consensus.keeper.DiskQueue", lambda store: queue),
             mock.patch("consensus.keeper.OsFiles", Disk),
         ):
-            keeper = Keeper("/disk", told.append)
+            keeper = StateStore("/disk", told.append)
         loading = asyncio.create_task(keeper.load(False))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         queue.given[-1][1].set_result(None)
         await loading
-        queue.log_bytes = LOG_BYTES + 1
-        keeper.keep(PromiseRecord(1), lambda: None)
+        queue.log_bytes = MAX_LOG_BYTES + 1
+        keeper.append(PromiseRecord(1), lambda: None)
         queue.log_bytes = 0
         await asyncio.sleep(0)
-        keeper.keep(PromiseRecord(2), lambda: told.append(True))
+        keeper.append(PromiseRecord(2), lambda: told.append(True))
         (_, first), (_, fold), (_, second) = queue.given[-3:]
         first.set_result(None)
         fold.set_result(None)
@@ -271,9 +274,9 @@
 
         async def writes() -> None:
             for number in range(1, 100):
-                keeper.memory.document = keeper.memory.document.after(number, body, str(number))
-                change = keeper.memory.document.latest_change()
-                keeper.keep(WriteRecord(change), lambda n=number: bench.done.append(n))  # type: ignore[misc]
+                keeper.durable_state.document = keeper.durable_state.document.after(number, body, str(number))
+                change = keeper.durable_state.document.latest_change()
+                keeper.append(WriteRecord(change), lambda n=number: bench.done.append(n))  # type: ignore[misc]
                 await asyncio.sleep(0.0004)
 
         writing = asyncio.create_task(writes())
@@ -282,12 +285,12 @@
         await world.wait(0.03)
         bench.disk.is_full = False
         await writing
-        await world.wait(3 * AGAIN_S)
-        assert keeper._well and keeper._mending is None
+        await world.wait(3 * RETRY_S)
+        assert keeper._is_healthy and keeper._rewrite_task is None
         bench.keep(keeper, 100)
         await world.wait(0.01)
         assert bench.done[-1] == 100
-        loaded = (await bench.load()).memory.document
+        loaded = (await bench.load()).durable_state.document
         assert loaded.number == 100 and [t.ver for t in loaded.taken] == list(range(1, 101))
 
     play(scene, starts=False)
@@ -301,13 +304,15 @@
             bench = Bench(world)
             store = Store.open(Path("/disk"), bench.disk)
             store.load()
-            memory = Memory("mold", 9, None, Document(3, 3))
-            store.checkpoint(b"\0\1\2" if damage == "state" else write_record(whole(memory)))
-            store.append(write_record(PromiseRecord(12)) if damage == "state" else b"\7\7\7")
+            durable_state = DurableState("mold", 9, None, Document(3, 3))
+            store.checkpoint(
+                b"\0\1\2" if damage == "state" else encode_record(snapshot_record(durable_state))
+            )
+            store.append(encode_record(PromiseRecord(12)) if damage == "state" else b"\7\7\7")
             keeper = await bench.load(founder=True)
-            assert keeper.memory.identity not in ("", "mold")
-            assert keeper.memory.identity.startswith("m")  # whoever had a memory makes no first view
-            assert keeper.memory.promised == 0 and keeper.memory.document.number == 0
+            assert keeper.durable_state.identity not in ("", "mold")
+            assert keeper.durable_state.identity.startswith("m")  # whoever had a memory makes no first view
+            assert keeper.durable_state.promised == 0 and keeper.durable_state.document.number == 0
 
     play(scene, starts=False)
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -33,7 +33,7 @@
 from config.errors import DiskError, FleetError, InvalidConfigurationError, SettingsError, WireError
 from config.settings import parse
 from consensus import messages as control
-from consensus.codec import RECORDS, read_record, revive
+from consensus.codec import RECORDS, decode_nested, decode_record
 from consensus.files import OsFiles
 from consensus.slots import Store
 from control.operators import CALLS
@@ -108,7 +108,7 @@
         return
     if kinds is not BETWEEN or isinstance(message, control.Message):
         try:
-            message = revive(message)
+            message = decode_nested(message)
         except (ValueError, KeyError, TypeError):
             return  # `ControlNode._heard` ends the connection
     kinds.encode(message)  # what was taken is passed on, or told again
@@ -197,7 +197,7 @@
     good = RECORDS.encode(data.draw(any_message(RECORDS)))
     raw = data.draw(st.one_of(st.binary(max_size=80), spoilt(good)))
     with suppress(WireError, IndexError, ValueError, KeyError, TypeError):  # it counts as a new process then
-        read_record(raw)
+        decode_record(raw)
 
 
 @LIMITS
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -10,7 +10,7 @@
 
 from balancer.wire import read_handle
 from config.checking import parse_upstreams
-from consensus.codec import revive
+from consensus.codec import decode_nested
 from consensus.messages import KINDS, Known
 from consensus.views import Member, View
 from control.platform import PlatformError, PlatformList
@@ -68,10 +68,10 @@
     view = View(3, 0, (0,), (Member("m0", "core-1", "10.0.0.1", 7720, "", "a"),))
     (frame,) = FrameReader().feed(KINDS.encode(Known("m0", "m1", view, 3)))
     known = KINDS.decode(frame.number, frame.body)
-    assert revive(known).view == view
+    assert decode_nested(known).view == view
     known.view["members"][0]["port"] = port  # as Avro's reader gives it, whatever its type is
     with pytest.raises(ValueError, match="is none"):
-        revive(known)
+        decode_nested(known)
 
 
 def test_drains_in_a_body_that_is_nested_without_end_drain_nobody() -> None:
--- a/tests/test_mastturnd_cli_commands.py
+++ b/tests/test_mastturnd_cli_commands.py
@@ -17,10 +17,10 @@
 from config import settings as settings_file
 from config.checking import ConfigurationReader
 from config.patching import apply_patch, parse_patch
-from consensus.codec import whole, write_record
+from consensus.codec import encode_record, snapshot_record
 from consensus.files import OsFiles
 from consensus.slots import Store
-from consensus.views import Document, Member, Memory, View
+from consensus.views import Document, DurableState, Member, View
 from mastturnd import __main__ as mastturnd
 from mastturnd import asking, configuring, explaining, fleet_status, tracing
 from mastturnd.tables import table
@@ -511,14 +511,14 @@
 
 def _disk(folder: Path, holders: tuple[int, ...]) -> None:
     members = tuple(Member(f"m{i}", f"core-{i}", f"10.0.0.{i}", 7720, "", "a") for i in range(3))
-    memory = Memory("m0", 4, View(4, holders[0], holders, members))
+    durable_state = DurableState("m0", 4, View(4, holders[0], holders, members))
     if 0 in holders:
-        memory.document = Document(3, 9, configuration(9))
+        durable_state.document = Document(3, 9, configuration(9))
     folder.mkdir()
     store = Store.open(folder, OsFiles())
     store.load()
     for _ in range(2):  # so that both slots have been written
-        store.checkpoint(write_record(whole(memory)))
+        store.checkpoint(encode_record(snapshot_record(durable_state)))
 
 
 def test_the_configuration_is_read_off_one_disk_and_the_disk_stays_as_it_is(
--- a/tests/test_memory_shortage.py
+++ b/tests/test_memory_shortage.py
@@ -13,10 +13,10 @@
 import pytest
 
 from consensus import disk_queue
-from consensus.codec import PromiseRecord, Record, write_record
+from consensus.codec import PromiseRecord, Record, encode_record
 from consensus.disk_queue import DiskQueue
 from consensus.files import OsFiles
-from consensus.keeper import Keeper
+from consensus.keeper import StateStore
 from consensus.slots import Store
 from tests.loopback import run, until
 
@@ -36,7 +36,7 @@
 @pytest.fixture
 def short(monkeypatch: pytest.MonkeyPatch) -> type[ShortFiles]:
     monkeypatch.setattr("consensus.keeper.OsFiles", ShortFiles)
-    monkeypatch.setattr("consensus.keeper.AGAIN_S", 0.01)
+    monkeypatch.setattr("consensus.keeper.RETRY_S", 0.01)
     ShortFiles.failing = 0
     return ShortFiles
 
@@ -47,18 +47,18 @@
 ) -> None:
     async def test() -> None:
         told: list[bool] = []
-        keeper = Keeper(str(tmp_path), told.append)
+        keeper = StateStore(str(tmp_path), told.append)
         await keeper.load(True)
         short.failing = failing
         done: list[int] = []
-        keeper.memory.promised = 4
-        keeper.keep(PromiseRecord(4), lambda: done.append(4))
+        keeper.durable_state.promised = 4
+        keeper.append(PromiseRecord(4), lambda: done.append(4))
         await until(lambda: told[-1:] == [True])
         assert told == [False, True] and done == []  # what was refused is not told as kept
-        keeper.memory.promised = 5
-        keeper.keep(PromiseRecord(5), lambda: done.append(5))
+        keeper.durable_state.promised = 5
+        keeper.append(PromiseRecord(5), lambda: done.append(5))
         await until(lambda: done == [5])
-        kept = await Keeper(str(tmp_path), told.append).load(False)
+        kept = await StateStore(str(tmp_path), told.append).load(False)
         assert kept.promised == 5
 
     run(test())
@@ -68,14 +68,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     failing = [True]
-    group = DiskQueue._group
+    group = DiskQueue._collect_group
 
     def without_memory(self: DiskQueue, first: disk_queue._Append) -> list[disk_queue._Append]:
         if failing.pop() if failing else False:
             raise MemoryError
         return group(self, first)
 
-    monkeypatch.setattr(DiskQueue, "_group", without_memory)
+    monkeypatch.setattr(DiskQueue, "_collect_group", without_memory)
 
     async def test() -> None:
         queue = DiskQueue(Store.open(tmp_path, OsFiles()))
@@ -101,18 +101,18 @@
         if isinstance(record, PromiseRecord) and failing:
             failing.clear()
             raise MemoryError
-        return write_record(record)
+        return encode_record(record)
 
     async def test() -> None:
         told: list[bool] = []
-        keeper = Keeper(str(tmp_path), told.append)
+        keeper = StateStore(str(tmp_path), told.append)
         await keeper.load(True)
-        monkeypatch.setattr("consensus.keeper.write_record", without_memory)
+        monkeypatch.setattr("consensus.keeper.encode_record", without_memory)
         done: list[int] = []
-        keeper.keep(PromiseRecord(4), lambda: done.append(4))
+        keeper.append(PromiseRecord(4), lambda: done.append(4))
         assert told == [False]
         await until(lambda: told == [False, True])
-        keeper.keep(PromiseRecord(5), lambda: done.append(5))
+        keeper.append(PromiseRecord(5), lambda: done.append(5))
         await until(lambda: done == [5])
 
     run(test())
--- a/tests/test_patching.py
+++ b/tests/test_patching.py
@@ -117,7 +117,7 @@
 def kept(world: World) -> set[bytes]:
     """The bodies that the holders of the data keep."""
     replicas = [world.node(m.name)._replica for m in world.cores() if world.running(m)]
-    return {r.memory.document.body for r in replicas if r is not None and r.memory.is_holder()}
+    return {r.durable_state.document.body for r in replicas if r is not None and r.durable_state.is_holder()}
 
 
 def change(ver: int, *names: str, **more: Any) -> dict[str, Any]:
--- a/tests/test_replica_exchanges.py
+++ b/tests/test_replica_exchanges.py
@@ -5,10 +5,10 @@
 from dataclasses import replace
 
 from consensus.effects import Verdict
-from consensus.joining import Newcomers, Standing
-from consensus.membership import Add, Keep, Remove, Replace
+from consensus.joining import MembershipStatus, Newcomers
+from consensus.membership import Add, NoChange, Remove, Replace
 from consensus.messages import Ask, Beat, Install, Join, Leaving, Prepare, Promised, Succeed, Written
-from consensus.patience import Patience
+from consensus.patience import TimeoutBackoff
 from consensus.primary import Get, Put
 from consensus.spread import Spread
 from consensus.views import Member, View
@@ -58,8 +58,10 @@
     world.lost = {"Installed", "Install"}
     world.cuts = {(0, 1), (0, 2)}
     world.run(700.0)
-    assert world.replicas[1].memory.view is not None and world.replicas[1].memory.view.epoch == 2
-    world.replicas[1].disk(False)
+    assert (
+        world.replicas[1].durable_state.view is not None and world.replicas[1].durable_state.view.epoch == 2
+    )
+    world.replicas[1].on_disk_health(False)
     world.run(1_000.0)
     world.lost, world.cuts = set(), set()
     world.run(1_500.0)
@@ -73,7 +75,7 @@
     world.lost = {"Installed"}
     world.run(900.0)
     assert {line for line in world.lines if "Install " in line} == {"1 -> 2 Install 2"}
-    view = world.replicas[2].memory.view
+    view = world.replicas[2].durable_state.view
     assert view is not None and view.epoch == 2 and view.holders == (1, 2)
     world.frozen, world.lost = {1}, set()  # 2 holds the data, and so can go on
     world.run(1_500.0)
@@ -113,7 +115,7 @@
     world.settle()
     world.run(500.0)
     assert "0 -> 1 Succeed 1" in world.lines and world.primary() == 1
-    assert world.replicas[1].memory.document.ver == 3  # it has the write
+    assert world.replicas[1].durable_state.document.ver == 3  # it has the write
 
 
 def test_a_process_that_was_given_up_gives_up_its_slot_and_comes_back() -> None:
@@ -125,60 +127,62 @@
     world.boot(3)
     world.cuts |= {(2, 3), (3, 2)}
     world.run(2_500.0)
-    view = world.replicas[0].memory.view
+    view = world.replicas[0].durable_state.view
     assert view is not None and view.slot_of("i3") == 2 and view.slot_of("i2") is None
-    assert world.replicas[2].memory.slot() == 2  # it has not heard of it
+    assert world.replicas[2].durable_state.slot() == 2  # it has not heard of it
     world.cuts = set()
     world.run(600.0)
-    assert world.replicas[2].memory.view is None and world.synced(2)
+    assert world.replicas[2].durable_state.view is None and world.synced(2)
     assert world.disks[2].promised >= view.epoch
     assert "2 -> 0 Join" in world.lines
     world.frozen = {3}
     world.run(2_500.0)
-    again = world.replicas[0].memory.view
-    assert again is not None and again.slot_of("i2") == 2 and world.replicas[2].memory.slot() == 2
+    again = world.replicas[0].durable_state.view
+    assert again is not None and again.slot_of("i2") == 2 and world.replicas[2].durable_state.slot() == 2
 
 
 def test_nobody_is_named_who_has_not_promised_the_view_in_force() -> None:
     member = Member("n", "core-9", "10.0.9.1", 7700, "")
     view = View(5, 0, (0, 1), (Member("a", "a", "1", 1, ""), Member("b", "b", "2", 1, ""), None))
     newcomers = Newcomers(Spread())
-    newcomers.take(Join("n", "", member, 4), 0.0)
-    assert newcomers.change(view, Standing(), 0.0) == Keep()
-    newcomers.take(Join("n", "", member, 5), 0.0)
-    assert newcomers.change(view, Standing(), 0.0) == Replace(2, member)
+    newcomers.add(Join("n", "", member, 4), 0.0)
+    assert newcomers.due_change(view, MembershipStatus(), 0.0) == NoChange()
+    newcomers.add(Join("n", "", member, 5), 0.0)
+    assert newcomers.due_change(view, MembershipStatus(), 0.0) == Replace(2, member)
 
 
 def test_a_slot_goes_to_the_latest_process_of_a_machine_and_from_the_longest_silent() -> None:
     view = View(5, 0, (0, 1), tuple(Member(f"i{i}", f"core-{i}", ip(i), 1, "") for i in range(3)))
     newcomers = Newcomers(Spread())
     old, new = (Member(i, "core-2", ip(2), 1, "") for i in ("old", "new"))
-    newcomers.take(Join("old", "", old, 5), 0.0)
-    newcomers.take(Join("new", "", new, 5), 1.0)
-    assert newcomers.members() == [new] and newcomers.change(view, Standing(), 0.0) == Replace(2, new)
+    newcomers.add(Join("old", "", old, 5), 0.0)
+    newcomers.add(Join("new", "", new, 5), 1.0)
+    assert newcomers.members() == [new] and newcomers.due_change(view, MembershipStatus(), 0.0) == Replace(
+        2, new
+    )
     other = Member("x", "core-7", ip(7), 1, "")
     newcomers = Newcomers(Spread())
-    newcomers.take(Join("x", "", other, 5), 0.0)
-    assert newcomers.change(view, Standing(dead=(2, 1)), 0.0) == Add(other)
+    newcomers.add(Join("x", "", other, 5), 0.0)
+    assert newcomers.due_change(view, MembershipStatus(dead=(2, 1)), 0.0) == Add(other)
     added = replace(view, members=(*view.members, other))
     present = frozenset({0, 1, 2, 3})
-    assert newcomers.change(added, Standing((2, 1), present=present), 0.0) == Remove(2, 4)
+    assert newcomers.due_change(added, MembershipStatus((2, 1), present=present), 0.0) == Remove(2, 4)
 
 
 def test_an_old_install_names_nobody_again() -> None:
     """A view in force that comes late: the newcomer has promised a later one."""
     world = Lockstep()
     newcomer = Member("i3", "core-3", ip(3), 7700, f"{ip(3)}:8166", "z3")
-    first = world.replicas[0].memory.view
+    first = world.replicas[0].durable_state.view
     assert first is not None
     world.disks[3] = world.disks[2].__class__("i3")
     world.boot(3)
     world.run(300.0)
-    promised = world.replicas[3].memory.promised
+    promised = world.replicas[3].durable_state.promised
     assert promised == 1 and world.disks[3].promised == 1
     older = replace(first, epoch=0, members=(*first.members[:2], newcomer))
     world.hear(0, 3, Install("i0", "i3", older, None, True))
-    assert world.replicas[3].memory.view is None
+    assert world.replicas[3].durable_state.view is None
 
 
 def test_a_late_refusal_of_an_earlier_write_changes_no_view() -> None:
@@ -209,7 +213,7 @@
 
 def test_a_write_is_sent_again_less_and_less_often_and_never_to_oneself() -> None:
     world = Lockstep()
-    world.replicas[0].candidate.patience.lose(world.now)
+    world.replicas[0].candidate.timeout_backoff.increase(world.now)
     world.hangs = {0}
     world.lost = {"Write"}
     assert world.replicas[0].primary is not None
@@ -226,7 +230,7 @@
     world = Lockstep()
     world.lost = {"Written"}
     world.replicas[0].submit(PUT, world.now)
-    world.replicas[0].hear(ip(1), Written("i1", "i0", 1, 1, True, 1), world.now)
+    world.replicas[0].on_message(ip(1), Written("i1", "i0", 1, 1, True, 1), world.now)
     world.settle()
     assert world.lines[-1] == "0 answers done"
 
@@ -236,7 +240,7 @@
     primary = world.replicas[0].primary
     assert primary is not None
     primary.heard_at = {0: world.now, 1: world.now - 2_000.0, 2: world.now - 3_000.0}
-    assert primary.silent(world.now, 1_500.0) == [2, 1]
+    assert primary.silent_slots(world.now, 1_500.0) == [2, 1]
 
 
 def test_a_primary_that_changes_the_view_says_that_it_goes_on() -> None:
@@ -268,14 +272,14 @@
     world = Lockstep()
     world.hear(1, 0, Leaving("i1", "i0"))
     world.run(300.0)
-    view = world.replicas[0].memory.view
+    view = world.replicas[0].durable_state.view
     assert view is not None and 1 not in view.holders
     before = world.epoch()
     world.hear(2, 0, Leaving("i2", "i0"))
     world.run(2_000.0)
     assert world.epoch() <= before + 1  # with nobody left to take its place the view stays
     world.run(11_000.0)
-    assert not world.replicas[0]._leavers.identities()
+    assert not world.replicas[0]._leaving_members.identities()
 
 
 def test_a_primary_that_hears_nothing_still_names_its_successor() -> None:
@@ -364,7 +368,7 @@
     assert campaign is not None and campaign.view is not None
     world.frozen = {1}
     world.now += 5_000.0
-    campaign.installed |= set(campaign.view.holders)
+    campaign.installed_slots |= set(campaign.view.holders)
     campaign.stage = campaign.stage.__class__.WON
     world.frozen = set()
     world.hear(2, 1, Promised("i2", "i1", 2, True, 2, None))
@@ -378,34 +382,44 @@
     world.hear(1, 2, Prepare("i1", "i2", 2))  # meant for the one of before
     world.hear(1, 2, Prepare("i1", "j2", 2))
     world.hear(1, 2, Install("i1", "j2", View(2, 1, (1,), (None, None, None)), None, False))
-    assert world.replicas[2].memory.promised == 0 and world.replicas[2].memory.view is None
+    assert world.replicas[2].durable_state.promised == 0 and world.replicas[2].durable_state.view is None
     world.cuts = set()
     world.run(800.0)
-    view = world.replicas[0].memory.view
-    assert view is not None and view.slot_of("j2") == 2 and world.replicas[2].memory.view == view
+    view = world.replicas[0].durable_state.view
+    assert view is not None and view.slot_of("j2") == 2 and world.replicas[2].durable_state.view == view
 
 
 def test_a_wiped_process_whose_seeds_are_gone_asks_whoever_speaks_to_its_predecessor() -> None:
     world = Lockstep()
     world.wipe(2, "j2")
-    world.replicas[2].follow_seeds(("10.0.77.1",))
+    world.replicas[2].set_seeds(("10.0.77.1",))
     world.hear(0, 2, Beat("i0", "i2", 1, 1))
     world.run(700.0)
-    assert world.replicas[2].memory.slot() == 2
+    assert world.replicas[2].durable_state.slot() == 2
 
 
 def test_a_term_that_began_in_troubled_times_does_not_stay_patient_with_its_disk() -> None:
     """Found in histories: a write on a hanging disk waited 1.4 s, nine seconds after the trouble before."""
     world = Lockstep()
     for _ in range(2):
-        world.replicas[0].candidate.patience.lose(world.now)
-    world.replicas[0].candidate.run(world.replicas[0].memory.view, world.now, True, Keep(), frozenset())  # type: ignore[arg-type]
+        world.replicas[0].candidate.timeout_backoff.increase(world.now)
+    world.replicas[0].candidate.start_campaign(
+        world.replicas[0].durable_state.view,  # type: ignore[arg-type]
+        world.now,
+        True,
+        NoChange(),
+        frozenset(),
+    )
     world.settle()
     world.run(300.0)
     leading = world.replicas[0].primary
-    assert leading is not None and leading.view.epoch == 2 and leading.write_ms == 4 * world.spec.write_ms
+    assert (
+        leading is not None
+        and leading.view.epoch == 2
+        and leading.write_ms == 4 * world.spec.write_timeout_ms
+    )
     world.run(11_000.0)
-    assert leading.write_ms == world.spec.write_ms
+    assert leading.write_ms == world.spec.write_timeout_ms
     world.hangs = {0}
     world.replicas[0].submit(PUT, world.now)
     world.settle()
@@ -422,8 +436,8 @@
         world.run(25.0)
     campaign = world.replicas[1].candidate.campaign
     assert campaign is not None
-    world.run(campaign.stage_at + world.spec.stage_ms - world.now)
-    world.hear(2, 1, Promised("i2", "i1", 2, True, 2, world.replicas[2].memory.view))
+    world.run(campaign.stage_at + world.spec.stage_timeout_ms - world.now)
+    world.hear(2, 1, Promised("i2", "i1", 2, True, 2, world.replicas[2].durable_state.view))
     world.lost = set()
     world.now += 10.0
     world.replicas[1].tick(world.now)
@@ -433,10 +447,10 @@
 
 
 def test_patience_grows_with_each_wait_in_vain_and_eases() -> None:
-    patience = Patience()
+    patience = TimeoutBackoff()
     factors = []
     for at in (0.0, 1_000.0, 2_000.0, 3_000.0, 4_000.0):
         factors.append(patience.factor(at))
-        patience.lose(at)
+        patience.increase(at)
     assert factors == [1.0, 2.0, 4.0, 8.0, 8.0]
     assert [patience.factor(4_000.0 + after) for after in (4_900.0, 5_100.0, 30_000.0)] == [8.0, 4.0, 1.0]
--- a/tests/test_replica_messages.py
+++ b/tests/test_replica_messages.py
@@ -11,11 +11,11 @@
     ViewRecord,
     WholeRecord,
     WriteRecord,
-    apply,
-    read_record,
-    revive,
-    whole,
-    write_record,
+    apply_record,
+    decode_nested,
+    decode_record,
+    encode_record,
+    snapshot_record,
 )
 from consensus.messages import (
     KINDS,
@@ -36,13 +36,13 @@
     Write,
     Written,
 )
-from consensus.views import Document, Member, Memory, Taken, View
+from consensus.views import AcceptedVersion, Document, DurableState, Member, View
 from transport.wire import FrameReader
 
 A = Member("a", "core-a", "10.0.0.1", 7700, "10.0.0.1:8166", "hall-a")
 B = Member("b", "core-b", "10.0.1.1", 7700, "10.0.1.1:8166")
 VIEW = View(3, 0, (0, 2), (A, None, B))
-DOCUMENT = Document(2, 9, b"\0{}", (Taken(4, "x"), Taken(9, "y")))
+DOCUMENT = Document(2, 9, b"\0{}", (AcceptedVersion(4, "x"), AcceptedVersion(9, "y")))
 
 MESSAGES: list[Message] = [
     Ask("a", "b", 4, True),
@@ -76,30 +76,30 @@
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
 def test_a_message_is_read_back_as_it_was(message: Message) -> None:
     frame = FrameReader().feed(KINDS.encode(message))[0]
-    assert revive(KINDS.decode(frame.number, frame.body)) == message
+    assert decode_nested(KINDS.decode(frame.number, frame.body)) == message
 
 
 @pytest.mark.parametrize("record", RECORDS, ids=lambda r: type(r).__name__)
 def test_a_record_is_read_back_as_it_was(record: Record) -> None:
-    assert read_record(write_record(record)) == record
+    assert decode_record(encode_record(record)) == record
 
 
 def test_a_view_that_names_a_slot_which_it_does_not_have_is_refused() -> None:
     for view in (View(3, 1, (0, 2), (A, None, B)), View(3, 0, (0, 3), (A, None, B))):
         frame = FrameReader().feed(KINDS.encode(Known("a", "c", view, 3)))[0]
         with pytest.raises((ValueError, WireError)):
-            revive(KINDS.decode(frame.number, frame.body))
+            decode_nested(KINDS.decode(frame.number, frame.body))
 
 
 def test_records_bring_a_memory_to_where_it_stood() -> None:
-    memory = Memory("a")
+    durable_state = DurableState("a")
     for record in (PromiseRecord(3), ViewRecord(VIEW, DOCUMENT), PromiseRecord(5), PromiseRecord(4)):
-        apply(memory, record)
-    later = Document(3, 11, b"", (*DOCUMENT.taken, Taken(11, "z")))
-    apply(memory, WriteRecord(later))
-    assert whole(memory) == WholeRecord("a", 5, VIEW, later)
-    apply(memory, ViewRecord(View(6, 2, (0, 2), (A, None, B)), None))
-    assert memory.promised == 6 and memory.document == later  # a view in itself changes no data
-    copy = Memory("b")
-    apply(copy, whole(memory))
-    assert copy == memory
+        apply_record(durable_state, record)
+    later = Document(3, 11, b"", (*DOCUMENT.taken, AcceptedVersion(11, "z")))
+    apply_record(durable_state, WriteRecord(later))
+    assert snapshot_record(durable_state) == WholeRecord("a", 5, VIEW, later)
+    apply_record(durable_state, ViewRecord(View(6, 2, (0, 2), (A, None, B)), None))
+    assert durable_state.promised == 6 and durable_state.document == later  # a view in itself changes no data
+    copy = DurableState("b")
+    apply_record(copy, snapshot_record(durable_state))
+    assert copy == durable_state
--- a/tests/test_replica_stalls.py
+++ b/tests/test_replica_stalls.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from consensus.awake_clock import MOST_STALL_MS, AwakeClock
+from consensus.awake_clock import MAX_STALL_MS, AwakeClock
 from consensus.effects import Lead
-from consensus.failure_detector import LONGEST_MS, REMEMBERED_MS, SPAN_MS, FailureDetector
+from consensus.failure_detector import BUCKET_MS, MAX_TIMEOUT_MS, RETENTION_MS, FailureDetector
 from mastturn.control_check.history import play_all
 from mastturn.control_check.machine import Machine
 from mastturn.control_check.network import Air
@@ -70,29 +70,29 @@
     assert [clock.read(at) for at in (1_000.0, 1_030.0, 1_060.0)] == [1_000.0, 1_030.0, 1_060.0]
     assert clock.read(1_860.0) == 1_060.0 and told == [(800.0, 1_060.0)]
     assert clock.read(1_890.0) == 1_090.0
-    assert clock.read(1_890.0 + MOST_STALL_MS + 1) == 1_090.0 + MOST_STALL_MS + 1
+    assert clock.read(1_890.0 + MAX_STALL_MS + 1) == 1_090.0 + MAX_STALL_MS + 1
     assert len(told) == 1
 
 
 def test_a_detector_follows_silences_that_come_again_up_to_a_bound_and_forgets_them() -> None:
     detector = FailureDetector(USUAL_MS, BEAT_MS)
     for beat in range(20):
-        detector.beat("i1 4", beat * BEAT_MS)
+        detector.on_heartbeat("i1 4", beat * BEAT_MS)
     assert detector.timeout_ms(3_000.0) == USUAL_MS
-    detector.stalled(900.0, 4_000.0)
+    detector.on_stall(900.0, 4_000.0)
     assert detector.timeout_ms(4_000.0) == USUAL_MS  # once: a machine may have been stopped
-    detector.stalled(850.0, 4_000.0 + SPAN_MS)
+    detector.on_stall(850.0, 4_000.0 + BUCKET_MS)
     assert detector.timeout_ms(20_000.0) == pytest.approx(1.1 * (850.0 + BEAT_MS))
     for stall in range(3):
-        detector.stalled(9_000.0, 30_000.0 + stall * SPAN_MS)
-    assert detector.timeout_ms(60_000.0) == LONGEST_MS
-    assert detector.timeout_ms(60_000.0 + REMEMBERED_MS) == USUAL_MS
+        detector.on_stall(9_000.0, 30_000.0 + stall * BUCKET_MS)
+    assert detector.timeout_ms(60_000.0) == MAX_TIMEOUT_MS
+    assert detector.timeout_ms(60_000.0 + RETENTION_MS) == USUAL_MS
 
 
 def test_pauses_between_two_leaders_are_not_those_of_either() -> None:
     detector = FailureDetector(USUAL_MS, BEAT_MS)
     for span in range(3):
-        now = span * SPAN_MS
-        detector.beat(f"i1 {span}", now)
-        detector.beat(f"i2 {span}", now + 1_500.0)
-    assert detector.timeout_ms(3 * SPAN_MS) == USUAL_MS
+        now = span * BUCKET_MS
+        detector.on_heartbeat(f"i1 {span}", now)
+        detector.on_heartbeat(f"i2 {span}", now + 1_500.0)
+    assert detector.timeout_ms(3 * BUCKET_MS) == USUAL_MS
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -21,10 +21,10 @@
 import pytest
 
 from config.errors import DiskError
-from consensus.disk_queue import MOST_GROUP_BYTES, DiskQueue
+from consensus.disk_queue import MAX_GROUP_BYTES, DiskQueue
 from consensus.files import Files, OsFiles
 from consensus.slots import _CHAIN as CHAIN
-from consensus.slots import MOST_RECORD_BYTES, Loaded, Store
+from consensus.slots import MAX_RECORD_BYTES, Loaded, Store
 from consensus.slots import _frame as frame_of
 
 FOLDER = Path("/data")
@@ -274,20 +274,20 @@
     assert run.kept == (STEPS[-2], (b"d1",))
     loaded = Store.open(FOLDER, run.disk.after_kill()).load()
     assert (loaded.generation, loaded.state, loaded.records) == (4, STEPS[-2], (b"d1",))
-    assert loaded.synced and not loaded.fresh
+    assert loaded.synced and not loaded.is_fresh
     assert run.disk.pending == {}
 
 
 def test_a_fresh_disk_says_so() -> None:
     loaded = Store.open(FOLDER, Disk()).load()
     assert loaded == Loaded(0, None, (), True)
-    assert loaded.fresh
+    assert loaded.is_fresh
 
 
 @pytest.mark.parametrize("steps", [[(b"a",)], [b""], [b"s"], [b"s", (b"a",)]])
 def test_a_disk_with_anything_kept_is_not_fresh(steps: list[Step]) -> None:
     run = run_until(None, steps)
-    assert not Store.open(FOLDER, run.disk.after_kill()).load().fresh
+    assert not Store.open(FOLDER, run.disk.after_kill()).load().is_fresh
 
 
 def test_the_rules_of_the_disk_are_played() -> None:
@@ -588,7 +588,7 @@
     whole = run_until(None, [b"one"]).disk.seen["slot.1"]
     for length in range(len(whole)):
         loaded = Store.open(FOLDER, Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]})).load()
-        assert loaded.fresh
+        assert loaded.is_fresh
         check_goes_on(Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]}), [EMPTY])
 
 
@@ -727,7 +727,7 @@
     disk = Disk()
     store = Store.open(FOLDER, disk)
     with pytest.raises(ValueError, match="make a checkpoint"):
-        store.append(bytes(MOST_RECORD_BYTES + 1))
+        store.append(bytes(MAX_RECORD_BYTES + 1))
     assert disk.seen == {}
     store.append(b"a")
     assert Store.open(FOLDER, disk.after_kill()).load().records == (b"a",)
@@ -739,7 +739,7 @@
 def test_files_of_the_operating_system(tmp_path: Path) -> None:
     files = OsFiles()
     store = Store.open(tmp_path, files)
-    assert store.load().fresh
+    assert store.load().is_fresh
     store.append(b"zero")
     store.checkpoint(b"s" * 100_000)
     store.append_all([b"one", b"two"])
@@ -829,7 +829,7 @@
         loaded = queue.load()
         given = [queue.append(b"a"), queue.append(b"b"), queue.checkpoint(b"s"), queue.append(b"c")]
         assert queue.waiting == 5
-        assert (await loaded).fresh
+        assert (await loaded).is_fresh
         assert await outcomes(*given) == ["kept"] * 4
         assert queue.waiting == 0
         assert queue.log_bytes == len(disk.seen["log.1"])
@@ -894,7 +894,7 @@
         first = queue.append(b"1")
         await gate.hang()
         syncs = gate.disk.syncs
-        rest = [queue.append(bytes(MOST_GROUP_BYTES // 2)) for _ in range(6)]
+        rest = [queue.append(bytes(MAX_GROUP_BYTES // 2)) for _ in range(6)]
         gate.is_shut = False
         gate.let.release()
         assert await outcomes(first, *rest) == ["kept"] * 7
@@ -947,7 +947,7 @@
         queue = DiskQueue(Store.open(FOLDER, disk))
         with pytest.raises(DiskError, match="EACCES"):
             await queue.load()
-        assert (await queue.load()).fresh
+        assert (await queue.load()).is_fresh
         await queue.close()
 
     play(main)
@@ -995,7 +995,7 @@
         queue = DiskQueue(Store.open(FOLDER, disk))
         given = queue.append(b"a")
         with pytest.raises(ValueError, match="make a checkpoint"):
-            queue.append(bytes(MOST_RECORD_BYTES + 1))
+            queue.append(bytes(MAX_RECORD_BYTES + 1))
         await given
         await queue.append(b"b")
         assert kept_on(disk) == (None, (b"a", b"b"))
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from tallies.adds import AddSet
-from tallies.effects import Counted, Keep, KeepAll, Tell
+from tallies.effects import Acknowledge, PersistAdds, PersistState, Send
 from tallies.messages import KINDS, Add, State
 from tallies.ranges import LEAF_MS, DigestTree, span_ms, sum_of
-from tallies.replica import FOLD_LEVEL, FOLD_SPANS, MOST_RANGE, REPEATS_MS, TallyReplica
+from tallies.replica import FOLD_LEVEL, FOLD_SPANS, ID_RETENTION_MS, MAX_EXCHANGED_ADDS, TallyReplica
 
 EPOCH_MS = 1_790_000_000_000
 EMPTY = State(0, 0, bytes(8), (), ())
@@ -93,35 +93,35 @@
                 if not machine.is_up or machine.life != life:
                     continue
                 if isinstance(what, int):
-                    machine.replica.synced(what, self.now)
+                    machine.replica.on_synced(what, self.now)
                 elif frozenset((ip, sender)) not in self.cut:
-                    machine.replica.heard(sender, what, self.now)  # type: ignore[arg-type]
+                    machine.replica.on_message(sender, what, self.now)  # type: ignore[arg-type]
                 self._carry_out(machine)
             if int(self.now) % 30 == 0:
                 for machine in self.machines:
                     if machine.is_up:
-                        machine.replica.follow(m.ip for m in self.machines if m is not machine)
+                        machine.replica.set_peers(m.ip for m in self.machines if m is not machine)
                         machine.replica.tick(self.wall(machine), self.now)
                         self._carry_out(machine)
 
     def _carry_out(self, machine: Machine) -> None:
-        for effect in machine.replica.take():
+        for effect in machine.replica.take_effects():
             match effect:
-                case Tell(ip, message):
+                case Send(ip, message):
                     self.bytes += len(KINDS.encode(message))
                     if self.chance.random() >= self.loss:
                         self._later(
                             DELAY_MS + self.chance.random() * 4, ip, self.at(ip).life, message, machine.ip
                         )
-                case Keep(number, adds):
+                case PersistAdds(number, adds):
                     kept = machine.disk
                     machine.disk = State(
                         kept.until, kept.count, kept.digest, kept.tallies, (*kept.adds, *adds)
                     )
                     self._later(SYNC_MS, machine.ip, machine.life, number, "")
-                case KeepAll():
+                case PersistState():
                     machine.disk = machine.replica.adds.state()
-                case Counted(token):
+                case Acknowledge(token):
                     ip, id_, life = self.asked[token]
                     assert (ip, life) == (machine.ip, machine.life)
                     machine.acknowledged.add(id_)
@@ -272,7 +272,7 @@
         net.run(20)
     net.run(MERGE_MS)
     step = FOLD_SPANS * span_ms(FOLD_LEVEL)
-    net.now += REPEATS_MS + 2 * step - net.now % 1000
+    net.now += ID_RETENTION_MS + 2 * step - net.now % 1000
     net.run(1_500)
     net.add(0, "new")
     net.run(6_000)
@@ -297,7 +297,7 @@
     net.add(2, "apart")
     net.add(0, "here")
     net.run(500)
-    net.now += REPEATS_MS + 4 * FOLD_SPANS * span_ms(FOLD_LEVEL) - net.now % 1000
+    net.now += ID_RETENTION_MS + 4 * FOLD_SPANS * span_ms(FOLD_LEVEL) - net.now % 1000
     net.run(3_000)
     assert all(m.replica.adds.folded_until == 0 for m in net.machines)
     assert settled(net) == 2
@@ -333,7 +333,7 @@
     unique = {(a.tally, a.id): a for a in adds}.values()
     tree = DigestTree()
     for add in unique:
-        tree.put(add)
+        tree.insert(add)
     until = (EPOCH_MS // LEAF_MS + leaf) * LEAF_MS
     assert tree.sum_before(until) == sum_of(a for a in unique if a.stamp < until)
     node = (3, EPOCH_MS // span_ms(3))
@@ -341,7 +341,7 @@
     assert tree.sum_of(node) == sum_of(within)
     assert sorted(map(str, tree.adds_in(node))) == sorted(map(str, within))
     for add in unique:
-        tree.take_out(add)
+        tree.remove(add)
     assert not tree._sums and not tree._leaves
 
 
@@ -349,6 +349,6 @@
     net = Net(2, copies=1, seed=3)
     net.run(600)
     lacks, has = (m.replica for m in net.machines)
-    has.adds.merge(Add("t", f"{n:016x}", 1, EPOCH_MS + n * 50) for n in range(20 * MOST_RANGE))
+    has.adds.merge(Add("t", f"{n:016x}", 1, EPOCH_MS + n * 50) for n in range(20 * MAX_EXCHANGED_ADDS))
     net.run(1_500)
-    assert lacks.adds.total("t") == 20 * MOST_RANGE
+    assert lacks.adds.total("t") == 20 * MAX_EXCHANGED_ADDS
--- a/tests/test_tallies_defects.py
+++ b/tests/test_tallies_defects.py
@@ -13,7 +13,7 @@
 from tallies.adds import AddSet
 from tallies.messages import RangeAdds
 from tallies.ranges import DigestTree, span_ms
-from tallies.replica import FOLD_LEVEL, FOLD_SPANS, REPEATS_MS, TallyReplica
+from tallies.replica import FOLD_LEVEL, FOLD_SPANS, ID_RETENTION_MS, TallyReplica
 from tests import test_cold_upstreams as cold
 from tests.test_tallies import MERGE_MS, Net, settled
 
@@ -66,7 +66,7 @@
     net.add(2, "apart")
     net.add(0, "here")
     net.run(500)
-    net.now += REPEATS_MS + 4 * FOLD_SPANS * span_ms(FOLD_LEVEL) - net.now % 1000
+    net.now += ID_RETENTION_MS + 4 * FOLD_SPANS * span_ms(FOLD_LEVEL) - net.now % 1000
     net.run(3_000)
     assert settled(net) == 2
 
@@ -110,7 +110,7 @@
 
 
 def compares_nothing(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(TallyReplica, "_heard_summary", lambda self, ip, peer, told, now: None)
+    patch.setattr(TallyReplica, "_on_summary", lambda self, ip, peer, told, now: None)
 
 
 def takes_no_span_in(patch: pytest.MonkeyPatch) -> None:
