--- a/consensus/acceptor.py
+++ b/consensus/acceptor.py
@@ -1,4 +1,7 @@
-"""What others count on in every control process: promises, views, writes; synced before they count."""
+"""The acceptor role of the consensus protocol: promises, accepted views and replicated writes.
+
+Every answer that other processes rely on is sent only after the state behind it has been synced to disk.
+"""
 
 from __future__ import annotations
 
@@ -23,28 +26,29 @@
 )
 from consensus.views import DurableState, View
 
-REFUSAL_SHARE = (
-    0.7  # of the time without a beat after which others may take over: the part in which we say no
-)
+# Share of the leader timeout after a heartbeat during which other candidates are refused.
+REFUSAL_SHARE = 0.7
 
 
 class Acceptor:
-    """Keeps the memory of one control process; nothing else changes it."""
+    """The acceptor of one control process; the only code that changes its `DurableState`."""
 
     def __init__(self, durable_state: DurableState, spec: Spec, emit: Callable[[Effect], None]) -> None:
         self.durable_state, self._emit = durable_state, emit
         self._leader_timeout_ms = spec.leader_timeout_ms
         self.detector = FailureDetector(spec.leader_timeout_ms, spec.heartbeat_ms)
-        self.heard_at = -1e12  # the last beat of a primary
-        self.heard_from = ""  # its identity
-        self._promised_to = ""  # a repeat of its question gets the same answer
-        self.leading_at = -1e12  # as primary: when we last knew of a majority behind us
-        self.latest_view: View | None = durable_state.view  # heard of, whether accepted or not
-        self._in_force: View | None = None  # the latest that is known to be in force
-        self.is_disk_failed = False  # the disk refuses: we promise nothing
+        self.heard_at = -1e12  # When the last heartbeat of a primary arrived.
+        self.heard_from = ""  # Identity of the process that sent it.
+        # Identity of the last candidate promised to; a retransmitted `Prepare` gets the same answer.
+        self._promised_to = ""
+        self.leading_at = -1e12  # As primary: when a majority was last known to be reachable.
+        # The latest view seen in any message, accepted or not.
+        self.latest_view: View | None = durable_state.view
+        self._in_force: View | None = None  # The latest view that is known to be in force.
+        self.is_disk_failed = False  # While the disk refuses writes, nothing is promised or accepted.
 
     def handle(self, ip: str, message: Message, now: float) -> bool:
-        """Act on a message that asks something of an acceptor; False if it is none."""
+        """Handles a message that is addressed to an acceptor; returns False if it is of another kind."""
         match message:
             case Ask():
                 self._on_ask(ip, message, now)
@@ -60,31 +64,34 @@
                 return False
         return True
 
-    def extend_leader_timeout(self, now: float, patience_ms: float) -> None:
-        """Take nobody's silence for the end of a leader for so long, counted from now."""
-        self.heard_at = max(self.heard_at, self._heard_at_expiring_in(now, patience_ms))
+    def extend_leader_timeout(self, now: float, remaining_ms: float) -> None:
+        """Postpones the leader timeout to at least `remaining_ms` milliseconds from now."""
+        self.heard_at = max(self.heard_at, self._heard_at_expiring_in(now, remaining_ms))
 
     def has_live_leader(self, now: float) -> bool:
-        """Whether a leader was heard of a moment ago, or one is still given its time."""
+        """Whether the leader timeout, which starts at the last heartbeat, has not expired yet."""
         return now - self.heard_at < self.detector.timeout_ms(now)
 
-    def _heard_at_expiring_in(self, now: float, patience_ms: float) -> float:
-        """When a leader would have been heard last whose time is over after that."""
-        return now - self.detector.timeout_ms(now) + patience_ms
+    def _heard_at_expiring_in(self, now: float, remaining_ms: float) -> float:
+        """Returns the heartbeat time that makes the leader timeout expire in `remaining_ms`."""
+        return now - self.detector.timeout_ms(now) + remaining_ms
 
     def observe_view(self, view: View | None) -> None:
-        """Hear of a view; a later one than we know of tells where the primary is."""
+        """Records a view seen in a message if it is later than the latest one known, accepted or not."""
         if view is not None and (self.latest_view is None or view.epoch > self.latest_view.epoch):
             self.latest_view = view
 
     def confirm_in_force(self, view: View) -> None:
-        """A view is in force: its leader says so, or we have won it."""
+        """Records that a view is in force: its leader has said so, or this process has won its campaign."""
         self.observe_view(view)
         if self._in_force is None or view.epoch > self._in_force.epoch:
             self._in_force = view
 
     def is_displaced(self) -> bool:
-        """Whether a later view in force has given our slot away; one that may come to nothing has not."""
+        """Whether a later view that is in force has given this process's slot to another.
+
+        A later view that is not known to be in force doesn't count, since its campaign may still fail.
+        """
         view, later = self.durable_state.view, self._in_force
         return (
             view is not None
@@ -95,20 +102,24 @@
         )
 
     def may_be_displaced(self) -> bool:
-        """Whether we have heard of a later view without us: its leader can tell whether it is in force."""
+        """Whether a later view without this process is known; its leader can tell whether it is in force."""
         view, latest = self.durable_state.view, self.latest_view
         is_later = view is not None and latest is not None and latest.epoch > view.epoch
         return is_later and latest is not None and latest.slot_of(self.durable_state.identity) is None
 
     def release_slot(self) -> None:
-        """Give our slot up: from here on we have no say until a view in force names us anew."""
+        """Gives up the slot: this process has no vote until a view in force names it again."""
         assert self._in_force is not None
         self.durable_state.view = None
         self.durable_state.promised = max(self.durable_state.promised, self._in_force.epoch)
         self._emit(Persist(snapshot_record(self.durable_state), ()))
 
     def prepare_to_join(self) -> bool:
-        """Without a slot: accept nothing older than the latest view; only then may a later one name us."""
+        """Promises the epoch of the latest known view if this process has no slot; returns whether it did.
+
+        A process without a slot may be named in a later view only after it has promised to accept no older
+        one.
+        """
         if (
             self.latest_view is None
             or self.durable_state.slot() is not None
@@ -119,15 +130,19 @@
         return True
 
     def can_vote(self) -> bool:
-        """Whether we have a slot: who has none has no say."""
+        """Whether this process has a vote: it has a slot, and its disk accepts writes."""
         return self.durable_state.slot() is not None and not self.is_disk_failed
 
     def _on_ask(self, ip: str, message: Ask, now: float) -> None:
         durable_state = self.durable_state
         refuse_ms = self.detector.timeout_ms(now) * REFUSAL_SHARE
-        led = now - self.heard_at < refuse_ms and self.heard_from != message.sender
-        led = led or now - self.leading_at < refuse_ms
-        ok = self.can_vote() and message.epoch > durable_state.promised and (message.handover or not led)
+        has_leader = now - self.heard_at < refuse_ms and self.heard_from != message.sender
+        has_leader = has_leader or now - self.leading_at < refuse_ms
+        ok = (
+            self.can_vote()
+            and message.epoch > durable_state.promised
+            and (message.handover or not has_leader)
+        )
         self._send(
             ip,
             Answer(
@@ -142,11 +157,12 @@
 
     def _on_prepare(self, ip: str, message: Prepare, now: float) -> None:
         durable_state = self.durable_state
-        again = message.epoch == durable_state.promised and message.sender == self._promised_to
-        ok = self.can_vote() and (message.epoch > durable_state.promised or again)
+        is_repeat = message.epoch == durable_state.promised and message.sender == self._promised_to
+        ok = self.can_vote() and (message.epoch > durable_state.promised or is_repeat)
         if ok:
             durable_state.promised, self._promised_to = message.epoch, message.sender
-            # What was heard of a leader before is over; the candidate gets the time that syncs take.
+            # The previous leader's heartbeats no longer count; the candidate gets the time that its syncs
+            # need.
             self.heard_at, self.heard_from = (
                 self._heard_at_expiring_in(now, self._leader_timeout_ms),
                 message.sender,
@@ -168,22 +184,24 @@
         durable_state, view = self.durable_state, message.view
         slot = view.slot_of(durable_state.identity)
         known = durable_state.view
-        # Who has no slot yet takes one only from a view in force, from the very first, or as one member more.
+        # A process without a slot takes one only from a view in force, from the very first view, or as the
+        # added member.
         added = view.extra_member()
         is_added = added is not None and added.identity == durable_state.identity
-        invited = durable_state.slot() is not None or message.active or view.epoch == 1 or is_added
-        # A holder begins to hold with the data in hand; a view in force only tells what it accepted.
-        again = known is not None and known.epoch == view.epoch
-        equipped = slot not in view.holders or message.document is not None or again
+        may_take_slot = durable_state.slot() is not None or message.active or view.epoch == 1 or is_added
+        # A new holder needs the document with the view, except for a view that it has already accepted.
+        is_repeat = known is not None and known.epoch == view.epoch
+        has_data = slot not in view.holders or message.document is not None or is_repeat
         ok = (
             view.epoch >= durable_state.promised
             and slot is not None
-            and invited
-            and equipped
+            and may_take_slot
+            and has_data
             and not self.is_disk_failed
         )
         if message.active:
-            self.confirm_in_force(view)  # it tells where the leader is, whether we can keep it or not
+            # It names the current leader, even if this process cannot accept the view.
+            self.confirm_in_force(view)
         if not ok:
             reply = Installed(
                 durable_state.identity,
@@ -196,12 +214,13 @@
             self._send(ip, reply)
             return
         self.observe_view(view)
-        if message.sender == view.leader().identity:  # else a candidate brings us its base
+        # Otherwise a candidate is bringing its base view to an added member.
+        if message.sender == view.leader().identity:
             self.heard_at, self.heard_from = now, message.sender
         durable_state.promised = view.epoch
         document = message.document
-        if again:
-            document = None  # what was written since stays
+        if is_repeat:
+            document = None  # Keep the writes accepted since the view was first installed.
         else:
             durable_state.view = view
             durable_state.document = durable_state.document if document is None else document
--- a/consensus/codec.py
+++ b/consensus/codec.py
@@ -1,4 +1,4 @@
-"""Views and documents out of the plain values of Avro; and the records of the disk."""
+"""Decodes views and documents from Avro values, and encodes and decodes the records of the disk log."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 def decode_member(raw: Any) -> Member:
-    """A member; raises ValueError on a port that is none, which could not be written again."""
+    """Returns a member; raises ValueError for a port out of range, which could not be encoded again."""
     member = raw if isinstance(raw, Member) else Member(**raw)
     if not 0 <= member.port < 65536:
-        raise ValueError(f"port {member.port} is none")
+        raise ValueError(f"port {member.port} is out of range")
     return member
 
 
 def decode_view(raw: Any) -> View | None:
-    """A view; raises ValueError on one that names slots which it does not have."""
+    """Returns a view; raises ValueError if it refers to a slot that is missing or empty."""
     if raw is None or isinstance(raw, View):
         return raw
     members = tuple(None if m is None else decode_member(m) for m in raw["members"])
     view = View(raw["epoch"], raw["primary"], tuple(raw["holders"]), members)
     for slot in (view.primary, *view.holders):
         if not 0 <= slot < len(members) or members[slot] is None:
-            raise ValueError(f"slot {slot} is not there")
+            raise ValueError(f"view refers to slot {slot}, which is missing or empty")
     return view
 
 
 def decode_document(raw: Any) -> Document | None:
-    """A document."""
+    """Returns a document."""
     if raw is None or isinstance(raw, Document):
         return raw
     taken = tuple(AcceptedVersion(t["ver"], t["digest"]) for t in raw["taken"])
@@ -44,11 +44,11 @@
 
 
 def decode_nested(message: Any) -> Any:
-    """A message as it was before it was encoded."""
-    found = {
+    """Returns the message with its Avro values replaced by `View`, `Document` and `Member` objects."""
+    decoded = {
         f.name: _READERS[f.name](getattr(message, f.name)) for f in fields(message) if f.name in _READERS
     }
-    return replace(message, **found) if found else message
+    return replace(message, **decoded) if decoded else message
 
 
 _PROMISED = {"name": "promised", "type": "long"}
@@ -57,7 +57,7 @@
 @RECORDS.declare(1, [_PROMISED])
 @dataclass(frozen=True, slots=True)
 class PromiseRecord:
-    """Nothing of an epoch below is accepted any more."""
+    """No lower epoch is accepted any more."""
 
     promised: int
 
@@ -65,7 +65,7 @@
 @RECORDS.declare(2, [{"name": "view", "type": VIEW}, {"name": "document", "type": ["null", DOCUMENT]}])
 @dataclass(frozen=True, slots=True)
 class ViewRecord:
-    """A view was accepted, with its data if we hold it."""
+    """A view was accepted, with the document if this process holds the data."""
 
     view: Any
     document: Any
@@ -74,7 +74,10 @@
 @RECORDS.declare(3, [{"name": "document", "type": DOCUMENT}])
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """A write was kept: the document with the last change alone; earlier releases logged all of it."""
+    """A write was accepted.
+
+    `document` holds the last change only; earlier releases logged the whole document.
+    """
 
     document: Any
 
@@ -90,7 +93,7 @@
 )
 @dataclass(frozen=True, slots=True)
 class WholeRecord:
-    """Everything."""
+    """The complete durable state."""
 
     identity: str
     promised: int
@@ -102,26 +105,26 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """The bytes for the disk."""
+    """Returns the bytes of a record as written to disk."""
     return RECORDS.encode(record)
 
 
 def decode_record(data: bytes) -> Record:
-    """A record; raises WireError."""
+    """Decodes one record; raises WireError."""
     frame = FrameReader().feed(data)[0]
-    found: Record = decode_nested(RECORDS.decode(frame.number, frame.body))
-    return found
+    record: Record = decode_nested(RECORDS.decode(frame.number, frame.body))
+    return record
 
 
 def snapshot_record(durable_state: DurableState) -> WholeRecord:
-    """All of a memory as one record."""
+    """Returns the complete durable state as one record."""
     return WholeRecord(
         durable_state.identity, durable_state.promised, durable_state.view, durable_state.document
     )
 
 
 def apply_record(durable_state: DurableState, record: Record) -> None:
-    """Bring a memory to where it stands after a record."""
+    """Updates the durable state with one record."""
     match record:
         case PromiseRecord(promised):
             durable_state.promised = max(durable_state.promised, promised)
--- a/consensus/disk_queue.py
+++ b/consensus/disk_queue.py
@@ -1,7 +1,7 @@
-"""The event loop's side of the state on disk: a queue of commands that one thread works through.
+"""Asynchronous access to the store on disk: the event loop queues commands for one worker thread.
 
-The thread alone touches the store, so no call of the loop ever waits for the disk. Appends that wait are
-written together and synced once (group commit). Commands run in the order in which they were given.
+Only the thread touches the store, so no call in the event loop waits for the disk. Appends that are waiting
+are written together and synced once (group commit). Commands run in the order in which they were queued.
 """
 
 from __future__ import annotations
@@ -18,18 +18,22 @@
 from consensus.slots import MAX_RECORD_BYTES, Loaded, Store
 
 MAX_GROUP_BYTES = 1 << 20
-MEMORY_RETRY_S = 0.05  # without memory to answer it is tried again after this
+MEMORY_RETRY_S = 0.05  # Delay between attempts to report a failure while memory is exhausted.
 _T = TypeVar("_T")
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Load:
+    """Reads the store."""
+
     future: asyncio.Future[Loaded]
     known_failures: int
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Append:
+    """Appends one record."""
+
     future: asyncio.Future[None]
     known_failures: int
     record: bytes
@@ -37,6 +41,8 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Checkpoint:
+    """Replaces the stored state."""
+
     future: asyncio.Future[None]
     known_failures: int
     state: bytes
@@ -44,68 +50,76 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Stop:
+    """Ends the thread."""
+
     pass
 
 
 class DiskQueue:
-    """Runs a store in a thread of its own; made and called in the event loop's thread.
+    """Runs a store in a thread of its own; created and called in the thread of the event loop.
 
-    A future is resolved once the disk has synced. After a failure, every append and checkpoint given before
-    the loop was told of it fails as well: whoever gave it took the failed one as kept. Commands given after
-    that are tried anew. Cancelling a future leaves its command in the queue.
+    A future resolves after the disk has synced. When a command fails, all appends and checkpoints that were
+    queued before the loop learned of the failure fail too, because their callers assumed that the failed one
+    had succeeded. Commands queued later run normally. Cancelling a future leaves its command in the queue.
     """
 
     def __init__(self, store: Store, name: str = "disk") -> None:
         self._store = store
         self._loop = asyncio.get_running_loop()
         self._commands: queue.SimpleQueue[_Load | _Append | _Checkpoint | _Stop] = queue.SimpleQueue()
-        self._next: _Load | _Append | _Checkpoint | _Stop | None = None  # taken while a group was made
-        self._in_progress: list[_Load | _Append | _Checkpoint] = []  # off the queue, and not answered
-        self._failure_count = 0  # counted by the thread
-        self._known_failures = 0  # the failures that the loop was told of
+        # Taken off the queue while a group was collected.
+        self._next: _Load | _Append | _Checkpoint | _Stop | None = None
+        # Taken off the queue and not answered yet.
+        self._in_progress: list[_Load | _Append | _Checkpoint] = []
+        self._failure_count = 0  # Counted by the thread.
+        self._known_failures = 0  # The failures that the event loop has been told of.
         self._waiting = 0
         self._log_bytes = 0
         self._stopped = False
         self._is_loop_closed = False
         self._ended = asyncio.Event()
-        # A hanging disk must not keep the process from ending: nothing waits for the thread at exit.
+        # A daemon thread: a disk that hangs must not keep the process from exiting.
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
 
     @property
     def waiting(self) -> int:
-        """How many commands have no answer yet; many, or one for long, say that the disk hangs."""
+        """The number of unanswered commands; it grows while the disk hangs."""
         return self._waiting
 
     @property
     def log_bytes(self) -> int:
-        """How long the log was, in bytes, at the newest answer."""
+        """The length of the log in bytes, as of the latest completed command."""
         return self._log_bytes
 
     def load(self) -> asyncio.Future[Loaded]:
-        """What is kept, as `Store.load`; fails with DiskError."""
-        done: asyncio.Future[Loaded] = self._loop.create_future()
-        self._enqueue(_Load(done, self._known_failures))
-        return done
+        """Reads the stored state as `Store.load` does; the future fails with DiskError."""
+        future: asyncio.Future[Loaded] = self._loop.create_future()
+        self._enqueue(_Load(future, self._known_failures))
+        return future
 
     def append(self, record: bytes) -> asyncio.Future[None]:
-        """Resolved once the record is synced; fails with DiskError. Raises ValueError for one too long."""
+        """Queues a record; the future resolves once it is synced and fails with DiskError.
+
+        Raises ValueError for a record above the size limit.
+        """
         if len(record) > MAX_RECORD_BYTES:
-            raise ValueError(f"a record of {len(record)} bytes; make a checkpoint of what is so long")
-        done: asyncio.Future[None] = self._loop.create_future()
-        self._enqueue(_Append(done, self._known_failures, record))
-        return done
+            raise ValueError(f"record of {len(record)} bytes is too long for the log; make a checkpoint")
+        future: asyncio.Future[None] = self._loop.create_future()
+        self._enqueue(_Append(future, self._known_failures, record))
+        return future
 
     def checkpoint(self, state: bytes) -> asyncio.Future[None]:
-        """Resolved once the state is what is kept, as `Store.checkpoint`; fails with DiskError."""
-        done: asyncio.Future[None] = self._loop.create_future()
-        self._enqueue(_Checkpoint(done, self._known_failures, state))
-        return done
+        """Queues a checkpoint; the future resolves once it is synced and fails with DiskError."""
+        future: asyncio.Future[None] = self._loop.create_future()
+        self._enqueue(_Checkpoint(future, self._known_failures, state))
+        return future
 
     async def close(self) -> None:
-        """Returns once all that was given is done and the thread has ended; nothing may be given after.
+        """Returns once all queued commands are done and the thread has ended.
 
-        On a disk that hangs it hangs too: give it a time limit.
+        No command may be queued after this call. It hangs while the disk hangs, so callers should set a time
+        limit.
         """
         if not self._stopped:
             self._stopped = True
@@ -115,11 +129,11 @@
 
     def _enqueue(self, command: _Load | _Append | _Checkpoint) -> None:
         if self._stopped:
-            raise DiskError("the queue to the disk is closed", "give no command after close")
+            raise DiskError("the disk queue is closed", "queue no command after close")
         self._waiting += 1
         self._commands.put(command)
 
-    # --- in the thread
+    # --- in the worker thread
 
     def _run(self) -> None:
         while not self._is_loop_closed:
@@ -130,7 +144,7 @@
             self._in_progress = [command]
             try:
                 self._execute(command)
-            except Exception as error:  # there is no memory to do it, or to answer
+            except Exception as error:  # Memory was too short to run the command or to report its outcome.
                 self._fail_in_progress(error)
 
     def _execute(self, command: _Load | _Append | _Checkpoint) -> None:
@@ -142,17 +156,17 @@
             self._checkpoint(command)
 
     def _fail_in_progress(self, error: Exception) -> None:
-        """Whoever waits hears of a failure, however long there is no memory to say so."""
+        """Fails the commands in progress; retries while memory is too short to report the failure."""
         while True:
             try:
-                waiting: list[asyncio.Future[Any]] = [command.future for command in self._in_progress]
-                self._fail(waiting, error, failed_now=True)
+                futures: list[asyncio.Future[Any]] = [command.future for command in self._in_progress]
+                self._fail(futures, error, failed_now=True)
                 return
             except MemoryError:
                 time.sleep(MEMORY_RETRY_S)
 
     def _collect_group(self, first: _Append) -> list[_Append]:
-        """An append and those that wait next behind it, up to a bound on their bytes."""
+        """Returns an append and those queued directly behind it, up to `MAX_GROUP_BYTES`."""
         group, size = [first], len(first.record)
         while size < MAX_GROUP_BYTES:
             try:
@@ -168,19 +182,19 @@
         return group
 
     def _append(self, commands: Sequence[_Append]) -> None:
-        late = [command.future for command in commands if command.known_failures != self._failure_count]
+        overtaken = [command.future for command in commands if command.known_failures != self._failure_count]
         group = [command for command in commands if command.known_failures == self._failure_count]
-        if late:
-            self._fail(late, _earlier_failure())
+        if overtaken:
+            self._fail(overtaken, _earlier_failure())
         if not group:
             return
-        waiting = [command.future for command in group]
+        futures = [command.future for command in group]
         try:
             self._store.append_all([command.record for command in group])
         except Exception as error:
-            self._fail(waiting, error, failed_now=True)
+            self._fail(futures, error, failed_now=True)
         else:
-            self._answer(waiting, lambda done: done.set_result(None))
+            self._answer(futures, lambda future: future.set_result(None))
 
     def _checkpoint(self, command: _Checkpoint) -> None:
         if command.known_failures != self._failure_count:
@@ -191,7 +205,7 @@
         except Exception as error:
             self._fail([command.future], error, failed_now=True)
         else:
-            self._answer([command.future], lambda done: done.set_result(None))
+            self._answer([command.future], lambda future: future.set_result(None))
 
     def _load(self, command: _Load) -> None:
         try:
@@ -199,45 +213,45 @@
         except Exception as error:
             self._fail([command.future], error, failed_now=True)
         else:
-            self._answer([command.future], lambda done: done.set_result(loaded))
+            self._answer([command.future], lambda future: future.set_result(loaded))
 
     def _fail(
-        self, waiting: Sequence[asyncio.Future[_T]], error: Exception, failed_now: bool = False
+        self, futures: Sequence[asyncio.Future[_T]], error: Exception, failed_now: bool = False
     ) -> None:
         self._failure_count += failed_now
         failures = self._failure_count
 
-        def tell() -> None:
-            self._known_failures = failures  # also where nobody waits any more
+        def record_failures() -> None:
+            self._known_failures = failures  # Also when no future is waiting any more.
 
-        self._answer(waiting, lambda done: done.set_exception(error), tell)
+        self._answer(futures, lambda future: future.set_exception(error), record_failures)
 
     def _answer(
         self,
-        waiting: Sequence[asyncio.Future[_T]],
+        futures: Sequence[asyncio.Future[_T]],
         resolve: Callable[[asyncio.Future[_T]], None],
-        tell: Callable[[], None] | None = None,
+        before_resolving: Callable[[], None] | None = None,
     ) -> None:
-        """Hands an outcome to the loop, that of a whole group in one call."""
+        """Passes an outcome to the event loop, one call for a whole group."""
         log_bytes = self._store.log_bytes
 
         def in_loop() -> None:
             self._log_bytes = log_bytes
-            self._waiting -= len(waiting)
-            if tell is not None:
-                tell()
-            for done in waiting:
-                if not done.done():  # else whoever waited was cancelled
-                    resolve(done)
+            self._waiting -= len(futures)
+            if before_resolving is not None:
+                before_resolving()
+            for future in futures:
+                if not future.done():  # False if the caller cancelled it.
+                    resolve(future)
 
         self._call_in_loop(in_loop)
 
     def _call_in_loop(self, call: Callable[[], object]) -> None:
         try:
             self._loop.call_soon_threadsafe(call)
-        except RuntimeError:  # the loop is closed: nobody waits any more, or gives anything
+        except RuntimeError:  # The loop is closed, so nothing is waiting and nothing more will be queued.
             self._is_loop_closed = True
 
 
 def _earlier_failure() -> DiskError:
-    return DiskError("a command given before this one failed", "give it again, on top of what is kept")
+    return DiskError("a command queued earlier failed", "retry it on top of the stored state")
--- a/consensus/files.py
+++ b/consensus/files.py
@@ -1,4 +1,4 @@
-"""The calls on files that the state on disk needs, small enough that tests stand in for a disk."""
+"""File operations of the store on disk, as an interface that tests can replace with a simulated disk."""
 
 from __future__ import annotations
 
@@ -8,66 +8,66 @@
 
 
 class Files(Protocol):
-    """Calls on the files of one folder; each waits for the disk and raises OSError where it refuses."""
+    """Operations on the files of one folder; each blocks on the disk and raises OSError if it refuses."""
 
     def names(self, folder: Path) -> list[str]:
-        """The names in a folder."""
+        """Returns the file names in a folder."""
         ...
 
     def read(self, path: Path) -> bytes:
-        """All bytes of a file that is there."""
+        """Returns the content of an existing file."""
         ...
 
     def write(self, path: Path, offset: int, data: bytes) -> None:
-        """Writes all of `data` from `offset` on; a file that isn't there is made."""
+        """Writes all of `data` at `offset`; creates the file if it doesn't exist."""
         ...
 
     def truncate(self, path: Path, length: int) -> None:
-        """Sets a file's length in bytes; a file that isn't there is made."""
+        """Sets the length of a file in bytes; creates the file if it doesn't exist."""
         ...
 
     def sync(self, path: Path) -> None:
-        """Returns once all that was written to the file is on the disk."""
+        """Returns once everything written to the file is on disk."""
         ...
 
     def sync_folder(self, folder: Path) -> None:
-        """Returns once the names in a folder are on the disk."""
+        """Returns once the file names of a folder are on disk."""
         ...
 
 
 class OsFiles:
-    """The calls of the operating system; the files stay open, so that an append costs two calls."""
+    """Operations of the operating system; files stay open, so that an append takes two system calls."""
 
     def __init__(self) -> None:
         self._open: dict[Path, int] = {}
 
     def names(self, folder: Path) -> list[str]:
-        """The names in a folder; raises OSError."""
+        """Returns the file names in a folder; raises OSError."""
         return os.listdir(folder)
 
     def read(self, path: Path) -> bytes:
-        """All bytes of a file that is there; raises OSError."""
+        """Returns the content of an existing file; raises OSError."""
         return path.read_bytes()
 
     def write(self, path: Path, offset: int, data: bytes) -> None:
-        """Writes all of `data` from `offset` (bytes) on; raises OSError, and part may be written then."""
+        """Writes all of `data` at `offset` (bytes); after an OSError, part of it may have been written."""
         descriptor = self._descriptor(path)
-        rest = memoryview(data)
-        while rest:
-            written = os.pwrite(descriptor, rest, offset)
+        remaining = memoryview(data)
+        while remaining:
+            written = os.pwrite(descriptor, remaining, offset)
             offset += written
-            rest = rest[written:]
+            remaining = remaining[written:]
 
     def truncate(self, path: Path, length: int) -> None:
-        """Sets a file's length in bytes; raises OSError."""
+        """Sets the length of a file in bytes; raises OSError."""
         os.ftruncate(self._descriptor(path), length)
 
     def sync(self, path: Path) -> None:
-        """Returns once all that was written to the file is on the disk; raises OSError."""
+        """Returns once everything written to the file is on disk; raises OSError."""
         os.fsync(self._descriptor(path))
 
     def sync_folder(self, folder: Path) -> None:
-        """Returns once the names in a folder are on the disk; raises OSError."""
+        """Returns once the file names of a folder are on disk; raises OSError."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -75,7 +75,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Gives the descriptors back."""
+        """Closes all files."""
         while self._open:
             _, descriptor = self._open.popitem()
             os.close(descriptor)
--- a/consensus/keeper.py
+++ b/consensus/keeper.py
@@ -1,4 +1,4 @@
-"""The memory of a control process on its disk: loaded at the start, then every change synced in order."""
+"""The durable state of a control process: loaded at start, then updated with one synced record per change."""
 
 from __future__ import annotations
 
@@ -17,57 +17,61 @@
 from consensus.slots import Store
 from consensus.views import DurableState
 
-MAX_LOG_BYTES = 1 << 20  # a longer log is folded into the next slot
-RETRY_S = 0.25  # after a refusal
-SYNC_TIMEOUT_S = 0.4  # a sync that takes longer makes the disk one that can't be counted on
-FOUNDER_PREFIX = "f"  # an identity that begins so was drawn by the process that makes the first view
+MAX_LOG_BYTES = 1 << 20  # A longer log is replaced by a checkpoint.
+RETRY_S = 0.25  # Delay between attempts after the disk has refused.
+SYNC_TIMEOUT_S = 0.4  # A longer sync marks the disk as unhealthy.
+FOUNDER_PREFIX = "f"  # Prefix of an identity that the bootstrap process has drawn.
 
 
 class StateStore:
-    """Owns the disk; says when it can be counted on."""
+    """Owns the state on disk and reports whether the disk is healthy."""
 
-    def __init__(self, folder: str, told: Callable[[bool], None]) -> None:
-        """`told`: whether the disk takes writes, whenever that changes."""
+    def __init__(self, folder: str, on_health_change: Callable[[bool], None]) -> None:
+        """`on_health_change` is called with whether the disk accepts writes, on each change."""
         self._queue = DiskQueue(Store.open(Path(folder), OsFiles()))
-        self._on_health_change, self._is_healthy, self._has_failed = told, True, False
+        self._on_health_change, self._is_healthy, self._has_failed = on_health_change, True, False
         self._clock = AwakeClock(lambda stall_ms, now: None)
-        self._in_flight: dict[int, float] = {}  # when each sync that is under way was asked for, in ms
+        self._in_flight: dict[int, float] = {}  # Start time in ms of each sync in progress, by record number.
         self._record_count = 0
-        self.synced = 0  # changes that are on the disk
+        self.synced = 0  # The number of synced records.
         self._rewrite_task: asyncio.Task[None] | None = None
         self.durable_state = DurableState("")
 
-    async def load(self, founder: bool) -> DurableState:
-        """What is kept; on an empty disk a new identity, kept before anybody hears of it."""
-        told = ""
+    async def load(self, is_bootstrap_node: bool) -> DurableState:
+        """Returns the stored state.
+
+        On an empty disk it draws a new identity, which is synced before other processes learn of it.
+        """
+        last_logged = ""
         while True:
             try:
                 loaded = await self._queue.load()
                 break
             except DiskError as error:
-                if str(error) != told:
-                    told = str(error)
-                    logger.error("event=disk_unreadable error={!r}", told)
+                if str(error) != last_logged:
+                    last_logged = str(error)
+                    logger.error("event=disk_unreadable error={!r}", last_logged)
                 await asyncio.sleep(RETRY_S)
-        parts = ([loaded.state] if loaded.state is not None else []) + list(loaded.records)
+        records = ([loaded.state] if loaded.state is not None else []) + list(loaded.records)
         try:
-            for part in parts:
-                apply_record(self.durable_state, decode_record(part))
+            for record in records:
+                apply_record(self.durable_state, decode_record(record))
         except (WireError, IndexError, ValueError, KeyError, TypeError) as error:
             logger.error("event=memory_unreadable error={!r}", str(error))
-            self.durable_state = DurableState("")  # half of what was promised is none: we are a new process
+            # A partial state could break promises, so the process starts as a new one.
+            self.durable_state = DurableState("")
         if not self.durable_state.identity:
             self.durable_state.identity = (
-                FOUNDER_PREFIX if founder and not parts else "m"
+                FOUNDER_PREFIX if is_bootstrap_node and not records else "m"
             ) + secrets.token_hex(8)
         await self._rewrite()
         return self.durable_state
 
     def append(self, record: Record, done: Callable[[], None]) -> None:
-        """Sync a record, then call `done`; never if the disk refuses.
+        """Syncs a record and then calls `done`; if the disk refuses, `done` is never called.
 
-        After a refusal nothing counts until all of the memory has been synced: what a later record builds on
-        might not be there.
+        After a refusal no record counts until the whole state has been synced, since later records build on
+        the one that may be missing.
         """
         self._record_count += 1
         if self._has_failed:
@@ -75,12 +79,12 @@
         number = self._record_count
         try:
             future = self._queue.append(encode_record(record))
-        except Exception as error:  # there is no memory for it
+        except Exception as error:  # No memory to encode or queue the record.
             self._on_failure(error)
             return
         self._in_flight[number] = self._now()
 
-        def over(result: asyncio.Future[None]) -> None:
+        def on_done(result: asyncio.Future[None]) -> None:
             self._in_flight.pop(number, None)
             if result.cancelled() or result.exception() is not None:
                 self._on_failure(result.exception() if not result.cancelled() else None)
@@ -89,29 +93,29 @@
                 done()
                 self.check_health()
 
-        future.add_done_callback(over)
+        future.add_done_callback(on_done)
         if self._queue.log_bytes > MAX_LOG_BYTES and self._rewrite_task is None:
             self._start_rewrite()
 
     def check_health(self) -> None:
-        """See whether a sync has been under way for too long; called now and then."""
+        """Checks whether a sync has been in progress for too long; called periodically."""
         now = self._now()
-        stuck = any(now - since > SYNC_TIMEOUT_S * 1000 for since in self._in_flight.values())
-        well = not (stuck or self._has_failed)
-        if well != self._is_healthy:
-            self._is_healthy = well
-            logger.info("event=disk well={}", well)
-            self._on_health_change(well)
+        is_stuck = any(now - since > SYNC_TIMEOUT_S * 1000 for since in self._in_flight.values())
+        is_healthy = not (is_stuck or self._has_failed)
+        if is_healthy != self._is_healthy:
+            self._is_healthy = is_healthy
+            logger.info("event=disk well={}", is_healthy)
+            self._on_health_change(is_healthy)
 
     def _now(self) -> float:
         return self._clock.read(asyncio.get_running_loop().time() * 1000)
 
     def is_healthy(self) -> bool:
-        """Whether the disk took what it was last given, and in time."""
+        """Whether the disk accepted the latest record, and in time."""
         return self._is_healthy
 
     def is_idle(self) -> bool:
-        """Whether all that was given is synced."""
+        """Whether all records are synced."""
         return not self._in_flight
 
     def _on_failure(self, error: BaseException | None) -> None:
@@ -130,17 +134,18 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             logger.error("event=disk_mending_failed error={!r}", str(error))
         elif self._has_failed and not task.cancelled():
-            self._start_rewrite()  # something behind the last checkpoint failed as that was done
+            # A record queued behind the checkpoint failed while the checkpoint completed.
+            self._start_rewrite()
 
     async def _rewrite(self) -> None:
-        """Keep all of the memory in the other slot, however long it takes."""
+        """Writes the whole state as a checkpoint, with retries until the disk accepts it."""
         while True:
-            known = self._record_count
+            count_before = self._record_count
             try:
                 await self._queue.checkpoint(encode_record(snapshot_record(self.durable_state)))
-                if known == self._record_count or not self._has_failed:
+                if count_before == self._record_count or not self._has_failed:
                     break
-            except Exception as error:  # the disk refuses, or there is no memory for it
+            except Exception as error:  # The disk refuses, or memory is exhausted.
                 logger.debug("event=disk_refused_all error={!r}", str(error) or type(error).__name__)
                 await asyncio.sleep(RETRY_S)
         self._has_failed = False
--- a/consensus/messages.py
+++ b/consensus/messages.py
@@ -1,4 +1,7 @@
-"""What control processes say to each other; every message names its sender and whom it is meant for."""
+"""The messages of the consensus protocol; each names its sender and its receiver by identity.
+
+Class and field names are part of the schemas that earlier releases share, so they don't change.
+"""
 
 from __future__ import annotations
 
@@ -61,12 +64,12 @@
 @KINDS.declare(1, [*_ENDS, _EPOCH, {"name": "handover", "type": "boolean"}])
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Would you promise this epoch? Nothing is bound by it."""
+    """Asks whether the receiver would promise this epoch; the answer binds nobody."""
 
     sender: str
     to: str
     epoch: int
-    handover: bool  # the primary itself has named the sender
+    handover: bool  # The primary itself has named the sender its successor.
 
 
 @KINDS.declare(2, [*_ENDS, _EPOCH, _OK, _PROMISED, _VIEW])
@@ -85,7 +88,7 @@
 @KINDS.declare(3, [*_ENDS, _EPOCH])
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Promise to accept nothing of an epoch below this one."""
+    """Requests a promise to accept nothing of a lower epoch."""
 
     sender: str
     to: str
@@ -95,7 +98,7 @@
 @KINDS.declare(4, [*_ENDS, _EPOCH, _OK, _PROMISED, _VIEW])
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """Synced, if `ok`; the view is the latest that the sender has accepted."""
+    """The answer to `Prepare`, synced if `ok`; `view` is the latest that the sender has accepted."""
 
     sender: str
     to: str
@@ -111,7 +114,10 @@
 )
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Accept this view, with the data if you hold it; `active`: it is in force already."""
+    """Requests acceptance of a view, with the document for holders.
+
+    `active`: the view is in force already.
+    """
 
     sender: str
     to: str
@@ -123,7 +129,7 @@
 @KINDS.declare(6, [*_ENDS, _EPOCH, _OK, _PROMISED, _VIEW])
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """Synced, if `ok`."""
+    """The answer to `Install`, synced if `ok`."""
 
     sender: str
     to: str
@@ -136,7 +142,7 @@
 @KINDS.declare(7, [*_ENDS, _EPOCH, {"name": "document", "type": DOCUMENT}])
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Keep this change on top of the document before it: `document` holds the last change alone."""
+    """Requests a write on top of the previous document; `document` holds the last change only."""
 
     sender: str
     to: str
@@ -147,7 +153,7 @@
 @KINDS.declare(8, [*_ENDS, _EPOCH, {"name": "number", "type": "long"}, _OK, _PROMISED])
 @dataclass(frozen=True, slots=True)
 class Written:
-    """Synced, if `ok`."""
+    """The answer to `Write`, synced if `ok`."""
 
     sender: str
     to: str
@@ -160,7 +166,7 @@
 @KINDS.declare(9, [*_ENDS, _EPOCH, {"name": "number", "type": "long"}])
 @dataclass(frozen=True, slots=True)
 class Beat:
-    """The primary of this epoch is there; the view is in force."""
+    """A heartbeat of the primary of this epoch, whose view is in force."""
 
     sender: str
     to: str
@@ -188,7 +194,7 @@
 @KINDS.declare(11, [*_ENDS, {"name": "member", "type": MEMBER}, _PROMISED])
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A process without a slot asks for one."""
+    """A request for a slot from a process without one."""
 
     sender: str
     to: str
@@ -199,7 +205,7 @@
 @KINDS.declare(12, [*_ENDS, _VIEW, _PROMISED])
 @dataclass(frozen=True, slots=True)
 class Known:
-    """The latest view that the sender has heard of, for one that is behind or lost."""
+    """The latest view that the sender knows of, for a receiver that is behind or has no view."""
 
     sender: str
     to: str
@@ -210,7 +216,7 @@
 @KINDS.declare(13, [*_ENDS, _EPOCH])
 @dataclass(frozen=True, slots=True)
 class Succeed:
-    """The primary names its successor, which takes over at once."""
+    """Names the receiver as the primary's successor, which campaigns at once."""
 
     sender: str
     to: str
@@ -220,7 +226,7 @@
 @KINDS.declare(14, [*_ENDS])
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """The sender is told to stop: it is to hold nothing, and ends once it is released."""
+    """The sender is shutting down: it should hold no data, and it exits once it has been released."""
 
     sender: str
     to: str
@@ -229,9 +235,10 @@
 @KINDS.declare(118, [*_ENDS, _EPOCH])
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The leader of this view needs the receiver, which is told to stop, no longer: its process may end.
+    """The leader of this view no longer needs the receiver, which is shutting down and may exit.
 
-    Numbers 15 to 117 would end the connection to an earlier release, which passes over those from 118 on.
+    The kind numbers 15 to 117 are not used: earlier releases close the connection on them, but ignore those
+    from 118 on.
     """
 
     sender: str
--- a/consensus/primary.py
+++ b/consensus/primary.py
@@ -1,4 +1,8 @@
-"""The primary's part: one write after another, each on every holder before it is answered; its proof."""
+"""The primary role: runs one write at a time, each synced on every holder before it is acknowledged.
+
+A reply that rests on the committed document alone, such as a read or a refusal, is sent only after a majority
+has confirmed by heartbeat that no later primary had taken over.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """An operator's new configuration on top of version `base`."""
+    """An operator's new configuration, based on version `base`."""
 
     token: int
     base: int
@@ -24,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Get:
-    """An operator's question for the newest configuration."""
+    """An operator's request for the newest configuration."""
 
     token: int
 
@@ -34,7 +38,7 @@
 
 @dataclass(slots=True)
 class _PendingReply:
-    """An answer that waits until a majority has heard a beat sent after the question came."""
+    """A reply that waits until a majority has answered a heartbeat sent after the command arrived."""
 
     number: int
     command: Command
@@ -42,7 +46,7 @@
 
 
 class Primary:
-    """The commands of one view; made when it is won, thrown away when it ends."""
+    """Processes the commands of one view; created when the view is won and discarded when it ends."""
 
     def __init__(
         self, durable_state: DurableState, view: View, spec: Spec, emit: Callable[[Effect], None], now: float
@@ -50,26 +54,26 @@
         self.durable_state, self.view, self._spec, self._emit = durable_state, view, spec, emit
         self._queue: deque[Command] = deque()
         self._writing: Put | None = None
-        self._synced_slots: set[int] = set()  # slots that have synced the write
+        self._synced_slots: set[int] = set()  # Slots that have synced the current write.
         self.write_at = self._resend_at = 0.0
-        self.took_ms = 0.0  # how long the last write took
-        self.write_ms = spec.write_timeout_ms  # a write that takes longer hangs
+        self.took_ms = 0.0  # Duration of the last write.
+        self.write_ms = spec.write_timeout_ms  # A write that takes longer is considered hung.
         self._pending_replies: list[_PendingReply] = []
-        self.heartbeat_number = 0  # of the latest beat
+        self.heartbeat_number = 0  # Number of the latest heartbeat.
         self._heartbeat_at = -1e12
         own = view.primary
-        self.acked_heartbeats: dict[int, int] = {own: 0}  # slot: the latest beat that it has answered
+        self.acked_heartbeats: dict[int, int] = {own: 0}  # Latest heartbeat that each slot has answered.
         self.heard_at: dict[int, float] = dict.fromkeys(range(len(view.members)), now)
-        self.highest_promised = 0  # an epoch that somebody has promised beyond ours
-        self.behind: set[int] = set()  # slots that have not accepted our view
-        self.refused = False  # a holder could not keep a write
+        self.highest_promised = 0  # A higher epoch that some member has promised.
+        self.behind: set[int] = set()  # Slots that have not accepted this view.
+        self.refused = False  # A holder refused a write.
         self.committed = self._proposed = durable_state.document
         emit(Committed(view.epoch, durable_state.document))
 
-    # ---- beats
+    # ---- heartbeats
 
     def send_heartbeat(self, now: float) -> None:
-        """Tell all members that we are there."""
+        """Sends a heartbeat to all members."""
         self.heartbeat_number += 1
         self._heartbeat_at = now
         self.acked_heartbeats[self.view.primary] = self.heartbeat_number
@@ -83,7 +87,7 @@
         self._send_proven_replies()
 
     def on_heartbeat_ack(self, message: Heard, now: float) -> None:
-        """A member has answered a beat."""
+        """Handles a member's answer to a heartbeat."""
         slot = self.view.slot_of(message.sender)
         if slot is None or message.epoch != self.view.epoch:
             return
@@ -99,86 +103,87 @@
         self._send_proven_replies()
 
     def is_heartbeat_due(self, now: float) -> bool:
-        """Whether it is time for the next one."""
+        """Whether the next heartbeat is due."""
         return now - self._heartbeat_at >= self._spec.heartbeat_ms
 
     def quorum_at(self) -> float:
-        """When a majority was last heard, ourselves included."""
+        """Returns when a majority, including this process, was last known to be reachable."""
         times = sorted(self.heard_at.values(), reverse=True)
         return times[self.view.majority - 1]
 
     def present_slots(self) -> set[int]:
-        """The slots that have answered a beat of this view."""
+        """The slots that have answered a heartbeat of this view."""
         return {slot for slot, number in self.acked_heartbeats.items() if number > 0}
 
     def silent_slots(self, now: float, after_ms: float) -> list[int]:
-        """The slots that have answered nothing for so long, the longest silent first."""
-        taken = [slot for slot, member in enumerate(self.view.members) if member is not None]
-        silent = [slot for slot in taken if now - self.heard_at[slot] > after_ms]
+        """The slots that have answered nothing for longer than `after_ms`, the longest silent first."""
+        occupied = [slot for slot, member in enumerate(self.view.members) if member is not None]
+        silent = [slot for slot in occupied if now - self.heard_at[slot] > after_ms]
         return sorted(silent, key=self.heard_at.__getitem__)
 
     def needs_view_change(self, now: float, leaving: frozenset[str]) -> bool:
-        """Whether the view has to change: a write hangs, or fewer holders could be lost or leaving."""
+        """Whether the view must change: a write hangs, or better holders are available."""
         if self.highest_promised >= self.view.epoch or self.is_write_overdue(now) or self.refused:
             return True
         return self._has_better_holders(now, leaving)
 
     def _has_better_holders(self, now: float, leaving: frozenset[str]) -> bool:
-        """Whether other holders would rest on fewer members that are silent or leave (identities)."""
-        view, wanted = self.view, self._spec.holders
-        able = self.present_slots() - set(self.silent_slots(now, self._spec.member_timeout_ms))
-        if len(able) < wanted:
+        """Whether other holders would include fewer silent or leaving members (identities)."""
+        view, holder_count = self.view, self._spec.holders
+        reachable = self.present_slots() - set(self.silent_slots(now, self._spec.member_timeout_ms))
+        if len(reachable) < holder_count:
             return False
-        staying = able - self.slots_of(leaving)
+        staying = reachable - self.slots_of(leaving)
         others = len(staying - {view.primary})
-        best = min(wanted - 1, others) + (view.primary in staying)  # whoever campaigns holds the data
-        return best > len(staying & set(view.holders)) or len(view.holders) < wanted
+        # The campaigner always holds the data.
+        best_staying = min(holder_count - 1, others) + (view.primary in staying)
+        return best_staying > len(staying & set(view.holders)) or len(view.holders) < holder_count
 
     def slots_of(self, identities: frozenset[str]) -> set[int]:
-        """The slots of those who are members."""
+        """Returns the slots of those identities that are members."""
         return {slot for i in identities if (slot := self.view.slot_of(i)) is not None}
 
     def staying_slots(self, now: float, leaving: frozenset[str]) -> set[int]:
-        """The slots of the others that are there and don't leave."""
-        gone = set(self.silent_slots(now, self._spec.member_timeout_ms)) | self.slots_of(leaving)
-        return self.present_slots() - gone - {self.view.primary}
+        """The slots of the other members that are present and not leaving."""
+        unavailable = set(self.silent_slots(now, self._spec.member_timeout_ms)) | self.slots_of(leaving)
+        return self.present_slots() - unavailable - {self.view.primary}
 
     def successors(self, now: float, leaving: frozenset[str] = frozenset()) -> list[Member]:
-        """The other holders, the best successor first: it stays, is heard of and has the latest write."""
+        """Returns the other holders, best first: staying, reachable and with the latest write."""
         others = [s for s in self.view.holders if s != self.view.primary]
-        silent, going = self.silent_slots(now, self._spec.member_timeout_ms), self.slots_of(leaving)
-        order = sorted(others, key=lambda s: (s in going, s in silent, s not in self._synced_slots))
-        return [self.view.member_at(s) for s in order]
+        silent, departing = self.silent_slots(now, self._spec.member_timeout_ms), self.slots_of(leaving)
+        ordered = sorted(others, key=lambda s: (s in departing, s in silent, s not in self._synced_slots))
+        return [self.view.member_at(s) for s in ordered]
 
     # ---- commands
 
     def submit(self, command: Command, now: float) -> None:
-        """Take a command; it is answered by a `Reply`, or thrown away with us."""
+        """Queues a command; it is answered with a `Reply`, or dropped when the term ends."""
         self._queue.append(command)
         self._process_queue(now)
 
     def pending_commands(self) -> list[Command]:
-        """All that has no answer yet."""
+        """Returns all commands without a reply."""
         writing = [self._writing] if self._writing is not None else []
         return [*(p.command for p in self._pending_replies), *writing, *self._queue]
 
     def is_write_overdue(self, now: float) -> bool:
-        """Whether a write has been under way for too long."""
+        """Whether the current write has taken too long."""
         return self._writing is not None and now - self.write_at > self.write_ms
 
     def has_synced(self, slot: int) -> bool:
-        """Whether a slot has synced the write that is under way."""
+        """Whether a slot has synced the current write."""
         return slot in self._synced_slots
 
     def on_written(self, message: Written, now: float) -> None:
-        """A holder has kept the write, or could not."""
+        """Handles a holder's answer to a write."""
         slot = self.view.slot_of(message.sender)
         if slot is None or message.epoch != self.view.epoch or self._writing is None:
             return
         if message.promised > self.view.epoch:
             self.highest_promised = max(self.highest_promised, message.promised)
         if message.number != self.committed.number + 1:
-            return  # a repeat of an earlier one
+            return  # A duplicate answer to an earlier write.
         if not message.ok:
             self.refused = True
             return
@@ -192,7 +197,7 @@
             self._process_queue(now)
 
     def _process_queue(self, now: float) -> None:
-        """Answer what can be answered, up to the next write; one is under way at a time."""
+        """Runs queued commands up to the next write; only one write is in progress at a time."""
         while self._queue and self._writing is None:
             command = self._queue.popleft()
             document = self.committed
@@ -200,10 +205,10 @@
                 case Get():
                     self._reply_when_proven(command, Verdict.DONE, now)
                 case Put() if (
-                    past := document.change_status(command.ver, command.digest)
+                    status := document.change_status(command.ver, command.digest)
                 ) is not ChangeStatus.NOT_ACCEPTED:
                     self._reply_when_proven(
-                        command, Verdict.DONE if past is ChangeStatus.ACCEPTED else Verdict.UNSURE, now
+                        command, Verdict.DONE if status is ChangeStatus.ACCEPTED else Verdict.UNSURE, now
                     )
                 case Put() if command.base != document.ver:
                     self._reply_when_proven(command, Verdict.STALE, now)
@@ -219,7 +224,7 @@
         self._send_write(set(self.view.holders))
 
     def resend(self, now: float) -> None:
-        """Send the write again to the holders that have not said that they kept it; less and less often."""
+        """Retransmits the write to holders that have not confirmed it, with exponential backoff."""
         if self._writing is None or now < self._resend_at:
             return
         self._resend_at = now + (now - self.write_at)
@@ -235,7 +240,7 @@
             self._emit(Send(member.ip, message))
 
     def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
-        """Answer once we know that nobody had taken our place when the question was decided."""
+        """Holds a reply until a majority confirms that no later primary existed when it was decided."""
         reply = Reply(command.token, verdict, self.committed)
         self._pending_replies.append(_PendingReply(self.heartbeat_number + 1, command, reply))
         self.send_heartbeat(now)
@@ -244,9 +249,9 @@
         numbers = sorted(
             (self.acked_heartbeats.get(s, 0) for s in range(len(self.view.members))), reverse=True
         )
-        sure = numbers[self.view.majority - 1]
-        ready = [p for p in self._pending_replies if p.number <= sure]
+        confirmed = numbers[self.view.majority - 1]
+        ready = [p for p in self._pending_replies if p.number <= confirmed]
         if ready:
-            self._pending_replies = [p for p in self._pending_replies if p.number > sure]
+            self._pending_replies = [p for p in self._pending_replies if p.number > confirmed]
             for proof in ready:
                 self._emit(proof.reply)
--- a/consensus/replica.py
+++ b/consensus/replica.py
@@ -1,7 +1,7 @@
-"""One control process as a pure machine: messages, time and commands in, effects out.
+"""One control process as a deterministic state machine: messages, time and commands in, effects out.
 
-It owns all of its state; whoever hosts it hands over one event at a time and carries out effects in order.
-Times are milliseconds of a steady clock.
+It owns all of its state. Its host passes it one event at a time and carries out the effects in order. Times
+are milliseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,11 +35,12 @@
 from consensus.terms import PreviousTerm, Succession
 from consensus.views import DurableState, Member, View
 
-START_TIMEOUT_SHARE = 0.3  # of the time after which a silent primary is lost is left when a process starts
+# Share of the leader timeout that is left to a silent primary when a process starts.
+START_TIMEOUT_SHARE = 0.3
 
 
 class Replica:
-    """Decides who leads, what is kept where, and what operators are told."""
+    """Decides who leads, what is stored where and how operators' commands are answered."""
 
     def __init__(
         self,
@@ -47,10 +48,10 @@
         durable_state: DurableState,
         spec: Spec,
         seeds: tuple[str, ...],
-        founder: bool,
+        is_bootstrap_node: bool,
         seed: int,
     ) -> None:
-        """`seeds`: the IPs of processes that may know the view. `founder`: we make the first one."""
+        """`seeds`: IPs of processes that may know the view. `is_bootstrap_node`: creates the first view."""
         self.me, self.durable_state, self._spec = me, durable_state, spec
         self._effects: deque[Effect] = deque()
         self.acceptor = Acceptor(durable_state, spec, self._effects.append)
@@ -58,90 +59,93 @@
         self.candidate = Candidate(me, self.acceptor, spec, seed, self._effects.append)
         self._newcomers = Newcomers(spec.spread)
         self._discovery = ViewDiscovery(me, self.acceptor, spec, seeds, self._effects.append)
-        self._bootstrap = Bootstrap(me, self.acceptor, spec, founder, self._effects.append)
-        self._hung_at = -1e12  # when the last write that hung was begun
+        self._bootstrap = Bootstrap(me, self.acceptor, spec, is_bootstrap_node, self._effects.append)
+        self._hung_at = -1e12  # When the last write that hung was started.
         self._leaving_members = LeavingMembers()
         self._departure = Departure(me.identity, self._effects.append)
         self._ticked_at = 0.0
         self._last_term = PreviousTerm(self._effects.append)
         self._succession = Succession(self._effects.append)
 
-    # ---- the host's side
+    # ---- called by the host
 
     def take_effects(self) -> list[Effect]:
-        """What is to be done now, in order."""
-        found = list(self._effects)
+        """Returns the pending effects in order, and clears them."""
+        effects = list(self._effects)
         self._effects.clear()
-        return found
+        return effects
 
     def start(self, now: float) -> None:
-        """The process is up."""
+        """Starts the replica; called once the process is up."""
         self._bootstrap.started = self._ticked_at = now
-        # With a view in hand the primary may be there; it has the time of a beat or so to be heard of.
+        # If a view is stored, its primary may be alive; it gets a little over one heartbeat interval.
         self.acceptor.extend_leader_timeout(now, self._spec.leader_timeout_ms * START_TIMEOUT_SHARE)
         self.candidate.schedule_retry(now, 0.0, 1.0)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """The settings name other processes that may know the view, by IP."""
+        """Sets the IPs of processes that may know the view, from changed settings."""
         self._discovery.seeds = seeds
 
     def seeds(self) -> tuple[str, ...]:
-        """The processes that the settings name, by IP."""
+        """Returns the IPs of the processes that the settings name."""
         return self._discovery.seeds
 
-    def on_disk_health(self, well: bool) -> None:
-        """The disk refuses writes, or takes them again after all of the memory has been written to it."""
-        self.acceptor.is_disk_failed = not well
+    def on_disk_health(self, is_healthy: bool) -> None:
+        """The disk refuses writes, or accepts them again after the whole state has been written to it."""
+        self.acceptor.is_disk_failed = not is_healthy
 
     def submit(self, command: Command, now: float) -> None:
-        """An operator's command; answered by one `Reply`."""
+        """Takes an operator's command, which is answered with one `Reply`."""
         if self.primary is None:
             self._effects.append(Reply(command.token, Verdict.MOVED))
         else:
             self.primary.submit(command, now)
 
     def leader(self) -> Member | None:
-        """The primary as far as we know."""
+        """Returns the primary of the latest known view."""
         view = self.acceptor.latest_view
         return None if view is None else view.leader()
 
     def has_live_leader(self, now: float) -> bool:
-        """Whether a primary is there: ourselves, or one that was heard of a moment ago."""
+        """Whether this process leads, or the primary's leader timeout has not expired."""
         return self.primary is not None or self.acceptor.has_live_leader(now)
 
     def live_leader(self, now: float) -> Member | None:
-        """The primary if it was heard of itself a moment ago: one that is only given its time is not."""
-        is_heard = (leader := self.leader()) is not None and self.acceptor.heard_from == leader.identity
-        return leader if is_heard and self.has_live_leader(now) else None
+        """Returns the primary if it was itself heard from within the leader timeout.
+
+        A primary whose timeout was only extended doesn't count.
+        """
+        has_heard = (leader := self.leader()) is not None and self.acceptor.heard_from == leader.identity
+        return leader if has_heard and self.has_live_leader(now) else None
 
     def stop(self, now: float) -> None:
-        """The process is told to stop: what rests on it goes to others first; see `may_end`."""
+        """Starts a graceful shutdown, which hands this process's duties to others first; see `may_end`."""
         self._departure.begin(now)
         self._departure.tick(self.leader(), now)
 
     def may_end(self) -> bool:
-        """Whether a process that is told to stop may end: no view rests on it any more."""
+        """Whether a process that is shutting down may exit, as no view depends on it any more."""
         return self.durable_state.slot() is None or (self._departure.is_released and self.primary is None)
 
     def resign(self, now: float) -> None:
-        """The process ends now, whether it may or not: name a successor if we lead."""
+        """Prepares for an immediate exit: names a successor if this process leads."""
         if self.primary is not None:
             self._hand_over(now)
 
     # ---- events
 
     def on_message(self, ip: str, message: Message, now: float) -> None:
-        """A message of another process, or our own to ourselves."""
+        """Handles a message from another process, or from this process to itself."""
         if message.to not in (self.me.identity, ""):
             self._discovery.stale_sender = ip
-            return  # meant for a process that was here before
+            return  # Addressed to a predecessor of this process.
         if self.primary is not None and isinstance(message, Ask | Leaving):
             self._notify_displaced(ip, message.sender, self.primary.view)
-        named = (getattr(message, "epoch", 0), getattr(message, "promised", 0))
-        self.candidate.highest_epoch_seen = max(self.candidate.highest_epoch_seen, *named)
-        was = self.durable_state.promised
+        epochs = (getattr(message, "epoch", 0), getattr(message, "promised", 0))
+        self.candidate.highest_epoch_seen = max(self.candidate.highest_epoch_seen, *epochs)
+        promised_before = self.durable_state.promised
         if self.acceptor.handle(ip, message, now):
-            if self.durable_state.promised > was and self.primary is not None:
+            if self.durable_state.promised > promised_before and self.primary is not None:
                 self._end_term(now)
             if isinstance(message, Install | Prepare):
                 self._bootstrap.is_pending = False
@@ -169,31 +173,33 @@
                 self._departure.on_released(message)
             case Succeed():
                 view = self.durable_state.view
-                due = view is not None and message.epoch == view.epoch == self.durable_state.promised
-                free = self.primary is None and not self.candidate.is_designated_for(message.epoch)
-                if due and free and not self._departure.is_begun:
+                is_current = view is not None and message.epoch == view.epoch == self.durable_state.promised
+                is_available = self.primary is None and not self.candidate.is_designated_for(message.epoch)
+                if is_current and is_available and not self._departure.is_begun:
                     self._leaving_members.add(message.sender, now)
                     self._start_campaign(now, handover=True)
         self._advance_campaign(now)
 
     def skip_epochs_to(self, epoch: int) -> None:
-        """Others believe only a leader of a later epoch than this, that of a core that is gone for good.
+        """Makes the next view's epoch exceed `epoch`, because other programs reject leaders up to that epoch.
 
-        Nothing is bound by it: as leader we begin a view above that epoch, as every view is begun.
+        This happens when they followed a control group that is gone for good. Nothing is bound by it: if this
+        process leads, it starts a later view in the usual way.
         """
         self.candidate.highest_epoch_seen = max(self.candidate.highest_epoch_seen, epoch)
         if self.primary is not None:
             self.primary.highest_promised = max(self.primary.highest_promised, epoch)
 
     def on_stall(self, stall_ms: float, now: float) -> None:
-        """The process stood still for so long, in a time that its clock leaves out (`AwakeClock`)."""
+        """The process stalled for `stall_ms`, a period that its clock leaves out (`AwakeClock`)."""
         self.acceptor.detector.on_stall(stall_ms, now)
         if self.primary is not None:
-            self.primary.send_heartbeat(now)  # the others have waited for it
+            self.primary.send_heartbeat(now)  # The other members have been waiting for it.
 
     def tick(self, now: float) -> None:
-        """Time has gone by; called every few tens of milliseconds."""
-        if now - self._ticked_at > self._spec.heartbeat_ms:  # we were frozen: beats may be waiting
+        """Handles the passage of time; called every few tens of milliseconds."""
+        # This process was stalled: heartbeats may be waiting in its sockets.
+        if now - self._ticked_at > self._spec.heartbeat_ms:
             self.acceptor.extend_leader_timeout(now, self._spec.leader_timeout_ms / 2)
         self._ticked_at = now
         self._newcomers.expire(now)
@@ -212,7 +218,7 @@
         if self.primary is None:
             if (
                 not self._departure.is_begun or self.durable_state.slot() is not None
-            ):  # who stops asks for no slot
+            ):  # A process that is shutting down asks for no slot.
                 self._discovery.tick(now)
             self._succession.tick(self.durable_state.promised, now)
             self._departure.tick(self.leader(), now)
@@ -220,12 +226,12 @@
     # ---- campaigns
 
     def _should_campaign(self, now: float) -> bool:
-        """Whether the primary has been silent for so long that a holder is to take its place."""
-        free = self.candidate.can_campaign(now) and not self._bootstrap.is_in_progress(now)
-        return free and self.candidate.is_leader_overdue(now, self._departure.is_begun)
+        """Whether the primary has been silent for so long that this holder should campaign."""
+        is_available = self.candidate.can_campaign(now) and not self._bootstrap.is_in_progress(now)
+        return is_available and self.candidate.is_leader_overdue(now, self._departure.is_begun)
 
     def _start_campaign(self, now: float, handover: bool = False) -> None:
-        """Begin a campaign, as a holder of the latest view that we have accepted."""
+        """Starts a campaign if this process is a holder of the latest view that it has accepted."""
         view, primary = self.durable_state.view, self.primary
         if view is None or not self.durable_state.is_holder() or self.acceptor.is_disk_failed:
             return
@@ -239,17 +245,18 @@
             self._last_term.reject_commands()
         elif ended is not None and self.durable_state.promised == ended.epoch:
             self._on_campaign_won(ended, now)
-        first = self._bootstrap.take_won_campaign()
-        if first is not None and self.durable_state.promised == first.epoch:
-            self._on_campaign_won(first, now)
+        first_campaign = self._bootstrap.take_won_campaign()
+        if first_campaign is not None and self.durable_state.promised == first_campaign.epoch:
+            self._on_campaign_won(first_campaign, now)
 
     def _on_campaign_won(self, campaign: Campaign, now: float) -> None:
         assert campaign.view is not None
         view = campaign.view
         self.primary = Primary(self.durable_state, view, self._spec, self._effects.append, now)
-        self.primary.write_ms *= self.candidate.timeout_backoff.factor(now)  # eased in `_lead`
+        self.primary.write_ms *= self.candidate.timeout_backoff.factor(now)  # Decays in `_tick_as_leader`.
         commands = self._last_term.transfer_to(campaign, self.primary)
-        self.candidate.next_try = now + self._spec.heartbeat_ms  # a view is given the time of a beat
+        # A view gets one heartbeat interval before it may change.
+        self.candidate.next_try = now + self._spec.heartbeat_ms
         self.acceptor.confirm_in_force(view)
         self._effects.append(Lead(view, self._last_term.is_base_of(campaign)))
         for slot, member in enumerate(view.members):
@@ -260,11 +267,11 @@
             self.primary.submit(command, now)
 
     def _send_install(self, member: Member, view: View) -> None:
-        """The view is in force: tell a member that holds no data."""
+        """Informs a member without data that the view is in force."""
         if view.slot_of(member.identity) not in view.holders:
             self._send(member, Install(self.me.identity, member.identity, view, None, True))
 
-    # ---- the primary's upkeep
+    # ---- duties of the primary
 
     def _tick_as_leader(self, now: float) -> None:
         primary = self.primary
@@ -282,13 +289,13 @@
         if primary.is_write_overdue(now) and primary.write_at != self._hung_at:
             self._hung_at = primary.write_at
             self.candidate.timeout_backoff.increase(now)
-        own_hangs = primary.is_write_overdue(now) and not primary.has_synced(primary.view.primary)
+        is_own_write_overdue = primary.is_write_overdue(now) and not primary.has_synced(primary.view.primary)
         quorum_ms = (
             self._spec.quorum_timeout_ms
             / self._spec.leader_timeout_ms
             * self.acceptor.detector.timeout_ms(now)
         )
-        if self.acceptor.is_disk_failed or own_hangs or now - primary.quorum_at() > quorum_ms:
+        if self.acceptor.is_disk_failed or is_own_write_overdue or now - primary.quorum_at() > quorum_ms:
             self._hand_over(now)
             return
         if self._departure.is_begun:
@@ -302,28 +309,28 @@
             self._start_campaign(now)
 
     def _needs_view_change(self, primary: Primary, now: float) -> bool:
-        """Whether the view has to change: a holder is lost or leaves, a write hangs, somebody waits."""
+        """Whether the view must change: a holder fails or leaves, a write hangs, or a newcomer waits."""
         return (
             primary.needs_view_change(now, self._leaving_identities())
             or self._due_change(primary, now) != NoChange()
         )
 
     def _leaving_identities(self) -> frozenset[str]:
-        """The identities of all that are told to stop, our own too."""
+        """The identities of all leaving members, including this process."""
         own = frozenset({self.me.identity}) if self._departure.is_begun else frozenset()
         return self._leaving_members.identities() | own
 
     def _due_change(self, primary: Primary, now: float) -> Change:
-        """The change of members that is due."""
+        """Returns the membership change that is due."""
         dead = primary.silent_slots(now, self._spec.dead_after_ms)
         silent = primary.silent_slots(now, self._spec.member_timeout_ms)
         leaving = sorted(primary.slots_of(self._leaving_members.identities()) - set(dead))
         present = frozenset(primary.present_slots() - set(silent))
-        standing = MembershipStatus(tuple(dead), tuple(leaving), tuple(silent), present)
-        return self._newcomers.due_change(primary.view, standing, now)
+        status = MembershipStatus(tuple(dead), tuple(leaving), tuple(silent), present)
+        return self._newcomers.due_change(primary.view, status, now)
 
     def _step_down(self, primary: Primary, now: float) -> None:
-        """We are told to stop as leader: hand over to a holder that stays, once there is one."""
+        """As a leader that is shutting down, hands over once there is a holder that stays."""
         if not self._departure.is_settled(now):
             return
         staying = primary.staying_slots(now, self._leaving_members.identities())
@@ -333,7 +340,7 @@
             self._release_all(primary, now)
 
     def _release_all(self, primary: Primary, now: float) -> None:
-        """Nobody is there to whom anything could go: all that leave may end, we too; their disks stay."""
+        """Releases all leaving members and this process, as nobody can take over; the disks remain."""
         for identity in self._leaving_members.identities():
             slot = primary.view.slot_of(identity)
             if slot is not None:
@@ -343,26 +350,26 @@
         self._hand_over(now)
 
     def _release_if_unneeded(self, ip: str, identity: str, now: float) -> None:
-        """Let a member end that is told to stop, if the view in force does not rest on it."""
+        """Releases a leaving member if the view in force doesn't depend on it."""
         primary = self.primary
         if primary is None:
             return
         view = primary.view
         slot = view.slot_of(identity)
-        is_free = slot not in view.holders and view.extra_member() is None
-        is_free = is_free and not self._newcomers.has_waiting(view)
-        if slot is None or is_free:
+        is_unneeded = slot not in view.holders and view.extra_member() is None
+        is_unneeded = is_unneeded and not self._newcomers.has_waiting(view)
+        if slot is None or is_unneeded:
             self._effects.append(Send(ip, Released(self.me.identity, identity, view.epoch)))
 
     def _hand_over(self, now: float) -> None:
-        """Name the successor: a holder that stays, was heard of and has the latest write first."""
+        """Ends the term and names a successor: a holder that stays, is reachable and has the latest write."""
         primary = self.primary
         assert primary is not None
         self._succession.start(primary, now, self._leaving_members.identities())
         self._end_term(now)
 
     def _end_term(self, now: float) -> None:
-        """We lead no longer; what has no answer may have been taken or not."""
+        """Ends the term; commands without a reply may or may not have been applied."""
         primary, self.primary = self.primary, None
         if primary is not None:
             self._last_term.end(primary)
@@ -376,7 +383,7 @@
     # ---- newcomers
 
     def _notify_displaced(self, ip: str, identity: str, view: View) -> None:
-        """One that is no member any more asks as if it were: tell it the view in force."""
+        """Sends the view in force to a sender that acts as a member but is none any more."""
         if view.slot_of(identity) is None:
             self._effects.append(Send(ip, Install(self.me.identity, identity, view, None, True)))
 
--- a/consensus/slots.py
+++ b/consensus/slots.py
@@ -1,32 +1,32 @@
-"""What a control process keeps on its disk: two slots written in turn, a short log between.
-
-Files of the folder, by parity of the generation they hold: `slot.0`, `slot.1` (one whole state each) and
-`log.0`, `log.1` (the records appended after that state). Generation 0 has no slot: it is the empty state of
-a fresh disk. A checkpoint writes the state of generation n + 1 into the slot that generation n doesn't use,
-syncs it, and only then begins the log of n + 1; until the slot's sync has returned, slot n and log n are
-untouched.
-
-- A slot is a head (mark, generation, length, checksum) and the state; a torn one fails its checksum.
-- A log is a row of frames (length, generation, sequence number, checksum, record). The checksum of a frame
-  goes on from that of the frame before it, so that what a failed or older write left behind never fits
-  behind a frame written later. Frame 0 is empty; it says that the generation's checkpoint was completed.
-
-**Empty or damaged?** A checkpoint returns only after frame 0 of its log was synced, and begins only once
-frame 0 of the generation before is on disk, so from the first completed checkpoint on, some log names the
-newest completed generation. Loading takes the newest whole slot. If a log names a newer generation, or
-`slot.0` holds bytes and no slot is whole (generation 2 is begun only when 1 is complete), then a slot that
-was acknowledged is unreadable: DiskError, never an older or an empty state. A damaged `slot.1` alone, with
-no log naming generation 1, is the first checkpoint that never returned: nothing in it was acknowledged, and
-the state is that of generation 0. A slot torn while an older one is whole is likewise a checkpoint that
-never returned.
-
-**After an error** the disk may hold what failed, or not. A failed append is cut off by the next one before
-that returns; a failed checkpoint is taken back (its log and slot are emptied) before anything else is
-written, since a slot that reached the disk after all would hide the records appended to the older log.
-Until then a restart may find the failed record or state as the newest thing.
-
-**After a restart** the files may hold what was written or cut off and not yet synced when the process
-ended. `Store.load` syncs all of them before it says that what it read is kept (`Loaded.synced`).
+"""Crash-safe storage of the state of a control process: two slots written alternately, and a short log.
+
+The folder holds four files. Each generation uses the pair that matches its parity: `slot.0` and `slot.1` hold
+one complete state each, `log.0` and `log.1` the records appended after that state. Generation 0 has no slot;
+it is the empty state of a new disk. A checkpoint writes the state of generation n + 1 to the slot that
+generation n doesn't use, syncs it, and only then starts the log of n + 1. Until the sync of the slot has
+returned, slot n and log n are untouched.
+
+- A slot is a header (magic, generation, length, checksum) and the state. A torn slot fails its checksum.
+- A log is a sequence of frames (length, generation, sequence number, checksum, record). The checksum of a
+  frame continues that of the frame before it, so that remains of a failed or older write never follow a later
+  frame. Frame 0 is empty and marks the checkpoint of the generation as complete.
+
+**Empty or damaged?** A checkpoint returns only after frame 0 of its log has been synced, and starts only once
+frame 0 of the previous generation is on disk. From the first completed checkpoint on, some log therefore
+names the newest completed generation. Loading takes the newest intact slot. If a log names a newer
+generation, or `slot.0` holds bytes while no slot is intact (generation 2 starts only after 1 is complete),
+then an acknowledged slot is unreadable: this raises DiskError rather than returning an older or an empty
+state. A damaged `slot.1` alone, with no log that names generation 1, is the first checkpoint before it
+returned: nothing in it was acknowledged, and the state is that of generation 0. A torn slot beside an older
+intact one is likewise a checkpoint that never returned.
+
+**After an error** the disk may or may not hold the data of the failed call. The next append truncates a
+failed append before it returns. A failed checkpoint is undone, by emptying its log and slot, before anything
+else is written, because a slot that reached the disk after all would hide the records appended to the older
+log. Until then a restart may find the failed record or state as the newest one.
+
+**After a restart** the files may hold writes or truncations that were not synced when the process ended.
+`Store.load` syncs all files before it reports their content as stored (`Loaded.synced`).
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
 from consensus.files import Files
 
 _MAGIC = b"bgs1"
-_SLOT = struct.Struct("<4sQQ")  # mark, generation, length of the state
-_FRAME = struct.Struct("<IQQ")  # length of the record, generation, sequence number
+_SLOT = struct.Struct("<4sQQ")  # Magic, generation, length of the state.
+_FRAME = struct.Struct("<IQQ")  # Length of the record, generation, sequence number.
 _SUM = struct.Struct("<I")
 _SLOT_HEAD = _SLOT.size + _SUM.size
 _FRAME_HEAD = _FRAME.size + _SUM.size
@@ -56,10 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """What the disk holds: the state (None before the first checkpoint) and the records appended after it.
+    """The content of the disk: the state and the records appended after it.
 
-    `synced`: whether a loss of power can't take it any more. Where it is False the disk refused the sync; the
-    next append or checkpoint, or `Store.sync`, makes up for it, and until then nobody may be told it is kept.
+    `state` is None before the first checkpoint. `synced`: whether the content would survive a loss of power.
+    If it is False, the disk has refused the sync. The next append or checkpoint, or `Store.sync`, repeats the
+    sync; until then the content must not be reported as stored.
     """
 
     generation: int
@@ -69,13 +70,13 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the disk holds nothing that was ever acknowledged: it is new or was wiped."""
+        """Whether the disk holds nothing that was ever acknowledged, because it is new or was wiped."""
         return self.state is None and not self.records
 
 
 @dataclass(frozen=True, slots=True)
 class _Slot:
-    """A slot file: whether it holds bytes at all, and the state if it is whole."""
+    """A slot file: whether it holds any bytes, and the state if it is intact."""
 
     present: bool
     generation: int = 0
@@ -84,54 +85,54 @@
 
 @dataclass(frozen=True, slots=True)
 class _Log:
-    """A log file's whole frames: generation (None without a frame 0), records, end, last checksum."""
+    """The intact frames of a log file."""
 
-    generation: int | None
+    generation: int | None  # None without frame 0.
     records: tuple[bytes, ...]
-    end: int
-    chain: int
+    end: int  # Offset behind the last intact frame.
+    chain: int  # Checksum of the last intact frame.
     size: int
 
 
 class Store:
-    """The two slots and the logs of one folder; calls wait for the disk, all from one thread.
+    """The two slots and logs of one folder; calls block on the disk and must come from one thread.
 
-    Every call that can't do its work raises DiskError, which names the remedy and leaves the store usable:
-    the next call tries again. Whoever gets one must take nothing of that call as kept.
+    A call that fails raises DiskError, which names the remedy. The store stays usable and the next call tries
+    again. After a DiskError, nothing of that call may be assumed to be stored.
     """
 
     def __init__(self, folder: Path, files: Files, prefix: str = "") -> None:
-        """`prefix`: of the files' names, where several stores share a folder."""
+        """`prefix`: prefix of the file names, for several stores in one folder."""
         self._folder, self._files = folder, files
         self._slots = (folder / f"{prefix}slot.0", folder / f"{prefix}slot.1")
         self._logs = (folder / f"{prefix}log.0", folder / f"{prefix}log.1")
-        self._linked: set[Path] = set()  # files whose names the folder's last sync covered
+        self._linked: set[Path] = set()  # Files whose names the last folder sync covered.
         self._loaded = False
-        self._synced = False  # whether what was loaded is known to be on disk
+        self._synced = False  # Whether the loaded content is known to be on disk.
         self._generation = 0
-        self._sequence, self._chain, self._end = 0, _CHAIN, 0  # of the log's last kept frame
-        self._log_is_clean = False  # whether the log ends where its last kept frame does
-        self._failed_checkpoint = False  # whether the next generation may be on disk in part
+        self._sequence, self._chain, self._end = 0, _CHAIN, 0  # Of the last stored frame of the log.
+        self._log_is_clean = False  # Whether the log ends at its last stored frame.
+        self._failed_checkpoint = False  # Whether the next generation may be partly on disk.
 
     @classmethod
     def open(cls, folder: Path, files: Files, prefix: str = "") -> Store:
-        """The store of an existing folder; nothing is read or written before `load`."""
+        """Returns the store of an existing folder; nothing is read or written before `load`."""
         return cls(folder, files, prefix)
 
     @property
     def log_bytes(self) -> int:
-        """How long the log is, in bytes; the caller makes a checkpoint when it is over its bound."""
+        """The length of the log in bytes; the caller makes a checkpoint when it exceeds its limit."""
         return self._end
 
     @property
     def generation(self) -> int:
-        """How many checkpoints the state has been through; 0 before the first."""
+        """The number of completed checkpoints; 0 before the first."""
         return self._generation
 
     # --- reading
 
     def load(self) -> Loaded:
-        """What is kept; raises DiskError where the folder can't be read, or holds a state that is damaged."""
+        """Reads the stored state; raises DiskError if it is unreadable or an acknowledged state is lost."""
         self._loaded = False
         names = self._guard_read(partial(self._files.names, self._folder), self._folder)
         slots = [_read_slot(at, self._read(path, names)) for at, path in enumerate(self._slots)]
@@ -159,9 +160,9 @@
         if completed <= newest.generation and (newest.state is not None or not slots[0].present):
             return
         raise DiskError(
-            f"the state in {self._folder} is damaged: generation {max(completed, newest.generation + 1)} was"
-            f" completed, and the newest whole slot is {newest.generation}",
-            "empty the folder and start again, so that the state comes from the other machines",
+            f"state in {self._folder} is damaged: generation {max(completed, newest.generation + 1)} was"
+            f" completed, but the newest intact slot is {newest.generation}",
+            "empty the folder and restart the process; it gets the state from the other machines",
         )
 
     def _read(self, path: Path, names: Sequence[str]) -> bytes:
@@ -178,13 +179,13 @@
     # --- writing
 
     def append(self, record: bytes) -> None:
-        """Adds a record to the log and syncs it; raises DiskError."""
+        """Appends a record to the log and syncs it; raises DiskError."""
         self.append_all((record,))
 
     def append_all(self, records: Iterable[bytes]) -> None:
-        """Adds records in their order with one write and one sync: all are kept, or DiskError is raised.
+        """Appends records in order with one write and one sync; raises DiskError unless all are stored.
 
-        After a loss of power during the call, some of the first of them may be there.
+        A loss of power during the call may leave the first few of them.
         """
         self.sync()
         sequence, chain = self._sequence, self._chain
@@ -197,10 +198,10 @@
         self._sequence, self._chain = sequence, chain
 
     def checkpoint(self, state: bytes) -> None:
-        """Makes `state` what is kept, in the place of the state and all records so far; raises DiskError.
+        """Replaces the stored state and all records with `state`; raises DiskError.
 
-        A crash leaves the state and records from before, or the new state. After a DiskError those from
-        before are kept, and later records go on from them.
+        A crash leaves either the previous state and records, or the new state. After a DiskError the previous
+        ones remain, and later records extend them.
         """
         self.sync()
         generation = self._generation + 1
@@ -208,15 +209,15 @@
         self._failed_checkpoint = True
         self._guard_write(partial(self._write_slot, slot, generation, state), slot)
         frame, chain = _frame(b"", generation, 0, _CHAIN)
-        self._guard_write(partial(self._write_log, log, 0, frame, cut=True), log)
+        self._guard_write(partial(self._write_log, log, 0, frame, truncate=True), log)
         self._failed_checkpoint, self._log_is_clean = False, True
         self._generation = generation
         self._sequence, self._chain, self._end = 1, chain, len(frame)
 
     def sync(self) -> None:
-        """Brings the disk to what is kept, after a load or a failed checkpoint; raises DiskError.
+        """Brings the files to the stored state after a load or a failed checkpoint; raises DiskError.
 
-        Costs nothing where that is done already.
+        Does nothing if they are up to date.
         """
         if not self._loaded:
             self.load()
@@ -232,7 +233,7 @@
             self._sequence, self._chain = 1, chain
 
     def _sync_loaded(self) -> None:
-        """Makes last what an earlier process may have written or cut off without a sync, in whatever file."""
+        """Syncs all writes and truncations that an earlier process may have left unsynced in any file."""
         names = self._guard_read(partial(self._files.names, self._folder), self._folder)
         present = [path for path in self._slots + self._logs if path.name in names]
         for path in present:
@@ -241,7 +242,7 @@
         self._linked.update(present)
 
     def _undo_checkpoint(self) -> None:
-        """Empties the next generation's log, then its slot: the log must not outlive what it vouches for."""
+        """Empties the next generation's log, then its slot: no log may refer to a missing slot."""
         at = (self._generation + 1) % 2
         for path in (self._logs[at], self._slots[at]):
             self._guard_write(partial(self._empty, path), path)
@@ -258,21 +259,21 @@
         self._sync_file(path)
 
     def _add_to_log(self, frames: bytes) -> None:
-        """Writes behind the kept frames of the log; what a failed write left there is cut off first."""
-        path, cut = self._logs[self._generation % 2], not self._log_is_clean
+        """Writes behind the stored frames of the log, after truncating the remains of a failed write."""
+        path, truncate = self._logs[self._generation % 2], not self._log_is_clean
         self._log_is_clean = False
-        self._guard_write(partial(self._write_log, path, self._end, frames, cut=cut), path)
+        self._guard_write(partial(self._write_log, path, self._end, frames, truncate=truncate), path)
         self._log_is_clean = True
         self._end += len(frames)
 
-    def _write_log(self, path: Path, end: int, frames: bytes, cut: bool) -> None:
-        if cut:
+    def _write_log(self, path: Path, end: int, frames: bytes, truncate: bool) -> None:
+        if truncate:
             self._files.truncate(path, end)
         self._files.write(path, end, frames)
         self._sync_file(path)
 
     def _sync_file(self, path: Path) -> None:
-        """Syncs a file, and its folder if its name is new."""
+        """Syncs a file, and the folder if the file name is new."""
         self._files.sync(path)
         if path not in self._linked:
             self._files.sync_folder(self._folder)
@@ -286,20 +287,20 @@
 
 
 def _frame(record: bytes, generation: int, sequence: int, chain: int) -> tuple[bytes, int]:
-    """A record as it stands in the log, and the checksum that the next one goes on from."""
+    """Returns the log frame of a record, and the checksum that the next frame continues."""
     if len(record) > MAX_RECORD_BYTES:
-        raise ValueError(f"a record of {len(record)} bytes; make a checkpoint of what is so long")
+        raise ValueError(f"record of {len(record)} bytes is too long for the log; make a checkpoint")
     head = _FRAME.pack(len(record), generation, sequence)
     chain = zlib.crc32(record, zlib.crc32(head, chain))
     return head + _SUM.pack(chain) + record, chain
 
 
 def _read_slot(at: int, data: bytes) -> _Slot:
-    """The slot in a file's bytes; a generation that belongs into the other file doesn't count."""
+    """Parses a slot file; a generation that belongs in the other file is ignored."""
     if len(data) >= _SLOT_HEAD:
-        mark, generation, length = _SLOT.unpack_from(data)
+        magic, generation, length = _SLOT.unpack_from(data)
         (checksum,) = _SUM.unpack_from(data, _SLOT.size)
-        if mark == _MAGIC and generation > 0 and generation % 2 == at and length <= len(data) - _SLOT_HEAD:
+        if magic == _MAGIC and generation > 0 and generation % 2 == at and length <= len(data) - _SLOT_HEAD:
             state = data[_SLOT_HEAD : _SLOT_HEAD + length]
             if zlib.crc32(state, zlib.crc32(data[: _SLOT.size])) == checksum:
                 return _Slot(True, generation, state)
@@ -307,9 +308,9 @@
 
 
 def _read_log(at: int, data: bytes) -> _Log:
-    """The frames of a file's bytes up to the first that is torn, or of another generation or place."""
+    """Parses a log file up to the first frame that is torn or has another generation or sequence number."""
     records: list[bytes] = []
-    kept: int | None = None
+    log_generation: int | None = None
     chain, end, sequence = _CHAIN, 0, 0
     while end + _FRAME_HEAD <= len(data):
         length, generation, number = _FRAME.unpack_from(data, end)
@@ -317,26 +318,26 @@
         start = end + _FRAME_HEAD
         if length > len(data) - start or number != sequence or generation % 2 != at:
             break
-        if kept is not None and generation != kept:
+        if log_generation is not None and generation != log_generation:
             break
         record = data[start : start + length]
-        found = zlib.crc32(record, zlib.crc32(data[end : end + _FRAME.size], chain))
-        if found != checksum:
+        chained = zlib.crc32(record, zlib.crc32(data[end : end + _FRAME.size], chain))
+        if chained != checksum:
             break
         if sequence > 0:
             records.append(record)
-        kept, chain, end, sequence = generation, found, start + length, sequence + 1
-    return _Log(kept, tuple(records), end, chain, len(data))
+        log_generation, chain, end, sequence = generation, chained, start + length, sequence + 1
+    return _Log(log_generation, tuple(records), end, chain, len(data))
 
 
-def _disk_error(error: OSError, what: str, path: Path) -> DiskError:
-    """A failed call as an error whose message names the remedy."""
+def _disk_error(error: OSError, operation: str, path: Path) -> DiskError:
+    """Converts an OSError to a DiskError that names the remedy."""
     remedy = {
-        errno.ENOSPC: "free space on the disk; the next call tries again",
-        errno.EDQUOT: "free space on the disk; the next call tries again",
-        errno.ENOENT: "let data_dir name a folder that is there",
-        errno.EACCES: "let this process read and write the folder",
-        errno.EROFS: "let this process read and write the folder",
-    }.get(error.errno or 0, "check the disk; the next call tries again")
+        errno.ENOSPC: "free space on the disk; the next call retries",
+        errno.EDQUOT: "free space on the disk; the next call retries",
+        errno.ENOENT: "set data_dir to an existing folder",
+        errno.EACCES: "give this process read and write access to the folder",
+        errno.EROFS: "give this process read and write access to the folder",
+    }.get(error.errno or 0, "check the disk; the next call retries")
     name = errno.errorcode.get(error.errno or 0, "error")
-    return DiskError(f"the disk refuses to {what} {path} ({name})", remedy)
+    return DiskError(f"cannot {operation} {path} ({name})", remedy)
--- a/tallies/__init__.py
+++ b/tallies/__init__.py
@@ -1,1 +1,1 @@
-"""Counters that are replicated without agreement: each add counts once, by its id, on whatever side."""
+"""Replicated counters without consensus: every replica accepts adds, and each add counts once by its id."""
--- a/tallies/effects.py
+++ b/tallies/effects.py
@@ -1,4 +1,4 @@
-"""What a replica of tallies asks its host to do."""
+"""The actions that a replica of tallies asks its host to carry out."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistAdds:
-    """Bring these adds to the disk, then call `synced` with the number."""
+    """Write these adds to disk, then report the number with `on_synced`."""
 
     number: int
     adds: tuple[Add, ...]
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Bring the whole state to the disk: some of it is not among adds that were to be kept."""
+    """Write the whole state to disk, because it holds changes that no `PersistAdds` covers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """The add of this token is as safe as it has to be: it may be acknowledged."""
+    """The add of this token is stored safely enough to be acknowledged."""
 
     token: int
 
--- a/tallies/messages.py
+++ b/tallies/messages.py
@@ -1,4 +1,7 @@
-"""What replicas of tallies say to each other, and what they keep on disk."""
+"""The messages between replicas of tallies; some of them are also the stored form.
+
+Class and field names are part of the schemas that earlier releases share, so they don't change.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Add:
-    """So much is added to a tally; `stamp`: when it was taken, in ms of the time of day of who took it."""
+    """An amount added to a tally; `stamp`: wall-clock ms at which the first process accepted it."""
 
     tally: str
     id: str
@@ -22,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeDigest:
-    """How many adds lie in a span of time, and the sum of their hashes (see `tallies.ranges`)."""
+    """The number of adds in a span of time and the sum of their hashes (see `tallies.ranges`)."""
 
     level: Int32
     index: int
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Folded:
-    """The sum of the adds to a tally whose ids are no longer kept."""
+    """The sum of the folded adds of one tally."""
 
     tally: str
     sum: int
@@ -41,7 +44,7 @@
 @KINDS.declare(120, nested=(Add,))
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Adds that were just taken; the receiver says once they are on its disk."""
+    """New adds; the receiver confirms with `Kept` once they are on its disk."""
 
     number: int
     adds: tuple[Add, ...]
@@ -58,9 +61,9 @@
 @KINDS.declare(122)
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What the sender has: what is folded, what lies before `settled_until`, all that lies before `until`.
+    """The counts and hash sums of the sender's adds.
 
-    Times are stamps, counts are adds, digests the sums of their hashes.
+    They cover the folded adds, those before `settled_until` and all before `until`. Times are stamps.
     """
 
     folded_until: int
@@ -77,7 +80,7 @@
 @KINDS.declare(123, nested=(RangeDigest,))
 @dataclass(frozen=True, slots=True)
 class Digests:
-    """The spans below one, those that hold nothing left out."""
+    """The digests of the non-empty child spans of a span."""
 
     level: Int32
     index: int
@@ -87,7 +90,7 @@
 @KINDS.declare(124, nested=(Add,))
 @dataclass(frozen=True, slots=True)
 class RangeAdds:
-    """The sender's adds in a span; `answer`: it wants to hear of those that it lacks."""
+    """The sender's adds in a span; with `answer`, the receiver replies with those that the sender lacks."""
 
     level: Int32
     index: int
@@ -98,7 +101,7 @@
 @KINDS.declare(125)
 @dataclass(frozen=True, slots=True)
 class WantFolded:
-    """The sender lacks some of what the receiver has folded."""
+    """Requests the folded sums, because the sender lacks some of the folded adds."""
 
     until: int
 
@@ -106,7 +109,7 @@
 @KINDS.declare(126, nested=(Folded,))
 @dataclass(frozen=True, slots=True)
 class FoldedAdds:
-    """What the sender has folded: all adds before `until`."""
+    """The sender's folded sums: all adds before `until`."""
 
     until: int
     count: int
@@ -117,7 +120,7 @@
 @KINDS.declare(127, nested=(Add, Folded))
 @dataclass(frozen=True, slots=True)
 class State:
-    """A whole replica as it lies on disk."""
+    """The complete state of a replica, as stored on disk."""
 
     until: int
     count: int
--- a/tallies/replica.py
+++ b/tallies/replica.py
@@ -1,11 +1,11 @@
-"""One replica of all tallies, sans IO: takes adds, brings them to the others, and repairs what differs.
-
-An add is acknowledged once it is on our disk and on those of `copies` - 1 others, or of all that are in
-touch: what a loss of disks may take is on one more, and a side that is cut off goes on by itself. Behind a
-cut, and wherever a message was lost, repair finds the difference: each replica tells all others the digest
-of all that it has, and where that differs the two compare digests of spans of time, the newest first, and
-exchange the adds of the spans that differ. Times are in milliseconds of the steady clock, stamps of the
-time of day.
+"""One replica of all tallies, without I/O: accepts adds, replicates them and repairs differences.
+
+An add is acknowledged once it is on this process's disk and on those of `copies` - 1 other replicas, or on
+those of all reachable ones. A tolerated loss of disks therefore leaves a copy, while a partition that is cut
+off continues on its own. Repair covers partitions and lost messages: each replica sends all others a summary
+of its adds. Where summaries differ, the two replicas compare digests of time spans, the newest first, and
+exchange the adds of the spans that differ. Times are milliseconds of the monotonic clock; stamps are
+wall-clock time.
 """
 
 from __future__ import annotations
@@ -32,42 +32,43 @@
 )
 from tallies.ranges import LEAF_MS, ROOT, Node, encode_hash_sum, span_ms
 
-PUSH_TIMEOUT_MS = 300.0  # a replica that has not said for so long that it has kept something is out of touch
-SUMMARY_INTERVAL_MS = (
-    300.0  # between two words to another on all that we have, while something changes or differs
-)
-MIN_LOGGED_DIFFERENCE_MS = 1_500.0  # a difference that lasts so long is worth a line once it is over
-QUIET_SUMMARY_INTERVAL_MS = 2_000.0  # the same while nothing has
-QUIET_AFTER_MS = 5_000.0  # so long after a change nothing counts as quiet
-EXCHANGE_TIMEOUT_MS = 200.0  # spans that are being compared are left to that for so long
-MAX_EXCHANGED_ADDS = 64  # adds of both in a span that are exchanged, not compared further
-PUSH_GRACE_MS = 200.0  # what was taken within this is on its way by itself, and no sign of a difference
-# Ids are kept for so long at the least: an add that comes again within this counts once.
+PUSH_TIMEOUT_MS = 300.0  # A replica that leaves a push unconfirmed for this long is unreachable.
+# Interval between summaries to a peer while adds arrive or the two differ.
+SUMMARY_INTERVAL_MS = 300.0
+MIN_LOGGED_DIFFERENCE_MS = 1_500.0  # A difference that lasted at least this long is logged when it ends.
+QUIET_SUMMARY_INTERVAL_MS = 2_000.0  # Interval between summaries while nothing changes and the two are equal.
+QUIET_AFTER_MS = 5_000.0  # Time without a change before the longer interval applies.
+EXCHANGE_TIMEOUT_MS = 200.0  # While spans are being compared, no summary is sent to the peer for this long.
+# A span with at most this many adds on both sides is exchanged rather than compared further.
+MAX_EXCHANGED_ADDS = 64
+# Adds younger than this are left out of summaries: their pushes may still be in transit.
+PUSH_GRACE_MS = 200.0
+# Minimum time for which ids are kept; a repeated add counts once within it.
 ID_RETENTION_MS = 300_000
-FOLD_LEVEL = 2  # what is folded ends with a span of this level
-FOLD_SPANS = 4  # so many of those are folded at once at the least
-MAX_CLOCK_LEAD_MS = 60_000  # stamps follow the newest of others that are no further ahead of our time of day
-MAX_LIVE_ADDS = 200_000  # adds whose ids are kept
+FOLD_LEVEL = 2  # Folded time ends at a span of this level.
+FOLD_SPANS = 4  # Minimum number of such spans folded at once.
+# Stamps follow the newest known stamp, unless it is further ahead of the local wall clock.
+MAX_CLOCK_LEAD_MS = 60_000
+MAX_LIVE_ADDS = 200_000  # Limit of the adds that are not folded.
 MAX_TALLIES = 10_000
 
 
 @dataclass(slots=True)
 class _PeerState:
-    """Another replica, as far as we know."""
+    """What is known of another replica."""
 
-    unacked: dict[int, float] = field(
-        default_factory=dict
-    )  # pushes that it has not kept yet: when they were sent
+    # Send time of the pushes that it has not confirmed, by number.
+    unacked: dict[int, float] = field(default_factory=dict)
     summary_sent_at: float = -1e9
     exchanged_at: float = -1e9
-    is_equal: bool = False  # it had all that we had, and we all that it had, when it last told
+    is_equal: bool = False  # Both sides had the same adds at its last summary.
     heard_at: float = -1e9
     differs_since: float | None = None
-    has_matched: bool = False  # that was so once since we started
-    agreed_until: int = 0  # what lies before was the same there as here
+    has_matched: bool = False  # The two have been equal at least once since the start.
+    agreed_until: int = 0  # The two are equal before this time.
 
     def log_difference(self, ip: str, now: float) -> None:
-        """Log when it differs for longer than a message is on the way, and when it agrees again."""
+        """Logs the end of a difference that lasted longer than messages usually take."""
         if not self.is_equal:
             self.differs_since = now if self.differs_since is None else self.differs_since
             return
@@ -76,7 +77,7 @@
         self.differs_since = None
 
     def is_reachable(self, now: float) -> bool:
-        """Whether it says in time that it has kept what it was sent."""
+        """Whether it confirms pushes in time."""
         return now - min(self.unacked.values(), default=now) <= PUSH_TIMEOUT_MS
 
 
@@ -85,98 +86,101 @@
     """An add that is not acknowledged yet."""
 
     token: int
-    record: int  # it is on our disk with this one
+    record: int  # The record that stores the add on the local disk.
     recipients: frozenset[str]
     synced_by: set[str] = field(default_factory=set)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What a report tells of another replica; spans in milliseconds."""
+    """The state of another replica for reports; durations in milliseconds."""
 
     ip: str
     is_equal: bool
     silent_ms: float
-    differs_ms: float  # 0 while it does not
+    differs_ms: float  # 0 while the two are equal.
 
 
 class TallyReplica:
-    """The state of one control process; its host carries out the effects."""
+    """The state of the tallies of one control process; its host carries out the effects."""
 
     def __init__(self, copies: int, ready_ms: float, now: float) -> None:
-        """`copies`: disks that an add is on, where so many are in touch.
+        """Creates an empty replica.
 
-        `ready_ms`: so long after the start, at the most, others are awaited that may know what we have lost.
+        `copies`: the number of disks that hold an add before it is acknowledged, if so many replicas are
+        reachable. `ready_ms`: how long to wait after the start for other replicas, which may hold adds that
+        this one has lost.
         """
         self._copies, self._ready_at = copies, now + ready_ms
         self.adds = AddSet()
         self._peers: dict[str, _PeerState] = {}
         self._knows_members = False
         self._record, self._synced, self._push = 0, 0, 0
-        self._waiting: dict[int, _PendingAdd] = {}  # by push
-        self._pending_acks: list[
-            tuple[int, str, int]
-        ] = []  # record, IP, push: told once the record is synced
+        self._waiting: dict[int, _PendingAdd] = {}  # By push number.
+        # Record, IP and push; confirmed once the record is synced.
+        self._pending_acks: list[tuple[int, str, int]] = []
         self._changed_at = now
-        # The newest stamp as it was a while ago by our steady clock: clocks of the day disagree by seconds.
+        # The newest stamp as of a while ago by the monotonic clock, as wall clocks of different machines
+        # differ by seconds.
         self._sampled_at, self._sampled_stamp, self._aged_stamp = now, 0, 0
         self._effects: list[Effect] = []
-        self.compared_digests, self.sent_adds, self.repaired_adds = 0, 0, 0  # for figures
+        self.compared_digests, self.sent_adds, self.repaired_adds = 0, 0, 0  # Counters for metrics.
 
     # ---- inputs
 
     def load(self, state: State) -> None:
-        """What the disk had at our start."""
+        """Loads the state found on disk at the start."""
         self.adds.load(state)
         self._sampled_stamp = self._aged_stamp = self.adds.newest
 
     def set_peers(self, ips: Iterable[str]) -> None:
-        """The other members of the control state."""
+        """Sets the IPs of the other members of the control group."""
         self._knows_members = True
-        wanted = set(ips)
-        if wanted != self._peers.keys():
-            self._peers = {ip: self._peers.get(ip) or _PeerState() for ip in sorted(wanted)}
+        new_ips = set(ips)
+        if new_ips != self._peers.keys():
+            self._peers = {ip: self._peers.get(ip) or _PeerState() for ip in sorted(new_ips)}
 
     def is_ready(self, now: float) -> bool:
-        """Whether what we may have lost is here again: all others had the same, or have had the time."""
+        """Whether lost adds have been recovered: all peers have matched once, or the waiting time is over."""
         if now >= self._ready_at:
             return True
         return self._knows_members and all(peer.has_matched for peer in self._peers.values())
 
     def has_room(self, tally: str) -> bool:
-        """Whether one more add to a tally may be taken."""
+        """Whether one more add to a tally is within the limits."""
         if self.adds.live >= MAX_LIVE_ADDS:
             return False
         return self.adds.has_tally(tally) or self.adds.tally_count() < MAX_TALLIES
 
     def add(self, token: int, tally: str, id_: str, amount: int, wall_ms: int, now: float) -> None:
-        """Take an add, or the same once more; `Counted` comes when it may be acknowledged."""
+        """Accepts an add or a repeat of it; `Acknowledge` follows once it is stored safely."""
         add = self.adds.find(tally, id_)
         if add is None:
             newest = min(self.adds.newest, wall_ms + MAX_CLOCK_LEAD_MS)
             add = Add(tally, id_, amount, max(wall_ms, newest, self.adds.folded_until))
             self.adds.merge((add,))
         self._changed_at = now
-        # One that comes again is kept and pushed again: whoever took it first may have gone before it was.
+        # A repeated add is stored and pushed again: the process that accepted it first may have failed before
+        # that.
         record = self._persist((add,))
         self._push += 1
-        asked = [ip for ip, peer in self._peers.items() if peer.is_reachable(now)]
-        for ip in asked:
+        recipients = [ip for ip, peer in self._peers.items() if peer.is_reachable(now)]
+        for ip in recipients:
             self._peers[ip].unacked[self._push] = now
             self._effects.append(Send(ip, Push(self._push, (add,))))
-        self._waiting[self._push] = _PendingAdd(token, record, frozenset(asked))
+        self._waiting[self._push] = _PendingAdd(token, record, frozenset(recipients))
 
     def on_synced(self, record: int, now: float) -> None:
-        """All records up to this one are on the disk."""
+        """All records up to this one are on disk."""
         self._synced = max(self._synced, record)
-        due = [owed for owed in self._pending_acks if owed[0] <= self._synced]
-        self._pending_acks = [owed for owed in self._pending_acks if owed[0] > self._synced]
-        for _, ip, push in due:
+        due_acks = [ack for ack in self._pending_acks if ack[0] <= self._synced]
+        self._pending_acks = [ack for ack in self._pending_acks if ack[0] > self._synced]
+        for _, ip, push in due_acks:
             self._effects.append(Send(ip, Kept(push)))
         self._acknowledge_safe(now)
 
     def on_message(self, ip: str, message: Message, now: float) -> None:
-        """A message of the control process at an IP; one that is no member is answered all the same."""
+        """Handles a message from the control process at an IP; non-members are answered too."""
         peer = self._peers.get(ip) or _PeerState()
         peer.heard_at = now
         peer.unacked = {number: at for number, at in peer.unacked.items() if now - at <= PUSH_TIMEOUT_MS}
@@ -186,8 +190,8 @@
                 self._pending_acks.append((self._persist(adds), ip, number))
             case Kept(number):
                 peer.unacked.pop(number, None)
-                if (waiting := self._waiting.get(number)) is not None:
-                    waiting.synced_by.add(ip)
+                if (pending := self._waiting.get(number)) is not None:
+                    pending.synced_by.add(ip)
                     self._acknowledge_safe(now)
             case Summary():
                 self._on_summary(ip, peer, message, now)
@@ -205,7 +209,7 @@
                 self._effects.append(PersistState())
 
     def tick(self, wall_ms: int, now: float) -> None:
-        """Time has gone by: tell others what we have, fold what all have, wait no longer for the lost."""
+        """Sends summaries, folds old adds and stops waiting for unreachable replicas; called periodically."""
         self._acknowledge_safe(now)
         if now - self._sampled_at >= PUSH_GRACE_MS:
             self._sampled_at, self._aged_stamp, self._sampled_stamp = (
@@ -215,19 +219,19 @@
             )
         for ip, peer in self._peers.items():
             is_quiet = peer.is_equal and now - self._changed_at > QUIET_AFTER_MS
-            pause = QUIET_SUMMARY_INTERVAL_MS if is_quiet else SUMMARY_INTERVAL_MS
-            if now - peer.summary_sent_at >= pause and now - peer.exchanged_at >= EXCHANGE_TIMEOUT_MS:
+            interval_ms = QUIET_SUMMARY_INTERVAL_MS if is_quiet else SUMMARY_INTERVAL_MS
+            if now - peer.summary_sent_at >= interval_ms and now - peer.exchanged_at >= EXCHANGE_TIMEOUT_MS:
                 peer.summary_sent_at = now
                 self._effects.append(Send(ip, self._summary(wall_ms)))
         self._fold(wall_ms)
 
     def take_effects(self) -> list[Effect]:
-        """What is to be done, in order."""
+        """Returns the pending effects in order, and clears them."""
         effects, self._effects = self._effects, []
         return effects
 
     def peer_statuses(self, now: float) -> list[PeerStatus]:
-        """For a report: how far each other member is the same as we are."""
+        """Returns for reports how each other member compares with this replica."""
         return [
             PeerStatus(ip, peer.is_equal, now - peer.heard_at, now - (peer.differs_since or now))
             for ip, peer in self._peers.items()
@@ -247,19 +251,19 @@
         return changed
 
     def _acknowledge_safe(self, now: float) -> None:
-        """Acknowledge what is safe by now."""
-        for push, waiting in list(self._waiting.items()):
-            if self._is_safe(waiting, now):
+        """Acknowledges the pending adds that are stored safely."""
+        for push, pending in list(self._waiting.items()):
+            if self._is_safe(pending, now):
                 del self._waiting[push]
-                self._effects.append(Acknowledge(waiting.token))
+                self._effects.append(Acknowledge(pending.token))
 
-    def _is_safe(self, waiting: _PendingAdd, now: float) -> bool:
-        if waiting.record > self._synced:
+    def _is_safe(self, pending: _PendingAdd, now: float) -> bool:
+        if pending.record > self._synced:
             return False
-        if len(waiting.synced_by) >= self._copies - 1:
+        if len(pending.synced_by) >= self._copies - 1:
             return True
-        open_ = waiting.recipients - waiting.synced_by
-        return not any(ip in self._peers and self._peers[ip].is_reachable(now) for ip in open_)
+        unconfirmed = pending.recipients - pending.synced_by
+        return not any(ip in self._peers and self._peers[ip].is_reachable(now) for ip in unconfirmed)
 
     # ---- repair
 
@@ -281,37 +285,37 @@
         )
 
     def _settled_until(self, wall_ms: int) -> int:
-        """The end of the last span of which all ids are older than repeats come."""
+        """The end of the last span in which all ids are older than `ID_RETENTION_MS`."""
         span = span_ms(FOLD_LEVEL)
         return max((wall_ms - ID_RETENTION_MS) // span * span, self.adds.folded_until)
 
-    def _on_summary(self, ip: str, peer: _PeerState, told: Summary, now: float) -> None:
+    def _on_summary(self, ip: str, peer: _PeerState, summary: Summary, now: float) -> None:
         self.compared_digests += 1
-        peer.is_equal = self._is_same_before(told.until, told.count, told.digest)
+        peer.is_equal = self._is_same_before(summary.until, summary.count, summary.digest)
         peer.has_matched |= peer.is_equal
         peer.log_difference(ip, now)
-        if self._is_same_before(told.settled_until, told.settled_count, told.settled_digest):
-            peer.agreed_until = told.settled_until
+        if self._is_same_before(summary.settled_until, summary.settled_count, summary.settled_digest):
+            peer.agreed_until = summary.settled_until
         if peer.is_equal:
             return
-        if told.folded_until > self.adds.folded_until and not self._is_same_before(
-            told.folded_until, told.folded_count, told.folded_digest
+        if summary.folded_until > self.adds.folded_until and not self._is_same_before(
+            summary.folded_until, summary.folded_count, summary.folded_digest
         ):
-            self._effects.append(Send(ip, WantFolded(told.folded_until)))
+            self._effects.append(Send(ip, WantFolded(summary.folded_until)))
         if now - peer.exchanged_at >= EXCHANGE_TIMEOUT_MS:
             peer.exchanged_at = now
             self._effects.append(Send(ip, self._digests(ROOT)))
 
     def _is_same_before(self, until: int, count: int, digest: bytes) -> bool:
-        held = self.adds.sum_before(until)
-        return held is not None and (held[0], encode_hash_sum(held[1])) == (count, digest)
+        own = self.adds.sum_before(until)
+        return own is not None and (own[0], encode_hash_sum(own[1])) == (count, digest)
 
     def _digests(self, node: Node) -> Digests:
         return Digests(*node, tuple(self.adds.tree.children_of(node)))
 
-    def _compare(self, ip: str, node: Node, told: tuple[RangeDigest, ...]) -> None:
-        """Spans below a node as another has them: what differs is compared or exchanged, newest first."""
-        theirs = {(entry.level, entry.index): entry for entry in told}
+    def _compare(self, ip: str, node: Node, digests: tuple[RangeDigest, ...]) -> None:
+        """Compares a peer's child digests; spans that differ are compared further or exchanged."""
+        theirs = {(entry.level, entry.index): entry for entry in digests}
         ours = {(entry.level, entry.index): entry for entry in self.adds.tree.children_of(node)}
         self.compared_digests += len(theirs)
         for child in sorted(theirs.keys() | ours.keys(), reverse=True):
@@ -323,16 +327,18 @@
             else:
                 self._effects.append(Send(ip, self._digests(child)))
 
-    def _exchange(self, ip: str, told: RangeAdds, now: float) -> None:
-        changed = self._merge(told.adds, now)
+    def _exchange(self, ip: str, message: RangeAdds, now: float) -> None:
+        changed = self._merge(message.adds, now)
         self.repaired_adds += len(changed)
         if changed:
             self._persist(tuple(changed))
-        if told.answer:
-            has = set(told.adds)
-            lacks = [add for add in self.adds.tree.adds_in((told.level, told.index)) if add not in has]
-            if lacks:
-                self._send_range(ip, (told.level, told.index), tuple(lacks), answer=False)
+        if message.answer:
+            peer_adds = set(message.adds)
+            missing = [
+                add for add in self.adds.tree.adds_in((message.level, message.index)) if add not in peer_adds
+            ]
+            if missing:
+                self._send_range(ip, (message.level, message.index), tuple(missing), answer=False)
 
     def _send_range(self, ip: str, node: Node, adds: tuple[Add, ...], answer: bool) -> None:
         self.sent_adds += len(adds)
@@ -341,7 +347,7 @@
     # ---- folding
 
     def _fold(self, wall_ms: int) -> None:
-        """Drop the ids of what all members have, once it is so old that no add of it comes again."""
+        """Folds the adds that all members have and that are too old to be repeated."""
         until = min([self._settled_until(wall_ms), *(peer.agreed_until for peer in self._peers.values())])
         is_due = self._knows_members and until - self.adds.folded_until >= FOLD_SPANS * span_ms(FOLD_LEVEL)
         if is_due and self.adds.sum_before(until) != self.adds.folded():
--- a/tests/fabric_disk.py
+++ b/tests/fabric_disk.py
@@ -1,4 +1,4 @@
-"""The rig's disks: files in memory that refuse, hang or lose what was not synced; a queue with no thread."""
+"""Simulated disks for the test fabric: in-memory files that refuse, hang or lose unsynced writes."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
         self.sync_s = 0.001
         self.queues: list[InlineQueue] = []
 
-    # ---- troubles
+    # ---- faults
 
     def wipe(self) -> None:
-        """All is gone."""
+        """Removes all files."""
         self.files.clear()
         self.durable.clear()
 
     def lose_power(self) -> None:
-        """What was not synced is gone."""
+        """Drops everything that was not synced."""
         self.files = {name: bytearray(data) for name, data in self.durable.items()}
 
     def hang(self, hangs: bool) -> None:
-        """No call returns any more, or all go on."""
+        """Blocks all operations, or resumes them."""
         self.hangs = hangs
         if not hangs:
             for queue in self.queues:
-                queue.go_on()
+                queue.resume()
 
     # ---- Files
 
@@ -52,25 +52,25 @@
         return bytes(self.files[path.name])
 
     def write(self, path: Path, offset: int, data: bytes) -> None:
-        self._refuse()
+        self._raise_if_full()
         file = self.files.setdefault(path.name, bytearray())
         file.extend(b"\0" * (offset - len(file)))
         file[offset : offset + len(data)] = data
 
     def truncate(self, path: Path, length: int) -> None:
-        self._refuse()
+        self._raise_if_full()
         file = self.files.setdefault(path.name, bytearray())
         del file[length:]
         file.extend(b"\0" * (length - len(file)))
 
     def sync(self, path: Path) -> None:
-        self._refuse()
+        self._raise_if_full()
         self.durable[path.name] = bytes(self.files[path.name])
 
     def sync_folder(self, folder: Path) -> None:
         return None
 
-    def _refuse(self) -> None:
+    def _raise_if_full(self) -> None:
         if self.is_full:
             raise OSError(errno.ENOSPC, "no space left")
 
@@ -83,7 +83,7 @@
 
 
 class InlineQueue:
-    """Stands in for `DiskQueue`: the same answers, in the loop itself, each after the time of a sync."""
+    """Replaces `DiskQueue` without a thread: same results, each after the simulated duration of a sync."""
 
     def __init__(self, store: Store, name: str = "disk") -> None:
         process = PROCESS.get()
@@ -92,7 +92,7 @@
         self._store, self.disk = store, process.machine.disk
         self._loop = asyncio.get_running_loop()
         self._commands: deque[_Command] = deque()
-        self._is_busy = self._is_held = False
+        self._is_busy = self._is_suspended = False
         self.disk.queues.append(self)
 
     @property
@@ -104,62 +104,60 @@
         return self._store.log_bytes
 
     def load(self) -> asyncio.Future[Loaded]:
-        return self._give("load", b"")
+        return self._enqueue("load", b"")
 
     def append(self, record: bytes) -> asyncio.Future[None]:
-        return self._give("append", record)
+        return self._enqueue("append", record)
 
     def checkpoint(self, state: bytes) -> asyncio.Future[None]:
-        return self._give("checkpoint", state)
+        return self._enqueue("checkpoint", state)
 
-    def go_on(self) -> None:
-        """The disk hangs no longer."""
-        if self._is_held and not self._process.is_dead:
-            self._is_held = False
-            self._loop.call_soon(self._work, context=self._process.context)
+    def resume(self) -> None:
+        """Continues after the disk has stopped hanging."""
+        if self._is_suspended and not self._process.is_dead:
+            self._is_suspended = False
+            self._loop.call_soon(self._run_next, context=self._process.context)
 
-    def _give(self, kind: str, data: bytes) -> asyncio.Future[Any]:
-        done: asyncio.Future[Any] = self._loop.create_future()
-        self._commands.append(_Command(kind, data, done))
+    def _enqueue(self, kind: str, data: bytes) -> asyncio.Future[Any]:
+        future: asyncio.Future[Any] = self._loop.create_future()
+        self._commands.append(_Command(kind, data, future))
         if not self._is_busy:
-            self._begin()
-        return done
+            self._schedule()
+        return future
 
-    def _begin(self) -> None:
+    def _schedule(self) -> None:
         self._is_busy = True
-        self._loop.call_later(self.disk.sync_s, self._work)
+        self._loop.call_later(self.disk.sync_s, self._run_next)
 
-    def _work(self) -> None:
+    def _run_next(self) -> None:
         if self.disk.hangs:
-            self._is_held = True
+            self._is_suspended = True
             return
         group = [self._commands.popleft()]
         while group[0].kind == "append" and self._commands and self._commands[0].kind == "append":
             group.append(self._commands.popleft())
         try:
-            found = self._carry_out(group)
+            result = self._execute(group)
         except Exception as error:
-            late = list(self._commands)  # whoever gave them took the failed one as kept
+            overtaken = list(self._commands)  # Their callers assumed that the failed command had succeeded.
             self._commands.clear()
             for command in group:
-                self._settle(command.future, error)
-            for command in late:
-                self._settle(
-                    command.future, DiskError("a command given before this one failed", "give it again")
-                )
+                self._fail(command.future, error)
+            for command in overtaken:
+                self._fail(command.future, DiskError("a command queued earlier failed", "retry it"))
         else:
             for command in group:
                 if not command.future.done():
-                    command.future.set_result(found)
+                    command.future.set_result(result)
         self._is_busy = False
         if self._commands:
-            self._begin()
+            self._schedule()
 
-    def _settle(self, done: asyncio.Future[Any], error: Exception) -> None:
-        if not done.done():
-            done.set_exception(error)
+    def _fail(self, future: asyncio.Future[Any], error: Exception) -> None:
+        if not future.done():
+            future.set_exception(error)
 
-    def _carry_out(self, group: list[_Command]) -> Any:
+    def _execute(self, group: list[_Command]) -> Any:
         match group[0].kind:
             case "load":
                 return self._store.load()
@@ -170,7 +168,7 @@
 
 
 def own_disk() -> Disk:
-    """The disk of the machine that the caller runs on."""
+    """Returns the disk of the machine that the caller runs on."""
     process = PROCESS.get()
     assert process is not None
     disk: Disk = process.machine.disk
--- a/tests/test_consensus_departure.py
+++ b/tests/test_consensus_departure.py
@@ -1,4 +1,4 @@
-"""Members that are told to stop, and further losses at every step of a replacement."""
+"""Planned departures of members, and further losses at every step of a replacement."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from mastturn.control_check.lockstep import Lockstep, ip
 from mastturn.control_check.losses import STAY_MS, Case, How, Replacement, cases
 
-EVERY = {3: 23, 5: 401}  # of all cases, so that a test takes seconds; the command plays all
+# Every how many cases are run, by group size; the command line tool runs all of them.
+EVERY = {3: 23, 5: 401}
 
 
 def member(index: int, identity: str = "") -> Member:
@@ -24,7 +25,7 @@
 
 
 def with_newcomer(machines: int = 3, losses: int = 1) -> Lockstep:
-    """A newcomer waits beside the members, which are all well."""
+    """Returns a group of healthy members with a newcomer that waits for a slot."""
     world = Lockstep(machines, losses)
     world.disks[machines] = DurableState(f"i{machines}")
     world.boot(machines)
@@ -33,18 +34,18 @@
     return world
 
 
-def run_until_it_may_end(world: Lockstep, index: int, most_ms: float = 3_000.0) -> None:
+def run_until_may_end(world: Lockstep, index: int, limit_ms: float = 3_000.0) -> None:
     world.replicas[index].stop(world.now)
-    until = world.now + most_ms
+    until = world.now + limit_ms
     while not world.replicas[index].may_end():
-        assert world.now < until, "it may not end"
+        assert world.now < until, "the member is not released in time"
         world.run(25.0)
 
 
 @pytest.mark.parametrize("index", [0, 1, 2])
 def test_a_member_that_is_told_to_stop_stays_until_it_holds_nothing(index: int) -> None:
     world = Lockstep()
-    run_until_it_may_end(world, index)
+    run_until_may_end(world, index)
     leader = world.primary()
     assert leader is not None and leader != index
     view = world.replicas[leader].durable_state.view
@@ -54,13 +55,13 @@
 @pytest.mark.parametrize("index", [0, 1, 2])
 def test_its_place_goes_to_a_newcomer_before_it_ends(index: int) -> None:
     world = with_newcomer()
-    run_until_it_may_end(world, index)
+    run_until_may_end(world, index)
     leader = world.primary()
     assert leader is not None
     view = world.replicas[leader].durable_state.view
     assert view is not None and view.slot_of(f"i{index}") is None and view.slot_of("i3") is not None
     assert len(view.members) == 3
-    assert view.epoch - 1 >= 2  # one view with both of them, and one without the one that leaves
+    assert view.epoch - 1 >= 2  # One view with both of them, and one without the leaving member.
     assert all(world.replicas[i].durable_state.view == view for i in range(4) if i != index)
 
 
@@ -88,14 +89,14 @@
 
 
 def test_a_leader_that_leaves_as_its_backup_is_lost_gives_its_data_away_first() -> None:
-    """Found by reading: it named the lost backup, and ended with the only copy."""
+    """A leader that shut down named its lost backup as successor and exited with the only copy."""
     world = Lockstep()
     world.replicas[0].submit(Put(1, 0, 3, "d", b"{}"), world.now)
     world.settle()
     world.lose(1)
     world.replicas[0].stop(world.now)
     world.run(STAY_MS)
-    assert not world.replicas[0].may_end()  # there is nobody else to keep its copy
+    assert not world.replicas[0].may_end()  # No other member can take its copy.
     world.replicas[0].resign(world.now)
     world.settle()
     world.lose(0)
@@ -113,7 +114,7 @@
 
 def test_the_only_member_ends_at_once() -> None:
     world = Lockstep(1, 0)
-    run_until_it_may_end(world, 0, 100.0)
+    run_until_may_end(world, 0, 100.0)
 
 
 def test_a_newcomer_without_a_slot_ends_at_once() -> None:
@@ -124,7 +125,7 @@
 
 def test_a_holder_that_leaves_campaigns_only_if_nobody_else_does() -> None:
     world = Lockstep(5, 2)
-    world.replicas[1].stop(world.now)  # 0 leads; 1 and 2 hold the data too
+    world.replicas[1].stop(world.now)  # 0 leads; 1 and 2 are holders too.
     world.cut(0)
     world.run(1_200.0)
     assert world.primary() == 2
@@ -155,12 +156,12 @@
 
 def test_a_member_that_starts_again_while_a_newcomer_has_its_place_comes_back_for_another() -> None:
     world = with_newcomer()
-    run_until_it_may_end(world, 2)
+    run_until_may_end(world, 2)
     world.end(2)
     world.run(200.0)
     world.boot(2)
     world.run(2_500.0)
-    assert world.replicas[2].durable_state.view is None  # there is no slot for it
+    assert world.replicas[2].durable_state.view is None  # No slot is free.
     world.lose(1)
     world.run(3_000.0)
     leader = world.primary()
@@ -171,7 +172,7 @@
 
 def test_one_more_than_the_slots_goes_again_if_nobody_leaves_any_more() -> None:
     world = with_newcomer()
-    world.hear(2, 0, Leaving("i2", "i0"))  # said once, and never again
+    world.hear(2, 0, Leaving("i2", "i0"))  # Sent once and not repeated.
     world.run(EXPIRY_MS + 1_500.0)
     view = world.replicas[0].durable_state.view
     assert view is not None and len(view.members) == 3
@@ -206,22 +207,22 @@
 def test_who_goes_from_a_view_with_one_member_more() -> None:
     newcomers = Newcomers(Spread())
     view = View(5, 0, (0, 1), tuple(member(i) for i in range(4)))
-    everybody = frozenset(range(4))
+    all_slots = frozenset(range(4))
 
     def due(dead: tuple[int, ...], leaving: tuple[int, ...], silent: tuple[int, ...]) -> Change:
-        present = everybody - {*dead, *silent}
+        present = all_slots - {*dead, *silent}
         return newcomers.due_change(view, MembershipStatus(dead, leaving, silent, present), 0.0)
 
     assert due((2,), (1,), (2,)) == Remove(2, 4)
     assert due((), (1,), ()) == Remove(1, 4)
     assert due((), (), (0, 2)) == Remove(2, 4)
     assert due((), (), ()) == Remove(3, 4)
-    assert due((), (1,), (3,)) == Remove(3, 4)  # the newcomer itself is lost
-    assert due((), (1,), (2, 3)) == NoChange()  # too few are left to agree
-    may_be_lost = MembershipStatus(present=everybody - {1})
+    assert due((), (1,), (3,)) == Remove(3, 4)  # The newcomer itself is lost.
+    assert due((), (1,), (2, 3)) == NoChange()  # Too few members are left to agree.
+    may_be_lost = MembershipStatus(present=all_slots - {1})
     assert newcomers.due_change(view, may_be_lost, 0.0) == NoChange()
     last = View(5, 3, (3, 1), tuple(member(i) for i in range(4)))
-    assert newcomers.due_change(last, MembershipStatus(present=everybody), 0.0) == Remove(0, 4)
+    assert newcomers.due_change(last, MembershipStatus(present=all_slots), 0.0) == Remove(0, 4)
 
 
 def test_a_newcomer_that_has_not_asked_for_a_while_is_not_named() -> None:
@@ -260,7 +261,7 @@
 def test_a_replacement_is_over_long_before_the_next_loss_is_due(machines: int, role: str, how: How) -> None:
     outcome = Replacement(Case(machines, role, how)).play()
     assert outcome.broken == "" and outcome.acknowledged > 10
-    assert outcome.healed_ms <= 1_500.0  # sync_s of the sites is 4 s and more
+    assert outcome.healed_ms <= 1_500.0  # The sites' sync_s is at least 4 s.
 
 
 @pytest.mark.parametrize("machines", [3, 5])
--- a/tests/test_consensus_history.py
+++ b/tests/test_consensus_history.py
@@ -1,4 +1,4 @@
-"""A change that was taken is never refused: the history of changes, its bound, and the forms of before."""
+"""The bounded history of changes: an accepted change is never refused later, and old formats are read."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def document_of(changes: int, step: int = 2) -> Document:
-    """The document after so many changes; versions rise by `step`."""
+    """Returns the document after `changes` writes, with versions that rise by `step`."""
     document = Document()
     for number in range(1, changes + 1):
         document = document.after(number * step, BODY, f"digest-{number}")
@@ -40,21 +40,23 @@
 
 @given(st.lists(st.integers(1, 9), max_size=60), st.integers(1, 12), st.integers(0, 400), st.booleans())
 def test_past_never_refuses_what_was_taken_and_never_takes_what_was_not(
-    steps: list[int], most: int, ver: int, same: bool
+    steps: list[int], max_history: int, ver: int, same: bool
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(views, "MAX_HISTORY", most)
+        patch.setattr(views, "MAX_HISTORY", max_history)
         document, taken = Document(), dict[int, str]()
         for step in steps:
             number = document.ver + step
             taken[number] = f"d{number}"
             document = document.after(number, b"", taken[number])
         digest = taken.get(ver, "") if same else "another"
-        past = document.change_status(ver, digest)
+        status = document.change_status(ver, digest)
     was_taken = taken.get(ver) == digest
-    assert past is not ChangeStatus.NOT_ACCEPTED or not was_taken
-    assert past is not ChangeStatus.ACCEPTED or was_taken
-    assert past is not ChangeStatus.UNKNOWN or (len(taken) > most and ver < min([*taken][-most:]))
+    assert status is not ChangeStatus.NOT_ACCEPTED or not was_taken
+    assert status is not ChangeStatus.ACCEPTED or was_taken
+    assert status is not ChangeStatus.UNKNOWN or (
+        len(taken) > max_history and ver < min([*taken][-max_history:])
+    )
 
 
 def test_a_change_is_remembered_for_thousands_of_changes_and_then_left_open() -> None:
@@ -78,7 +80,7 @@
         len(encode_record(snapshot_record(DurableState("a", document=document_of(n)))))
         for n in (5_000, 10_000)
     ]
-    assert abs(everything[0] - everything[1]) <= 8 * MAX_HISTORY  # versions and digests get longer digits
+    assert abs(everything[0] - everything[1]) <= 8 * MAX_HISTORY  # Versions and digests get longer.
 
 
 def test_records_of_writes_bring_back_the_whole_history() -> None:
@@ -87,7 +89,7 @@
         durable_state.document = durable_state.document.after(3 * number, BODY, f"digest-{number}")
         record = decode_record(encode_record(WriteRecord(durable_state.document.latest_change())))
         apply_record(kept, record)
-        apply_record(kept, record)  # the same write may stand there twice
+        apply_record(kept, record)  # A record may be logged twice.
     assert kept == durable_state
 
 
@@ -103,7 +105,7 @@
 
 
 def test_records_of_the_release_before_are_read() -> None:
-    """It logged the whole document with each write, with the last 512 changes."""
+    """The previous release logged the whole document, with the last 512 changes, with each write."""
     durable_state, document = DurableState("a"), Document()
     for number in range(1, 700):
         document = document.after(number, BODY, f"digest-{number}")
@@ -182,7 +184,7 @@
 def test_repeats_in_histories_with_troubles_are_never_refused(
     machines: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Operators send changes of long ago once more, to any process, while machines come and go."""
+    """Operators repeat old changes at any process while machines fail and return."""
     monkeypatch.setattr(views, "MAX_HISTORY", most)
     losses = (machines - 1) // 2
     shapes = [
--- a/tests/test_consensus_spread.py
+++ b/tests/test_consensus_spread.py
@@ -1,4 +1,4 @@
-"""Members of the control state stand so that the zones or regions that `faults` names may be lost."""
+"""Members are placed so that the zones or regions named in `faults` may be lost."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def members(zones: str) -> list[Member]:
-    """One member for each letter, which names its zone."""
+    """Returns one member per letter; the letter is its zone."""
     return [Member(f"i{n}", f"core-{n}", f"10.0.{n}.1", 1, "", zone) for n, zone in enumerate(zones)]
 
 
@@ -63,60 +63,60 @@
     assert ONE_ZONE.choose(first, others, 5) == [first, *others]
 
 
-def waiting(view: View, *newcomers: Member) -> Newcomers:
-    """Newcomers that may be named in a view."""
-    found = Newcomers(ONE_ZONE)
+def eligible_newcomers(view: View, *newcomers: Member) -> Newcomers:
+    """Returns newcomers that may be named in a view."""
+    eligible = Newcomers(ONE_ZONE)
     for member in newcomers:
-        found.add(Join(member.identity, "", member, view.epoch), 0.0)
-    return found
+        eligible.add(Join(member.identity, "", member, view.epoch), 0.0)
+    return eligible
 
 
 def test_a_newcomer_of_another_zone_is_exchanged_for_one_of_the_fullest() -> None:
     *inside, newcomer = members("aabb")
     inside[2] = replace(inside[2], zone="a")
     view = View(5, 0, (0, 1), tuple(inside))
-    everybody = MembershipStatus(present=frozenset(range(3)))
-    newcomers = waiting(view, newcomer)
-    assert newcomers.due_change(view, everybody, 0.0) == Add(newcomer)
+    all_present = MembershipStatus(present=frozenset(range(3)))
+    newcomers = eligible_newcomers(view, newcomer)
+    assert newcomers.due_change(view, all_present, 0.0) == Add(newcomer)
     wider = View(6, 0, (0, 1), (*inside, newcomer))
     all_four = MembershipStatus(present=frozenset(range(4)))
     assert newcomers.due_change(wider, all_four, 0.0) == Remove(1, 4)
     after = View(7, 0, (0, 1), Remove(1, 4).members(wider))
-    assert ONE_ZONE.excess(after.members) == 1  # two zones can't do better
-    assert newcomers.due_change(after, everybody, 0.0) == NoChange()
+    assert ONE_ZONE.excess(after.members) == 1  # Two zones allow no better spread.
+    assert newcomers.due_change(after, all_present, 0.0) == NoChange()
 
 
 def test_nobody_is_exchanged_while_one_may_be_lost_or_where_nothing_is_gained() -> None:
     *inside, newcomer = members("aabc")
     view = View(5, 0, (0, 1), tuple(inside))
-    newcomers = waiting(view, newcomer)
+    newcomers = eligible_newcomers(view, newcomer)
     assert newcomers.due_change(view, MembershipStatus(present=frozenset({0, 1})), 0.0) == NoChange()
     assert newcomers.due_change(view, MembershipStatus(present=frozenset({0, 1, 2})), 0.0) == Add(newcomer)
     apart = View(5, 0, (0, 1), tuple(members("abc")))
     other = replace(newcomer, zone="a")
-    everybody = MembershipStatus(present=frozenset(range(3)))
-    assert waiting(apart, other).due_change(apart, everybody, 0.0) == NoChange()
+    all_present = MembershipStatus(present=frozenset(range(3)))
+    assert eligible_newcomers(apart, other).due_change(apart, all_present, 0.0) == NoChange()
 
 
 def test_of_several_newcomers_the_one_that_spreads_best_comes_first() -> None:
     *inside, near, far = members("abcbc")
     view = View(5, 0, (0, 1), (*inside[:2], None))
-    assert waiting(view, near, far).due_change(view, MembershipStatus(), 0.0) == Replace(2, far)
+    assert eligible_newcomers(view, near, far).due_change(view, MembershipStatus(), 0.0) == Replace(2, far)
     view = View(5, 0, (0, 1), tuple(inside))
-    assert waiting(view, near, far).due_change(view, MembershipStatus(dead=(2,)), 0.0) == Add(far)
+    assert eligible_newcomers(view, near, far).due_change(view, MembershipStatus(dead=(2,)), 0.0) == Add(far)
 
 
 def test_where_zones_may_be_lost_there_are_slots_for_it() -> None:
-    def of(faults: Faults) -> Spec:
+    def spec_with(faults: Faults) -> Spec:
         zones = {"a": "east", "b": "west"}
         return spec_of(
             Settings("n", "10.0.0.1", "a", "core", (1, 2), CloudApi("10.0.0.9:1"), zones=zones, faults=faults)
         )
 
-    assert (of(Faults(nodes=1)).slots, of(Faults(nodes=1)).holders) == (3, 2)
-    assert (of(Faults(nodes=2, zones=1)).slots, of(Faults(nodes=2, zones=1)).holders) == (5, 3)
-    assert (of(Faults(nodes=1, zones=2)).slots, of(Faults(nodes=1, zones=2)).holders) == (5, 3)
-    assert of(Faults(regions=1)).spread == Spread(0, 1, {"a": "east", "b": "west"})
+    assert (spec_with(Faults(nodes=1)).slots, spec_with(Faults(nodes=1)).holders) == (3, 2)
+    assert (spec_with(Faults(nodes=2, zones=1)).slots, spec_with(Faults(nodes=2, zones=1)).holders) == (5, 3)
+    assert (spec_with(Faults(nodes=1, zones=2)).slots, spec_with(Faults(nodes=1, zones=2)).holders) == (5, 3)
+    assert spec_with(Faults(regions=1)).spread == Spread(0, 1, {"a": "east", "b": "west"})
 
 
 @pytest.mark.parametrize("machines", [3, 5])
@@ -125,13 +125,13 @@
     assert [history.broken for history in (play(shape, seed) for seed in range(3))] == ["", "", ""]
 
 
-def heedless(
+def without_spread(
     me: Member, durable_state: DurableState, spec: Spec, seeds: tuple[str, ...], founder: bool, seed: int
 ) -> Replica:
-    """A planted defect: a control process that takes members as they come."""
+    """A planted defect: members are chosen without regard to their zones."""
     return Replica(me, durable_state, replace(spec, spread=Spread()), seeds, founder, seed)
 
 
 def test_members_taken_as_they_come_do_not_bear_it() -> None:
     shape = Shape(3, 1, zone_losses=True, spares=2, length_ms=90_000.0)
-    assert {play(shape, seed, heedless).rule for seed in range(3)} == {"spread"}
+    assert {play(shape, seed, without_spread).rule for seed in range(3)} == {"spread"}
--- a/tests/test_control_host_disk.py
+++ b/tests/test_control_host_disk.py
@@ -1,4 +1,4 @@
-"""The keeper of a control process's memory: what is synced counts, refusals are mended, nothing half read."""
+"""The state store of a control process: only synced records count, and refusals are repaired."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 class Bench:
-    """A keeper on a disk of its own."""
+    """A `StateStore` on a disk of its own."""
 
     def __init__(self, world: World) -> None:
         self.world, self.disk = world, Disk()
-        self.told: list[bool] = []
+        self.health_changes: list[bool] = []
         self.done: list[int] = []
 
     async def load(self, founder: bool = False) -> StateStore:
-        """A keeper that has loaded, as a process of its own."""
+        """Returns a loaded store, in a simulated process of its own."""
         process = Process(self.world.network, "core-1", "10.1.0.1")
         process.machine = Machine(
             "core-1", "10.1.0.1", "a", True, self.world.settings("c", "1.1.1.1", "a", True)
@@ -40,18 +40,20 @@
         process.machine.disk = self.disk
 
         async def begin() -> StateStore:
-            keeper = StateStore("/disk", self.told.append)
-            await keeper.load(founder)
-            return keeper
+            state_store = StateStore("/disk", self.health_changes.append)
+            await state_store.load(founder)
+            return state_store
 
         return await self.world.loop.create_task(begin(), context=process.context)
 
-    def keep(self, keeper: StateStore, number: int) -> None:
-        """Sync a write, as the machine does: the memory is changed first."""
-        keeper.durable_state.document = keeper.durable_state.document.after(number, b"", str(number))
-        assert keeper.durable_state.document.number == number
-        change = keeper.durable_state.document.latest_change()
-        keeper.append(WriteRecord(change), lambda: self.done.append(number))
+    def append(self, state_store: StateStore, number: int) -> None:
+        """Syncs a write as a replica does: the state is changed before the record is appended."""
+        state_store.durable_state.document = state_store.durable_state.document.after(
+            number, b"", str(number)
+        )
+        assert state_store.durable_state.document.number == number
+        change = state_store.durable_state.document.latest_change()
+        state_store.append(WriteRecord(change), lambda: self.done.append(number))
 
 
 def test_a_new_disk_gets_an_identity_that_stays() -> None:
@@ -59,8 +61,8 @@
         bench = Bench(world)
         first = await bench.load(founder=True)
         assert first.durable_state.identity.startswith("f")
-        again = await bench.load(founder=False)
-        assert again.durable_state.identity == first.durable_state.identity
+        reloaded = await bench.load(founder=False)
+        assert reloaded.durable_state.identity == first.durable_state.identity
         bench.disk.wipe()
         wiped = await bench.load(founder=False)
         assert (
@@ -74,18 +76,18 @@
 def test_what_is_synced_is_there_after_a_loss_of_power_and_nothing_is_said_before() -> None:
     async def scene(world: World) -> None:
         bench = Bench(world)
-        keeper = await bench.load()
-        bench.keep(keeper, 1)
+        state_store = await bench.load()
+        bench.append(state_store, 1)
         assert bench.done == []
         await world.wait(0.01)
         assert bench.done == [1]
-        bench.keep(keeper, 2)
-        keeper.durable_state.promised = 7
-        keeper.append(PromiseRecord(7), lambda: bench.done.append(7))
+        bench.append(state_store, 2)
+        state_store.durable_state.promised = 7
+        state_store.append(PromiseRecord(7), lambda: bench.done.append(7))
         await world.wait(0.01)
         bench.disk.lose_power()
-        again = await bench.load()
-        assert again.durable_state.document.number == 2 and again.durable_state.promised == 7
+        reloaded = await bench.load()
+        assert reloaded.durable_state.document.number == 2 and reloaded.durable_state.promised == 7
 
     play(scene, starts=False)
 
@@ -93,50 +95,50 @@
 def test_a_refusal_is_told_and_mended_and_what_was_meanwhile_is_kept() -> None:
     async def scene(world: World) -> None:
         bench = Bench(world)
-        keeper = await bench.load()
+        state_store = await bench.load()
         bench.disk.is_full = True
-        bench.keep(keeper, 1)
+        bench.append(state_store, 1)
         await world.wait(0.05)
-        assert bench.done == [] and bench.told == [False]
-        bench.keep(keeper, 2)
+        assert bench.done == [] and bench.health_changes == [False]
+        bench.append(state_store, 2)
         await world.wait(0.3)
         bench.disk.is_full = False
         await world.wait(2 * RETRY_S)
-        assert bench.told == [False, True] and bench.done == []
-        bench.keep(keeper, 3)
+        assert bench.health_changes == [False, True] and bench.done == []
+        bench.append(state_store, 3)
         await world.wait(0.01)
         assert bench.done == [3]
-        again = await bench.load()
-        assert again.durable_state.document.number == 3
+        reloaded = await bench.load()
+        assert reloaded.durable_state.document.number == 3
 
     play(scene, starts=False)
 
 
 def test_nothing_counts_between_a_refusal_and_the_mend_though_the_disk_takes_it() -> None:
-    """What a later record builds on is not on the disk: nobody may hear that the later one is kept."""
+    """Later records build on one that is not on disk, so they must not be reported as stored."""
 
     async def scene(world: World) -> None:
         bench = Bench(world)
-        keeper = await bench.load()
+        state_store = await bench.load()
         bench.disk.is_full = True
-        bench.keep(keeper, 1)
+        bench.append(state_store, 1)
         await world.wait(0.05)
         bench.disk.is_full = False
-        keeper.durable_state.promised = 4
-        keeper.append(PromiseRecord(4), lambda: bench.done.append(4))
+        state_store.durable_state.promised = 4
+        state_store.append(PromiseRecord(4), lambda: bench.done.append(4))
         await world.wait(0.01)
         assert bench.done == []
         await world.wait(2 * RETRY_S)
         assert bench.done == []
-        again = await bench.load()
-        assert again.durable_state.document.number == 1 and again.durable_state.promised == 4
+        reloaded = await bench.load()
+        assert reloaded.durable_state.document.number == 1 and reloaded.durable_state.promised == 4
 
     play(scene, starts=False)
 
 
 @pytest.mark.parametrize("kind", [control.Promised, control.Installed, control.Written])
 def test_a_process_says_nothing_that_it_has_not_synced(kind: Any) -> None:
-    """Each answer that others count on leaves no sooner than the sync that was begun for it has returned."""
+    """An answer that others rely on is sent only after the sync that was started for it has returned."""
     sync_ms = 40
 
     async def scene(world: World) -> None:
@@ -163,29 +165,29 @@
     for at, who, whom, answer in answers:
         asked = [e for e in heard if isinstance(e[3], questions[kind]) and e[1:3] == (whom, who)]
         times = [t for t, _, _, question in asked if question.to == answer.sender and t < at]
-        assert at - times[0] >= sync_ms, f"{who} answers {whom} after {at - times[0]:.0f} ms"
+        assert at - times[0] >= sync_ms, f"{who} answered {whom} after {at - times[0]:.0f} ms"
 
 
-async def look_for(world: World, keeper: StateStore, seconds: float) -> None:
-    """Look as often as the host does, so that the time is not taken for a stall of the process."""
+async def check_health_for(world: World, state_store: StateStore, seconds: float) -> None:
+    """Checks the disk as often as the host does, so that the time isn't mistaken for a stall."""
     for _ in range(round(seconds / TICK_S) + 1):
         await world.wait(TICK_S)
-        keeper.check_health()
+        state_store.check_health()
 
 
 def test_a_sync_that_hangs_is_told_and_goes_on() -> None:
     async def scene(world: World) -> None:
         bench = Bench(world)
-        keeper = await bench.load()
+        state_store = await bench.load()
         bench.disk.hang(True)
-        bench.keep(keeper, 1)
-        await look_for(world, keeper, SYNC_TIMEOUT_S / 2)
-        assert bench.told == []
-        await look_for(world, keeper, SYNC_TIMEOUT_S)
-        assert bench.told == [False] and not keeper.is_idle()
+        bench.append(state_store, 1)
+        await check_health_for(world, state_store, SYNC_TIMEOUT_S / 2)
+        assert bench.health_changes == []
+        await check_health_for(world, state_store, SYNC_TIMEOUT_S)
+        assert bench.health_changes == [False] and not state_store.is_idle()
         bench.disk.hang(False)
         await world.wait(0.05)
-        assert bench.told == [False, True] and bench.done == [1] and keeper.is_idle()
+        assert bench.health_changes == [False, True] and bench.done == [1] and state_store.is_idle()
 
     play(scene, starts=False)
 
@@ -193,90 +195,92 @@
 def test_a_process_that_stood_still_does_not_take_its_disk_for_one_that_hangs() -> None:
     async def scene(world: World) -> None:
         bench = Bench(world)
-        keeper = await bench.load()
+        state_store = await bench.load()
         bench.disk.hang(True)
-        bench.keep(keeper, 1)
-        await look_for(world, keeper, SYNC_TIMEOUT_S / 2)
-        await world.wait(2 * SYNC_TIMEOUT_S)  # nothing runs
-        keeper.check_health()
-        assert bench.told == []
-        await look_for(world, keeper, SYNC_TIMEOUT_S)
-        assert bench.told == [False]
+        bench.append(state_store, 1)
+        await check_health_for(world, state_store, SYNC_TIMEOUT_S / 2)
+        await world.wait(2 * SYNC_TIMEOUT_S)  # The process is stalled.
+        state_store.check_health()
+        assert bench.health_changes == []
+        await check_health_for(world, state_store, SYNC_TIMEOUT_S)
+        assert bench.health_changes == [False]
 
     play(scene, starts=False)
 
 
-class ByHand:
-    """Stands in for the queue to the disk: the test itself ends each command."""
+class ManualQueue:
+    """Replaces the disk queue; the test completes each command itself."""
 
     def __init__(self) -> None:
         self.log_bytes = 0
-        self.given: list[tuple[str, asyncio.Future[Any]]] = []
+        self.commands: list[tuple[str, asyncio.Future[Any]]] = []
 
     def load(self) -> asyncio.Future[Any]:
-        done = self._give("load")
+        done = self._add("load")
         done.set_result(Loaded(0, None, (), True))
         return done
 
     def append(self, record: bytes) -> asyncio.Future[Any]:
-        return self._give("append")
+        return self._add("append")
 
     def checkpoint(self, state: bytes) -> asyncio.Future[Any]:
-        return self._give("checkpoint")
+        return self._add("checkpoint")
 
-    def _give(self, what: str) -> asyncio.Future[Any]:
+    def _add(self, what: str) -> asyncio.Future[Any]:
         done: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self.given.append((what, done))
+        self.commands.append((what, done))
         return done
 
 
 def test_a_refusal_right_behind_the_checkpoint_that_folds_the_log_is_mended() -> None:
     async def scene(world: World) -> None:
-        queue, told = ByHand(), list[bool]()
+        queue, health_changes = ManualQueue(), list[bool]()
         with (
             mock.patch("consensus.keeper.DiskQueue", lambda store: queue),
             mock.patch("consensus.keeper.OsFiles", Disk),
         ):
-            keeper = StateStore("/disk", told.append)
-        loading = asyncio.create_task(keeper.load(False))
+            state_store = StateStore("/disk", health_changes.append)
+        loading = asyncio.create_task(state_store.load(False))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        queue.given[-1][1].set_result(None)
+        queue.commands[-1][1].set_result(None)
         await loading
         queue.log_bytes = MAX_LOG_BYTES + 1
-        keeper.append(PromiseRecord(1), lambda: None)
+        state_store.append(PromiseRecord(1), lambda: None)
         queue.log_bytes = 0
         await asyncio.sleep(0)
-        keeper.append(PromiseRecord(2), lambda: told.append(True))
-        (_, first), (_, fold), (_, second) = queue.given[-3:]
+        state_store.append(PromiseRecord(2), lambda: health_changes.append(True))
+        (_, first), (_, checkpoint), (_, second) = queue.commands[-3:]
         first.set_result(None)
-        fold.set_result(None)
-        second.set_exception(DiskError("the disk refuses", "free space"))
+        checkpoint.set_result(None)
+        second.set_exception(DiskError("no space left on device", "free space"))
         await world.wait(0.1)
-        assert told == [False]
-        what, mend = queue.given[-1]
-        assert what == "checkpoint" and not mend.done()
-        mend.set_result(None)
+        assert health_changes == [False]
+        what, rewrite = queue.commands[-1]
+        assert what == "checkpoint" and not rewrite.done()
+        rewrite.set_result(None)
         await world.wait(0.1)
-        assert told == [False, True]
+        assert health_changes == [False, True]
 
     play(scene, starts=False)
 
 
 @pytest.mark.parametrize("at", [x / 10 for x in range(0, 60, 3)])
 def test_a_disk_that_fills_at_any_moment_is_mended(at: float) -> None:
-    """Writes come all the while, the log is folded again and again; the disk is full for 30 ms."""
+    """The disk is full for 30 ms during continuous writes and checkpoints of the log."""
 
     async def scene(world: World) -> None:
         bench = Bench(world)
-        keeper = await bench.load()
+        state_store = await bench.load()
         body = b"x" * 400_000
 
         async def writes() -> None:
             for number in range(1, 100):
-                keeper.durable_state.document = keeper.durable_state.document.after(number, body, str(number))
-                change = keeper.durable_state.document.latest_change()
-                keeper.append(WriteRecord(change), lambda n=number: bench.done.append(n))  # type: ignore[misc]
+                state_store.durable_state.document = state_store.durable_state.document.after(
+                    number, body, str(number)
+                )
+                change = state_store.durable_state.document.latest_change()
+                state_store.append(WriteRecord(change), lambda n=number: bench.done.append(n))  # type: ignore[misc]
                 await asyncio.sleep(0.0004)
 
         writing = asyncio.create_task(writes())
@@ -286,8 +290,8 @@
         bench.disk.is_full = False
         await writing
         await world.wait(3 * RETRY_S)
-        assert keeper._is_healthy and keeper._rewrite_task is None
-        bench.keep(keeper, 100)
+        assert state_store._is_healthy and state_store._rewrite_task is None
+        bench.append(state_store, 100)
         await world.wait(0.01)
         assert bench.done[-1] == 100
         loaded = (await bench.load()).durable_state.document
@@ -297,7 +301,7 @@
 
 
 def test_a_memory_that_cant_be_read_whole_is_no_memory() -> None:
-    """Half of what was promised is worse than nothing: the process is a new one then, and asks to join."""
+    """A partial state could break promises, so the process joins as a new one."""
 
     async def scene(world: World) -> None:
         for damage in ("state", "record"):
@@ -309,10 +313,11 @@
                 b"\0\1\2" if damage == "state" else encode_record(snapshot_record(durable_state))
             )
             store.append(encode_record(PromiseRecord(12)) if damage == "state" else b"\7\7\7")
-            keeper = await bench.load(founder=True)
-            assert keeper.durable_state.identity not in ("", "mold")
-            assert keeper.durable_state.identity.startswith("m")  # whoever had a memory makes no first view
-            assert keeper.durable_state.promised == 0 and keeper.durable_state.document.number == 0
+            state_store = await bench.load(founder=True)
+            assert state_store.durable_state.identity not in ("", "mold")
+            # A process that had a state creates no first view.
+            assert state_store.durable_state.identity.startswith("m")
+            assert state_store.durable_state.promised == 0 and state_store.durable_state.document.number == 0
 
     play(scene, starts=False)
 
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -70,7 +70,7 @@
     known = KINDS.decode(frame.number, frame.body)
     assert decode_nested(known).view == view
     known.view["members"][0]["port"] = port  # as Avro's reader gives it, whatever its type is
-    with pytest.raises(ValueError, match="is none"):
+    with pytest.raises(ValueError, match="is out of range"):
         decode_nested(known)
 
 
--- a/tests/test_memory_shortage.py
+++ b/tests/test_memory_shortage.py
@@ -1,8 +1,8 @@
-"""Allocations that fail in a control process: it goes on once there is memory again.
+"""A control process recovers from failed allocations once memory is available again.
 
-A soak on a machine without free memory ended with nobody giving the configuration for 20 s. One failed
-allocation while the memory of a process was written anew left its disk out of use until the process was
-started again; where that befell two of three, nobody could lead.
+On a machine without free memory, one failed allocation while the whole state was rewritten left a process's
+disk unused until its restart. With two of three processes affected, none could lead, and the configuration
+was unavailable for 20 s.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ShortFiles(OsFiles):
-    """Writes for which there is no memory, so many."""
+    """Files whose next `failing` writes raise MemoryError."""
 
     failing = 0
 
@@ -46,20 +46,20 @@
     tmp_path: Path, short: type[ShortFiles], failing: int
 ) -> None:
     async def test() -> None:
-        told: list[bool] = []
-        keeper = StateStore(str(tmp_path), told.append)
-        await keeper.load(True)
+        health_changes: list[bool] = []
+        state_store = StateStore(str(tmp_path), health_changes.append)
+        await state_store.load(True)
         short.failing = failing
         done: list[int] = []
-        keeper.durable_state.promised = 4
-        keeper.append(PromiseRecord(4), lambda: done.append(4))
-        await until(lambda: told[-1:] == [True])
-        assert told == [False, True] and done == []  # what was refused is not told as kept
-        keeper.durable_state.promised = 5
-        keeper.append(PromiseRecord(5), lambda: done.append(5))
+        state_store.durable_state.promised = 4
+        state_store.append(PromiseRecord(4), lambda: done.append(4))
+        await until(lambda: health_changes[-1:] == [True])
+        assert health_changes == [False, True] and done == []  # The refused record is not reported as synced.
+        state_store.durable_state.promised = 5
+        state_store.append(PromiseRecord(5), lambda: done.append(5))
         await until(lambda: done == [5])
-        kept = await StateStore(str(tmp_path), told.append).load(False)
-        assert kept.promised == 5
+        reloaded = await StateStore(str(tmp_path), health_changes.append).load(False)
+        assert reloaded.promised == 5
 
     run(test())
 
@@ -94,7 +94,7 @@
 def test_a_record_that_can_not_be_handed_over_is_not_passed_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, short: type[ShortFiles]
 ) -> None:
-    """What comes after it must not be kept on top of a hole."""
+    """Later records must not be stored on top of the missing one."""
     failing = [True]
 
     def without_memory(record: Record) -> bytes:
@@ -104,15 +104,15 @@
         return encode_record(record)
 
     async def test() -> None:
-        told: list[bool] = []
-        keeper = StateStore(str(tmp_path), told.append)
-        await keeper.load(True)
+        health_changes: list[bool] = []
+        state_store = StateStore(str(tmp_path), health_changes.append)
+        await state_store.load(True)
         monkeypatch.setattr("consensus.keeper.encode_record", without_memory)
         done: list[int] = []
-        keeper.append(PromiseRecord(4), lambda: done.append(4))
-        assert told == [False]
-        await until(lambda: told == [False, True])
-        keeper.append(PromiseRecord(5), lambda: done.append(5))
+        state_store.append(PromiseRecord(4), lambda: done.append(4))
+        assert health_changes == [False]
+        await until(lambda: health_changes == [False, True])
+        state_store.append(PromiseRecord(5), lambda: done.append(5))
         await until(lambda: done == [5])
 
     run(test())
--- a/tests/test_replica_defects.py
+++ b/tests/test_replica_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of the control state: simulator or search catches each, and nothing without them."""
+"""Planted defects of the consensus protocol: a search or simulation finds each, and nothing without it."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 from mastturn.control_check.world import World
 
 
-def caught(found: Found, rule: str) -> None:
+def assert_caught(found: Found, rule: str) -> None:
     assert found.rule == rule and found.story, found
 
 
 @pytest.mark.parametrize("planted", SEARCHED, ids=lambda p: p.make.__name__)
 def test_the_search_finds_each_from_its_first_steps_on(planted: Searched) -> None:
-    caught(planted.show(), planted.rule)
+    assert_caught(planted.show(), planted.rule)
 
 
 # The first steps of the others are possible without their defects too.
@@ -46,7 +46,7 @@
     "planted", [p for p in SEARCHED if p.make is not PromisesBeforeSync], ids=lambda p: p.make.__name__
 )
 def test_the_same_search_finds_nothing_without_the_defect(planted: Searched) -> None:
-    """As far as it gets; most are whole."""
+    """Limited to 10,000 states, which covers most of the searches completely."""
     assert not explore(planted.bounds, most_states=10_000).broken
 
 
@@ -58,27 +58,27 @@
 
 def test_an_answer_before_the_backups_sync() -> None:
     bounds = Bounds(writes=1, campaigns=2, crashes=1)
-    caught(walk(bounds, 1, 3_000, make=AnswersBeforeSync), "no loss")
+    assert_caught(walk(bounds, 1, 3_000, make=AnswersBeforeSync), "no loss")
     assert not walk(bounds, 1, 100).broken
 
 
 def test_a_promise_that_is_sent_before_its_sync() -> None:
     crash = ("crash 2", "run 0", "sync 0", "deliver Prepare 0 2")
-    caught(explore(Bounds(writes=0, before=PROMISED_TWICE), PromisesBeforeSync), "one primary")
+    assert_caught(explore(Bounds(writes=0, before=PROMISED_TWICE), PromisesBeforeSync), "one primary")
     found = explore(Bounds(writes=0, before=(*PROMISED_TO_1, *crash)))
     assert found.is_whole and not found.broken
 
 
 def test_a_wiped_process_that_votes() -> None:
     bounds = Bounds(tries=1, writes=1, crashes=0, wipes=1, before=(*WRITTEN, "wipe 2", "run 0"))
-    caught(explore(bounds, WipedVotes), "one primary")
+    assert_caught(explore(bounds, WipedVotes), "one primary")
     found = explore(bounds)
     assert found.is_whole and not found.broken
 
 
 def test_reads_that_an_old_primary_answers_without_proof() -> None:
     bounds = Bounds(tries=1, writes=1, reads=1, campaigns=1, crashes=0, before=WRITTEN)
-    caught(explore(bounds, ReadsWithoutProof), "old answer")
+    assert_caught(explore(bounds, ReadsWithoutProof), "old answer")
     assert not explore(bounds, most_states=5_000).broken
 
 
@@ -92,13 +92,16 @@
 
 def test_a_successor_that_leads_beside_one_that_is_elected() -> None:
     bounds = Bounds(writes=1, crashes=0)
-    caught(walk(bounds, 1, 1_000, make=SuccessorWithoutMajority), "one primary")
+    assert_caught(walk(bounds, 1, 1_000, make=SuccessorWithoutMajority), "one primary")
     assert not walk(bounds, 1, 100).broken
 
 
 @pytest.mark.parametrize("make", [LeaseByJumpingClock, Replica])
 def test_a_lease_and_a_clock_that_jumps(make: Make) -> None:
-    """There is no lease: a primary that is cut off answers nothing, whatever its clock says."""
+    """A primary that is cut off answers no read, whatever its clock says.
+
+    The protocol has no leases; a primary with a lease and a jumping clock answers an outdated read.
+    """
     world = World(Shape(3, 1), 0, make)
     world.begin()
     writes, reads = world.operators
@@ -114,7 +117,7 @@
     broken = set()
     try:
         while world.now < 12_000.0:
-            if not reads.is_waiting():  # it goes on at the one that is cut off
+            if not reads.is_waiting():  # Reads continue at the primary that is cut off.
                 reads.hint, reads.reads_next = primary.ip, True
             leader = world.primary()
             if writes.stopped and leader not in (None, primary):
--- a/tests/test_replica_exchanges.py
+++ b/tests/test_replica_exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges of the control state, step by step: one for each fault that was found, and the ordinary ones."""
+"""Message exchanges of the consensus protocol, step by step; one for each fault found, and the usual ones."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
     world.settle()
     assert world.lines == ["0 -> 1 Write 1", "1 -> 0 Written 1", "0 answers done"]
     assert world.disks[0].document == world.disks[1].document and world.disks[0].document.ver == 3
-    assert world.disks[2].document.ver == 0  # a witness keeps epochs alone
+    assert world.disks[2].document.ver == 0  # A witness stores epochs only.
 
 
 def test_the_primary_is_cut_off_and_a_holder_takes_its_place() -> None:
     world = Lockstep()
     world.cut(0)
     world.run(800.0)
-    told = [line for line in world.lines if "(lost)" not in line]
-    assert told == [
+    delivered = [line for line in world.lines if "(lost)" not in line]
+    assert delivered == [
         "1 -> 2 Ask 2",
         "2 -> 1 Answer 2",
         "1 -> 2 Prepare 2",
@@ -53,7 +53,7 @@
 
 
 def test_a_later_view_of_one_that_is_no_help_does_not_bar_the_others() -> None:
-    """1 has accepted a view that came to nothing, and its disk is full."""
+    """1 has accepted a view whose campaign failed, and its disk is full."""
     world = Lockstep()
     world.lost = {"Installed", "Install"}
     world.cuts = {(0, 1), (0, 2)}
@@ -69,7 +69,7 @@
 
 
 def test_no_witness_accepts_a_view_before_its_holders() -> None:
-    """The campaigner is lost after its Installs: who is left can go on."""
+    """The campaigner is lost after sending `Install`; the remaining members can continue."""
     world = Lockstep()
     world.frozen = {0}
     world.lost = {"Installed"}
@@ -77,7 +77,7 @@
     assert {line for line in world.lines if "Install " in line} == {"1 -> 2 Install 2"}
     view = world.replicas[2].durable_state.view
     assert view is not None and view.epoch == 2 and view.holders == (1, 2)
-    world.frozen, world.lost = {1}, set()  # 2 holds the data, and so can go on
+    world.frozen, world.lost = {1}, set()  # 2 holds the data, so it can continue.
     world.run(1_500.0)
     assert world.primary() == 2
 
@@ -88,12 +88,12 @@
     world.run(300.0)
     world.frozen = set()
     world.hear(1, 0, Ask("i1", "i0", 2, False))
-    assert "0 -> 1 Answer 2 no" in world.lines  # the primary itself says no as long as it hears a majority
+    assert "0 -> 1 Answer 2 no" in world.lines  # The primary refuses as long as it reaches a majority.
     world.lines.clear()
     world.frozen = {1}
     world.run(2_000.0)
     world.frozen = set()
-    world.run(100.0)  # its first ticks come before any beat
+    world.run(100.0)  # Its first ticks come before any heartbeat.
     assert not [line for line in world.lines if line.startswith("1 -> 0 Prepare")]
     assert world.primary() == 0
 
@@ -115,13 +115,13 @@
     world.settle()
     world.run(500.0)
     assert "0 -> 1 Succeed 1" in world.lines and world.primary() == 1
-    assert world.replicas[1].durable_state.document.ver == 3  # it has the write
+    assert world.replicas[1].durable_state.document.ver == 3  # It has the write.
 
 
 def test_a_process_that_was_given_up_gives_up_its_slot_and_comes_back() -> None:
     world = Lockstep()
     world.cut(2)
-    world.replicas[3] = world.replicas[2]  # one of another machine waits for a slot
+    world.replicas[3] = world.replicas[2]  # A process on another machine waits for a slot.
     del world.replicas[3]
     world.disks[3] = world.disks[2].__class__("i3")
     world.boot(3)
@@ -129,7 +129,7 @@
     world.run(2_500.0)
     view = world.replicas[0].durable_state.view
     assert view is not None and view.slot_of("i3") == 2 and view.slot_of("i2") is None
-    assert world.replicas[2].durable_state.slot() == 2  # it has not heard of it
+    assert world.replicas[2].durable_state.slot() == 2  # It has not learned of the view yet.
     world.cuts = set()
     world.run(600.0)
     assert world.replicas[2].durable_state.view is None and world.synced(2)
@@ -170,7 +170,7 @@
 
 
 def test_an_old_install_names_nobody_again() -> None:
-    """A view in force that comes late: the newcomer has promised a later one."""
+    """A view in force arrives late, after the newcomer has promised a later one."""
     world = Lockstep()
     newcomer = Member("i3", "core-3", ip(3), 7700, f"{ip(3)}:8166", "z3")
     first = world.replicas[0].durable_state.view
@@ -200,7 +200,10 @@
 
 
 def test_a_write_that_was_lost_on_the_way_is_sent_again() -> None:
-    """Found in a history of five (51201): after 0.2 s of deafness nobody was answered for another 1.7 s."""
+    """After 0.2 s of message loss, operators got no answer for another 1.7 s.
+
+    Found in history 51201 of five machines: the write was not retransmitted.
+    """
     world = Lockstep()
     world.lost = {"Written"}
     world.replicas[0].submit(PUT, world.now)
@@ -221,7 +224,7 @@
     world.replicas[0].submit(PUT, world.now)
     world.settle()
     world.run(650.0)
-    assert world.lines.count("0 -> 1 Write 1 (lost)") == 4  # at 0, 150, 300 and 600 ms
+    assert world.lines.count("0 -> 1 Write 1 (lost)") == 4  # At 0, 150, 300 and 600 ms.
     world.free(0)
     assert world.disks[0].document.ver == 3
 
@@ -277,7 +280,7 @@
     before = world.epoch()
     world.hear(2, 0, Leaving("i2", "i0"))
     world.run(2_000.0)
-    assert world.epoch() <= before + 1  # with nobody left to take its place the view stays
+    assert world.epoch() <= before + 1  # The view stays, as no member is left to take the place.
     world.run(11_000.0)
     assert not world.replicas[0]._leaving_members.identities()
 
@@ -290,7 +293,10 @@
 
 
 def test_a_successor_that_did_not_hear_its_name_is_named_again() -> None:
-    """Found in histories: nobody led for another 0.6 s after one lost message (deaf, 41420 and 42004)."""
+    """One lost message left the group without a leader for another 0.6 s.
+
+    Found in the histories 41420 and 42004, in which a machine receives nothing.
+    """
     world = Lockstep()
     world.cuts = {(1, 0), (2, 0)}
     world.lost = {"Succeed"}
@@ -306,7 +312,10 @@
 
 
 def test_a_successor_that_is_lost_itself_is_followed_by_the_next() -> None:
-    """Found in histories of five: a primary that hears nothing names one that has just been frozen."""
+    """A primary that receives nothing names a successor that has just been frozen.
+
+    Found in histories of five machines.
+    """
     world = Lockstep(5, 2)
     world.cuts = {(i, 0) for i in range(1, 5)}
     world.frozen = {1}
@@ -356,7 +365,7 @@
     world.hear(1, 2, Prepare("i1", "i2", 2))
     assert world.lines == ["2 -> 1 Promised 2"]
     world.hear(0, 2, Prepare("i0", "i2", 2))
-    assert world.lines[-1].startswith("2 -> 0 Promised 2 no")  # to another it is not promised
+    assert world.lines[-1].startswith("2 -> 0 Promised 2 no")  # Another candidate does not get the promise.
 
 
 def test_a_campaign_that_was_won_in_a_freeze_is_over() -> None:
@@ -379,7 +388,7 @@
     world = Lockstep()
     world.cut(2)
     world.wipe(2, "j2")
-    world.hear(1, 2, Prepare("i1", "i2", 2))  # meant for the one of before
+    world.hear(1, 2, Prepare("i1", "i2", 2))  # Addressed to the previous process.
     world.hear(1, 2, Prepare("i1", "j2", 2))
     world.hear(1, 2, Install("i1", "j2", View(2, 1, (1,), (None, None, None)), None, False))
     assert world.replicas[2].durable_state.promised == 0 and world.replicas[2].durable_state.view is None
@@ -399,7 +408,10 @@
 
 
 def test_a_term_that_began_in_troubled_times_does_not_stay_patient_with_its_disk() -> None:
-    """Found in histories: a write on a hanging disk waited 1.4 s, nine seconds after the trouble before."""
+    """A write on a hanging disk waited 1.4 s, nine seconds after an earlier fault had raised the time-out.
+
+    Found in simulated histories.
+    """
     world = Lockstep()
     for _ in range(2):
         world.replicas[0].candidate.timeout_backoff.increase(world.now)
@@ -428,7 +440,10 @@
 
 
 def test_a_majority_that_comes_late_is_not_thrown_away() -> None:
-    """Found in histories: it came 2 ms before the campaign's end, and more promises were waited for."""
+    """A majority arrived 2 ms before the end of the campaign, which then waited for more promises.
+
+    Found in simulated histories.
+    """
     world = Lockstep()
     world.cut(0)
     world.lost = {"Promised"}
@@ -447,10 +462,10 @@
 
 
 def test_patience_grows_with_each_wait_in_vain_and_eases() -> None:
-    patience = TimeoutBackoff()
+    backoff = TimeoutBackoff()
     factors = []
     for at in (0.0, 1_000.0, 2_000.0, 3_000.0, 4_000.0):
-        factors.append(patience.factor(at))
-        patience.increase(at)
+        factors.append(backoff.factor(at))
+        backoff.increase(at)
     assert factors == [1.0, 2.0, 4.0, 8.0, 8.0]
-    assert [patience.factor(4_000.0 + after) for after in (4_900.0, 5_100.0, 30_000.0)] == [8.0, 4.0, 1.0]
+    assert [backoff.factor(4_000.0 + after) for after in (4_900.0, 5_100.0, 30_000.0)] == [8.0, 4.0, 1.0]
--- a/tests/test_replica_messages.py
+++ b/tests/test_replica_messages.py
@@ -1,4 +1,4 @@
-"""Messages and records of the control state: what is encoded is read back as it was."""
+"""Messages and records of the consensus protocol are decoded to what was encoded."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
     apply_record(durable_state, WriteRecord(later))
     assert snapshot_record(durable_state) == WholeRecord("a", 5, VIEW, later)
     apply_record(durable_state, ViewRecord(View(6, 2, (0, 2), (A, None, B)), None))
-    assert durable_state.promised == 6 and durable_state.document == later  # a view in itself changes no data
+    assert durable_state.promised == 6 and durable_state.document == later  # A view alone changes no data.
     copy = DurableState("b")
     apply_record(copy, snapshot_record(durable_state))
     assert copy == durable_state
--- a/tests/test_replica_search.py
+++ b/tests/test_replica_search.py
@@ -1,4 +1,4 @@
-"""Every order of messages, losses, repeats, syncs and crashes within bounds that fit a test."""
+"""Searches over all orders of messages, losses, repeats, syncs and crashes, within bounds that fit a test."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     ids=["race", "campaign"],
 )
 def test_the_reduced_search_finds_just_what_the_whole_one_does(bounds: Bounds) -> None:
-    """Fewer states, and the same sets of what processes and operators are told in them."""
+    """Fewer states, but the same sets of outcomes for processes and operators."""
     reduced, whole = explore(bounds), explore(replace(bounds, reduced=False))
     assert reduced.is_whole and whole.is_whole
     assert reduced.outcomes == whole.outcomes
--- a/tests/test_replica_stalls.py
+++ b/tests/test_replica_stalls.py
@@ -1,7 +1,7 @@
-"""Processes that stand still for a moment don't lose the lead; who has died loses it as quickly as ever.
+"""Short stalls of a process don't cost it the lead, while a dead leader is replaced as quickly as ever.
 
-On a machine whose processors were all taken several times over, a primary that got no processor time for
-0.6 s was taken for dead, and the leader changed again and again.
+On a machine with several times more load than CPU, a primary without CPU time for 0.6 s was considered dead,
+and the leader changed again and again.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 QUIET = Air(slow_share=0.0, lost_share=0.0, repeated_share=0.0)
 
 
-class DeathOfALeader:
-    """A quiet core whose leader is killed at a moment that the seed draws."""
+class LeaderDeath:
+    """A group without load whose leader is killed at a time drawn from the seed."""
 
     def __init__(self, machines: int, seed: int) -> None:
         shape = Shape(machines, (machines - 1) // 2, length_ms=9_000.0, air=QUIET)
@@ -30,8 +30,8 @@
         self.killed_at = self.led_at = 0.0
         self.world.leads = self._leads  # type: ignore[method-assign]
 
-    def took_ms(self) -> float:
-        """From the kill until another leads."""
+    def takeover_ms(self) -> float:
+        """Returns the time from the kill until another process leads."""
         self.world.begin()
         self.world.later(6_000.0 + self.world.chance.uniform(0, 1_000), self._kill)
         self.world.run(self.world.shape.length_ms)
@@ -50,13 +50,16 @@
 
 @pytest.mark.parametrize("machines", [3, 5])
 def test_a_leader_that_dies_on_a_quiet_machine_is_replaced_within_800_ms(machines: int) -> None:
-    took = sorted(DeathOfALeader(machines, seed).took_ms() for seed in range(100))
-    assert took[0] > 0 and took[98] < 800.0
+    takeover_times = sorted(LeaderDeath(machines, seed).takeover_ms() for seed in range(100))
+    assert takeover_times[0] > 0 and takeover_times[98] < 800.0
 
 
 @pytest.mark.parametrize(("machines", "most"), [(3, 8), (5, 11)])
 def test_processes_that_stand_still_again_and_again_keep_their_leader(machines: int, most: int) -> None:
-    """Each for 0.1 to 2 s, five seconds apart; with a fixed time of 0.6 s: 58 changes, and 63 with five."""
+    """Stalls of 0.1 to 2 s, five seconds apart.
+
+    With a fixed timeout of 0.6 s the leader changed 58 times, and 63 times with five machines.
+    """
     shape = Shape(machines, (machines - 1) // 2, stalls=True, length_ms=300_000.0)
     histories = play_all(shape, range(3))
     assert [h.broken for h in histories if h.broken] == []
@@ -65,13 +68,13 @@
 
 
 def test_a_clock_leaves_short_stalls_out_and_tells_them_and_counts_long_ones() -> None:
-    told: list[tuple[float, float]] = []
-    clock = AwakeClock(lambda stall_ms, now: told.append((stall_ms, now)))
+    stalls: list[tuple[float, float]] = []
+    clock = AwakeClock(lambda stall_ms, now: stalls.append((stall_ms, now)))
     assert [clock.read(at) for at in (1_000.0, 1_030.0, 1_060.0)] == [1_000.0, 1_030.0, 1_060.0]
-    assert clock.read(1_860.0) == 1_060.0 and told == [(800.0, 1_060.0)]
+    assert clock.read(1_860.0) == 1_060.0 and stalls == [(800.0, 1_060.0)]
     assert clock.read(1_890.0) == 1_090.0
     assert clock.read(1_890.0 + MAX_STALL_MS + 1) == 1_090.0 + MAX_STALL_MS + 1
-    assert len(told) == 1
+    assert len(stalls) == 1
 
 
 def test_a_detector_follows_silences_that_come_again_up_to_a_bound_and_forgets_them() -> None:
@@ -80,7 +83,8 @@
         detector.on_heartbeat("i1 4", beat * BEAT_MS)
     assert detector.timeout_ms(3_000.0) == USUAL_MS
     detector.on_stall(900.0, 4_000.0)
-    assert detector.timeout_ms(4_000.0) == USUAL_MS  # once: a machine may have been stopped
+    # A single stall may come from a machine that was stopped.
+    assert detector.timeout_ms(4_000.0) == USUAL_MS
     detector.on_stall(850.0, 4_000.0 + BUCKET_MS)
     assert detector.timeout_ms(20_000.0) == pytest.approx(1.1 * (850.0 + BEAT_MS))
     for stall in range(3):
