--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,8 +1,8 @@
-"""The state on disk: what was acknowledged is there after a loss of power, kill or refusal by the disk.
+"""The state on disk: what was acknowledged survives a loss of power, a kill or a refusal by the disk.
 
-The disk here keeps the rules of the machines: after a loss of power a file holds what its last sync covered,
-and of the writes since, each is there, torn or missing. Each test says where the run is cut and starts again
-from every disk that may be left.
+The simulated disk follows the rules of real machines. After a loss of power, a file holds what its last sync
+covered, and each later write is present, torn or missing. Each test interrupts a run at some call and
+restarts from every disk that may be left.
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 from consensus.slots import _frame as frame_of
 
 FOLDER = Path("/data")
-MOST_S = 10.0  # a wait as long as this is a failure
+TIMEOUT_S = 10.0  # Time limit for waits.
 NOTHING, HEAD, TAIL, ALL = "nothing", "head", "tail", "all"
-# A failed sync leaves its writes to the next, or covered them after all, or no later sync covers them either.
+# A failed sync leaves its writes to the next sync, or has written them after all, or loses them for good.
 STAYS, LANDS, DROPS = "stays", "lands", "drops"
 
 
-class Stopped(BaseException):
-    """The process ends here, at once."""
+class ProcessEnded(BaseException):
+    """Ends the simulated process immediately."""
 
 
 @dataclass(frozen=True)
 class Write:
-    """A write or a cut (data None) that no sync has covered yet."""
+    """A write, or a truncation if `data` is None, that no sync has covered yet."""
 
     at: int
     data: bytes | None
 
     def cuts(self) -> tuple[str, ...]:
-        """What a loss of power may leave of it."""
+        """Returns the possible remains of the write after a loss of power."""
         if self.data is None:
             return (NOTHING, ALL)
         return (NOTHING, HEAD, TAIL, ALL) if len(self.data) > 1 else (NOTHING, ALL)
@@ -66,58 +66,58 @@
         return old[:at] + data + old[at + len(data) :]
 
 
-Failing = Callable[[int, str], int | None]  # of a call's number and kind: the error's number
+Failing = Callable[[int, str], int | None]  # From a call's number and kind to its errno, None for success.
 
 
 def never(call: int, what: str) -> int | None:
     return None
 
 
-def refusing(kinds: Sequence[str], first: int = 0, code: int = errno.ENOSPC) -> Failing:
+def fail_kinds(kinds: Sequence[str], first: int = 0, code: int = errno.ENOSPC) -> Failing:
     """Refuses all calls of these kinds from the first on."""
     return lambda call, what: code if call >= first and what in kinds else None
 
 
 def fail_at(first: int, count: int, code: int) -> Failing:
-    """Refuses some calls in a row, of whatever kind."""
+    """Refuses consecutive calls of any kind."""
     return lambda call, what: code if first <= call < first + count else None
 
 
 @dataclass
 class Disk(Files):
-    """A disk of the rules. `calls` numbers every call; `stop_at` ends the process before one."""
+    """A simulated disk; `calls` counts all calls, and `stop_at` ends the process before that call."""
 
-    seen: dict[str, bytes] = field(default_factory=dict)  # what the process reads
-    lasting: dict[str, bytes] = field(default_factory=dict)  # what the last sync covered
+    visible: dict[str, bytes] = field(default_factory=dict)  # What the process reads.
+    durable: dict[str, bytes] = field(default_factory=dict)  # What the last sync covered.
     pending: dict[str, list[Write]] = field(default_factory=dict)
     calls: int = 0
     stop_at: int | None = None
     failing: Failing = never
     torn_on_failure: str = NOTHING
-    failed_sync: str = STAYS  # what became of the writes that a failed sync was to cover
+    failed_sync: str = STAYS  # What happens to the writes of a failed sync.
     syncs: int = 0
-    strict: bool = False  # a new name lasts with its folder's sync only, not with the file's own
+    strict: bool = False  # A new file name becomes durable only with a sync of the folder.
     linked: set[str] = field(default_factory=set)
 
     def _call(self, what: str) -> None:
         call, self.calls = self.calls, self.calls + 1
         if call == self.stop_at:
-            raise Stopped
+            raise ProcessEnded
         if (code := self.failing(call, what)) is not None:
             raise OSError(code, "refused")
 
     def names(self, folder: Path) -> list[str]:
         assert folder == FOLDER
         self._call("names")
-        return sorted(self.seen)
+        return sorted(self.visible)
 
     def read(self, path: Path) -> bytes:
         self._call("read")
-        return self.seen[path.name]
+        return self.visible[path.name]
 
-    def _put(self, name: str, write: Write) -> None:
+    def _apply(self, name: str, write: Write) -> None:
         self.pending.setdefault(name, []).append(write)
-        self.seen[name] = write.onto(self.seen.get(name, b""), ALL)
+        self.visible[name] = write.onto(self.visible.get(name, b""), ALL)
 
     def write(self, path: Path, offset: int, data: bytes) -> None:
         try:
@@ -125,13 +125,13 @@
         except OSError:
             part = {NOTHING: 0, HEAD: len(data) // 2, ALL: len(data)}[self.torn_on_failure]
             if part:
-                self._put(path.name, Write(offset, data[:part]))
+                self._apply(path.name, Write(offset, data[:part]))
             raise
-        self._put(path.name, Write(offset, data))
+        self._apply(path.name, Write(offset, data))
 
     def truncate(self, path: Path, length: int) -> None:
         self._call("truncate")
-        self._put(path.name, Write(length, None))
+        self._apply(path.name, Write(length, None))
 
     def sync(self, path: Path) -> None:
         self.syncs += 1
@@ -146,18 +146,18 @@
         self._cover(path.name)
 
     def _cover(self, name: str) -> None:
-        lasting = self.lasting.get(name, b"")
+        durable = self.durable.get(name, b"")
         for write in self.pending.pop(name, []):
-            lasting = write.onto(lasting, ALL)
-        self.lasting[name] = lasting
+            durable = write.onto(durable, ALL)
+        self.durable[name] = durable
 
     def sync_folder(self, folder: Path) -> None:
         self._call("sync_folder")
-        self.linked |= self.seen.keys()
+        self.linked |= self.visible.keys()
 
     def after_loss(self, cuts: Sequence[str]) -> Disk:
-        """The disk after a loss of power that left so much of each write."""
-        left = dict(self.lasting)
+        """Returns the disk after a loss of power that left these parts of the pending writes."""
+        left = dict(self.durable)
         writes = ((name, write) for name, writes in sorted(self.pending.items()) for write in writes)
         for (name, write), cut in zip(writes, cuts, strict=True):
             if cut != NOTHING:
@@ -167,46 +167,48 @@
         return Disk(dict(left), dict(left), strict=self.strict, linked=set(left))
 
     def writes(self) -> list[Write]:
-        """The writes that no sync has covered, file by file."""
+        """Returns the writes that no sync has covered, file by file."""
         return [write for _, writes in sorted(self.pending.items()) for write in writes]
 
     def all_losses(self) -> Iterator[Disk]:
-        """Every disk that a loss of power may leave now."""
+        """Yields every disk that a loss of power may leave now."""
         for cuts in itertools.product(*(write.cuts() for write in self.writes())):
             yield self.after_loss(cuts)
 
-    def a_loss(self, chance: random.Random) -> Disk:
-        """One disk that a loss of power may leave now; at times all writes are gone."""
+    def random_loss(self, chance: random.Random) -> Disk:
+        """Returns a random disk that a loss of power may leave now; sometimes all pending writes are lost."""
         writes = self.writes()
         if chance.random() < 0.2:
             return self.after_loss([NOTHING] * len(writes))
         return self.after_loss([chance.choice(write.cuts()) for write in writes])
 
     def after_kill(self) -> Disk:
-        """The disk as the next process finds it, while the machine keeps its power."""
+        """Returns the disk as the next process finds it while the machine stays powered."""
         pending = {name: list(writes) for name, writes in self.pending.items()}
-        return Disk(dict(self.seen), dict(self.lasting), pending, strict=self.strict, linked=set(self.linked))
+        return Disk(
+            dict(self.visible), dict(self.durable), pending, strict=self.strict, linked=set(self.linked)
+        )
 
 
-Kept = tuple[bytes | None, tuple[bytes, ...]]
-Step = tuple[bytes, ...] | bytes  # records appended together, or a state for a checkpoint
-EMPTY: Kept = (None, ())
+Content = tuple[bytes | None, tuple[bytes, ...]]
+Step = tuple[bytes, ...] | bytes  # Records appended together, or a state for a checkpoint.
+EMPTY: Content = (None, ())
 
 
-def after(kept: Kept, step: Step) -> list[Kept]:
-    """What a step may leave: all of it last."""
+def after(kept: Content, step: Step) -> list[Content]:
+    """Returns the possible contents after a step, the complete one last."""
     if isinstance(step, bytes):
         return [(step, ())]
     return [(kept[0], kept[1] + step[:count]) for count in range(1, len(step) + 1)]
 
 
 class Run:
-    """A store on a disk, what of it was acknowledged, and what else may be found."""
+    """A store on a disk, what it has acknowledged, and what else may be found there."""
 
-    def __init__(self, disk: Disk, expected: Sequence[Kept] = (EMPTY,)) -> None:
+    def __init__(self, disk: Disk, expected: Sequence[Content] = (EMPTY,)) -> None:
         self.disk, self.store = disk, Store.open(FOLDER, disk)
         self.possible = list(expected)
-        self.kept: Kept = expected[0]
+        self.kept: Content = expected[0]
 
     def load(self) -> Loaded:
         loaded = self.store.load()
@@ -218,7 +220,7 @@
         return loaded
 
     def do(self, step: Step) -> None:
-        """Does a step; an error leaves what was kept, and perhaps what failed."""
+        """Runs a step; an error leaves the previous content and possibly the failed data."""
         self.possible += after(self.kept, step)
         if isinstance(step, bytes):
             self.store.checkpoint(step)
@@ -251,7 +253,7 @@
         run.load()
         for step in steps:
             run.do(step)
-    except Stopped:
+    except ProcessEnded:
         pass
     disk.stop_at = None
     return run
@@ -260,8 +262,8 @@
 CALLS = run_until(None).disk.calls
 
 
-def check_goes_on(disk: Disk, possible: Sequence[Kept], steps: Sequence[Step] = LATER) -> None:
-    """A disk holds one of `possible`, takes all that comes, and keeps it over a loss of power."""
+def check_recovers(disk: Disk, possible: Sequence[Content], steps: Sequence[Step] = LATER) -> None:
+    """Checks that a disk holds one of `possible`, accepts later steps and survives a loss of power."""
     run = Run(disk, possible)
     assert run.load().synced
     for step in steps:
@@ -297,11 +299,11 @@
     disk.write(FOLDER / "f", 2, b"news")
     disk.truncate(FOLDER / "f", 3)
     disk.write(FOLDER / "new", 0, b"x")
-    left = {tuple(sorted(after.seen.items())) for after in disk.all_losses()}
+    left = {tuple(sorted(after.visible.items())) for after in disk.all_losses()}
     contents = {dict(files)["f"] for files in left}
     assert contents == {b"old.", b"olnews", b"olne", b"old.ws", b"old", b"oln"}
     assert {dict(files).get("new") for files in left} == {None, b"x"}
-    assert disk.after_kill().seen == {"f": b"oln", "new": b"x"}
+    assert disk.after_kill().visible == {"f": b"oln", "new": b"x"}
 
 
 @pytest.mark.parametrize("stop_at", range(CALLS + 1))
@@ -309,26 +311,26 @@
 def test_a_loss_of_power_anywhere_keeps_what_was_acknowledged(stop_at: int, strict: bool) -> None:
     run = run_until(stop_at, disk=Disk(strict=strict))
     for disk in run.disk.all_losses():
-        check_goes_on(disk, run.possible)
+        check_recovers(disk, run.possible)
 
 
 class LogReusedTooEarly(Store):
-    """A planted defect: the next generation's log is begun while its slot is not synced yet."""
+    """A planted defect: the next generation's log is started before its slot is synced."""
 
     def _write_slot(self, path: Path, generation: int, state: bytes) -> None:
         frame, _ = frame_of(b"", generation, 0, CHAIN)
-        self._write_log(self._logs[generation % 2], 0, frame, cut=True)
+        self._write_log(self._logs[generation % 2], 0, frame, truncate=True)
         super()._write_slot(path, generation, state)
 
 
 @pytest.mark.parametrize("kind", [LogReusedTooEarly, Store])
 def test_a_log_that_is_reused_before_the_slots_sync_is_caught(kind: type[Store]) -> None:
-    """A loss of power then leaves a log that vouches for a slot that is torn: nothing can be read."""
+    """A loss of power then leaves a log that refers to a torn slot, and nothing can be read."""
     broken = set()
     for stop_at in range(2 * CALLS):
         run = Run(Disk(stop_at=stop_at))
         run.store = kind.open(FOLDER, run.disk)
-        with contextlib.suppress(Stopped):
+        with contextlib.suppress(ProcessEnded):
             run.load()
             for step in STEPS:
                 run.do(step)
@@ -344,7 +346,7 @@
 @pytest.mark.parametrize("stop_at", range(CALLS + 1))
 def test_a_kill_anywhere_keeps_what_was_acknowledged(stop_at: int) -> None:
     run = run_until(stop_at)
-    check_goes_on(run.disk.after_kill(), run.possible)
+    check_recovers(run.disk.after_kill(), run.possible)
 
 
 @pytest.mark.parametrize("stop_at", range(CALLS + 1))
@@ -361,10 +363,10 @@
                 for step in LATER[:2]:
                     again.do(step)
                 ended = True
-            except Stopped:
+            except ProcessEnded:
                 ended = False
             for disk in again.disk.all_losses():
-                check_goes_on(disk, again.possible, LATER[2:3])
+                check_recovers(disk, again.possible, LATER[2:3])
             if ended:
                 break
 
@@ -388,12 +390,12 @@
         for left in run.disk.all_losses():
             assert_holds(left, run.possible)
         assert_holds(run.disk.after_kill(), run.possible)
-    assert 1 <= refused <= count or first < 3  # the first calls are those of the load
+    assert 1 <= refused <= count or first < 3  # The first calls belong to the load.
     assert run.possible == [run.kept]
-    check_goes_on(run.disk.after_kill(), run.possible)
+    check_recovers(run.disk.after_kill(), run.possible)
 
 
-def assert_holds(disk: Disk, possible: Sequence[Kept]) -> None:
+def assert_holds(disk: Disk, possible: Sequence[Content]) -> None:
     loaded = Store.open(FOLDER, disk).load()
     assert (loaded.state, loaded.records) in possible
 
@@ -414,7 +416,7 @@
     disk = Disk()
     run = Run(disk)
     run.do((b"one",))
-    disk.failing = refusing(["sync"], code=errno.EIO)
+    disk.failing = fail_kinds(["sync"], code=errno.EIO)
     with pytest.raises(DiskError, match="EIO"):
         run.do((b"two", b"three"))
     disk.failing = never
@@ -425,7 +427,7 @@
 
 
 def test_a_record_behind_a_torn_one_doesn_t_come_back_behind_the_same_record() -> None:
-    whole = run_until(None, [(b"one", b"two", b"three")]).disk.seen["log.0"]
+    whole = run_until(None, [(b"one", b"two", b"three")]).disk.visible["log.0"]
     at = whole.index(b"two")
     torn = whole[:at] + b"???" + whole[at + 3 :]
     run = Run(Disk({"log.0": torn}, {"log.0": torn}), [(None, (b"one",))])
@@ -435,17 +437,17 @@
 
 
 def test_a_checkpoint_found_before_its_log_was_begun_is_never_lost_again() -> None:
-    slot = run_until(None, [b"one"]).disk.seen["slot.1"]
+    slot = run_until(None, [b"one"]).disk.visible["slot.1"]
     disk = Disk({"slot.1": slot}, {"slot.1": slot})
     assert Store.open(FOLDER, disk).load() == Loaded(1, b"one", (), True)
-    refuse(damaged(disk, slot_1=slot[:-1]))
+    expect_damaged(damaged(disk, slot_1=slot[:-1]))
 
 
 @pytest.mark.parametrize(("generation", "number"), [(4, 1), (3, 1), (1, 1), (2, 2), (2, 0)])
 def test_a_frame_of_another_generation_or_place_ends_the_log(generation: int, number: int) -> None:
     disk = run_until(None, [b"one", b"two"]).disk
     begun, chain = frame_of(b"", 2, 0, CHAIN)
-    assert disk.seen["log.0"] == begun
+    assert disk.visible["log.0"] == begun
     for at, records in ((2, (b"fits",)), (generation, ())):
         frame, _ = frame_of(b"fits", at, 1 if records else number, chain)
         loaded = Store.open(FOLDER, damaged(disk, log_0=begun + frame)).load()
@@ -456,7 +458,7 @@
     disk = run_until(None, [b"one"]).disk
     frame, _ = frame_of(b"", 2, 0, CHAIN)
     assert Store.open(FOLDER, damaged(disk, log_1=frame)).load().state == b"one"
-    refuse(damaged(disk, log_0=frame))
+    expect_damaged(damaged(disk, log_0=frame))
 
 
 def test_a_failed_checkpoint_that_reached_the_disk_does_not_hide_later_records() -> None:
@@ -464,11 +466,11 @@
     run = Run(disk)
     run.do(b"old")
     run.do((b"one",))
-    disk.failing, disk.failed_sync = refusing(["sync"], code=errno.EIO), LANDS
+    disk.failing, disk.failed_sync = fail_kinds(["sync"], code=errno.EIO), LANDS
     with pytest.raises(DiskError):
         run.do(b"new")
     disk.failing = never
-    # until a call succeeds, it may be found
+    # Until a call succeeds, the failed state may be found.
     assert Store.open(FOLDER, disk.after_kill()).load().state == b"new"
     run.do((b"two",))
     loaded = Store.open(FOLDER, disk.after_kill()).load()
@@ -480,7 +482,7 @@
     run = Run(disk)
     run.do(b"state")
     run.do((b"kept",))
-    disk.failing = refusing(["write", "truncate"])
+    disk.failing = fail_kinds(["write", "truncate"])
     for _ in range(3):
         with pytest.raises(DiskError, match="ENOSPC"):
             run.do((b"more",))
@@ -490,13 +492,13 @@
     assert (loaded.state, loaded.records) == (b"state", (b"kept",))
     disk.failing = never
     run.do((b"again",))
-    check_goes_on(disk.after_kill(), [(b"state", (b"kept", b"again"))])
+    check_recovers(disk.after_kill(), [(b"state", (b"kept", b"again"))])
 
 
 def test_a_disk_that_refuses_syncs_is_read_and_says_that_it_isn_t_synced() -> None:
     run = run_until(CALLS - 1)
     disk = run.disk.after_kill()
-    disk.failing = refusing(["sync"], code=errno.EIO)
+    disk.failing = fail_kinds(["sync"], code=errno.EIO)
     store = Store.open(FOLDER, disk)
     loaded = store.load()
     assert (loaded.state, loaded.records) in run.possible
@@ -521,19 +523,19 @@
 
 @pytest.mark.parametrize("seed", range(400))
 def test_luck(seed: int) -> None:
-    """Long runs of everything together: kills, losses of power, failures and full disks."""
+    """Long random runs of kills, losses of power, failures and full disks together."""
     chance = random.Random(seed)
     run = Run(Disk())
     loaded = False
     for number in range(60):
         disk = run.disk
-        luck = chance.random()
+        draw = chance.random()
         failing = chance.random() < 0.3
         kinds = chance.choice(KINDS)
-        disk.failing = refusing(kinds, disk.calls + chance.randrange(6)) if failing else never
+        disk.failing = fail_kinds(kinds, disk.calls + chance.randrange(6)) if failing else never
         disk.torn_on_failure = chance.choice([NOTHING, HEAD, ALL])
         disk.failed_sync = chance.choice([STAYS, LANDS])
-        disk.stop_at = disk.calls + chance.randrange(8) if luck < 0.4 else None
+        disk.stop_at = disk.calls + chance.randrange(8) if draw < 0.4 else None
         word = b"same" if seed % 2 else b"%d" % number
         records = tuple(word * chance.randrange(3) for _ in range(chance.randint(1, 3)))
         step: Step = records if chance.random() < 0.7 else b"state %d " % number * chance.randrange(9)
@@ -543,86 +545,86 @@
             run.do(step)
         except DiskError:
             continue
-        except Stopped:
-            left = disk.after_kill() if chance.random() < 0.4 else disk.a_loss(chance)
+        except ProcessEnded:
+            left = disk.after_kill() if chance.random() < 0.4 else disk.random_loss(chance)
             run, loaded = Run(left, [run.kept, *run.possible]), False
-    check_goes_on(run.disk.after_kill(), run.possible)
+    check_recovers(run.disk.after_kill(), run.possible)
 
 
 # --- damage
 
 
 def damaged(disk: Disk, **files: bytes | None) -> Disk:
-    seen = dict(disk.seen)
+    visible = dict(disk.visible)
     for name, data in files.items():
         if data is None:
-            seen.pop(name.replace("_", "."))
+            visible.pop(name.replace("_", "."))
         else:
-            seen[name.replace("_", ".")] = data
-    return Disk(dict(seen), dict(seen))
+            visible[name.replace("_", ".")] = data
+    return Disk(dict(visible), dict(visible))
 
 
 def flipped(data: bytes, at: int) -> bytes:
     return data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
 
 
-def refuse(disk: Disk) -> str:
+def expect_damaged(disk: Disk) -> str:
     with pytest.raises(DiskError) as refused:
         Store.open(FOLDER, disk).load()
-    assert refused.value.remedy.startswith("empty the folder and start again")
+    assert refused.value.remedy.startswith("empty the folder and restart the process")
     return refused.value.wrong
 
 
 @pytest.mark.parametrize("steps", [[b"one"], [b"one", (b"a",)], [(b"a",), b"one"]])
 def test_a_first_slot_that_was_acknowledged_and_is_damaged_is_never_an_empty_disk(steps: list[Step]) -> None:
     disk = run_until(None, steps).disk
-    slot = disk.seen["slot.1"]
+    slot = disk.visible["slot.1"]
     for at in range(len(slot)):
-        refuse(damaged(disk, slot_1=flipped(slot, at)))
+        expect_damaged(damaged(disk, slot_1=flipped(slot, at)))
     for length in range(len(slot)):
-        refuse(damaged(disk, slot_1=slot[:length]))
-    refuse(damaged(disk, slot_1=None))
+        expect_damaged(damaged(disk, slot_1=slot[:length]))
+    expect_damaged(damaged(disk, slot_1=None))
 
 
 def test_a_first_slot_torn_before_its_checkpoint_returned_is_an_empty_disk() -> None:
-    whole = run_until(None, [b"one"]).disk.seen["slot.1"]
+    whole = run_until(None, [b"one"]).disk.visible["slot.1"]
     for length in range(len(whole)):
         loaded = Store.open(FOLDER, Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]})).load()
         assert loaded.is_fresh
-        check_goes_on(Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]}), [EMPTY])
+        check_recovers(Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]}), [EMPTY])
 
 
 def test_records_before_a_first_slot_that_is_torn_are_kept() -> None:
     disk = run_until(None, [(b"a", b"b")]).disk
-    check_goes_on(damaged(disk, slot_1=b"torn"), [(None, (b"a", b"b"))])
+    check_recovers(damaged(disk, slot_1=b"torn"), [(None, (b"a", b"b"))])
 
 
 def test_damage_in_the_newest_slot_never_gives_the_one_before() -> None:
     disk = run_until(None, [b"one", (b"a",), b"two"]).disk
-    slot = disk.seen["slot.0"]
+    slot = disk.visible["slot.0"]
     for at in range(len(slot)):
-        assert "generation 2 was completed, and the newest whole slot is 1" in refuse(
+        assert "generation 2 was completed, but the newest intact slot is 1" in expect_damaged(
             damaged(disk, slot_0=flipped(slot, at))
         )
-    refuse(damaged(disk, slot_0=None))
+    expect_damaged(damaged(disk, slot_0=None))
 
 
 def test_damage_in_both_slots_is_never_an_empty_disk() -> None:
     disk = run_until(None, [b"one", b"two", b"three"]).disk
-    refuse(damaged(disk, slot_0=b"x", slot_1=b"x"))
-    refuse(damaged(disk, slot_0=b"x", slot_1=b"x", log_0=None, log_1=None))
-    refuse(damaged(disk, slot_0=None, slot_1=None))
-    refuse(damaged(disk, slot_0=b"x", slot_1=None, log_0=b"", log_1=b""))
+    expect_damaged(damaged(disk, slot_0=b"x", slot_1=b"x"))
+    expect_damaged(damaged(disk, slot_0=b"x", slot_1=b"x", log_0=None, log_1=None))
+    expect_damaged(damaged(disk, slot_0=None, slot_1=None))
+    expect_damaged(damaged(disk, slot_0=b"x", slot_1=None, log_0=b"", log_1=b""))
 
 
 def test_damage_in_the_older_slot_costs_nothing() -> None:
     disk = run_until(None, [b"one", b"two", (b"a",)]).disk
-    check_goes_on(damaged(disk, slot_1=b"x"), [(b"two", (b"a",))])
+    check_recovers(damaged(disk, slot_1=b"x"), [(b"two", (b"a",))])
 
 
 def test_a_log_ends_at_the_first_damaged_byte() -> None:
     disk = run_until(None, [b"one", (b"a",), (b"b",), (b"c",)]).disk
-    log = disk.seen["log.1"]
+    log = disk.visible["log.1"]
     found = []
     for at in range(len(log)):
         loaded = Store.open(FOLDER, damaged(disk, log_1=flipped(log, at))).load()
@@ -633,21 +635,21 @@
 
 def test_slots_and_logs_of_the_other_place_don_t_count() -> None:
     disk = run_until(None, [b"one", (b"a",)]).disk
-    refuse(damaged(disk, slot_0=disk.seen["slot.1"], slot_1=None))
-    moved = damaged(disk, log_0=disk.seen["log.1"], log_1=None)
+    expect_damaged(damaged(disk, slot_0=disk.visible["slot.1"], slot_1=None))
+    moved = damaged(disk, log_0=disk.visible["log.1"], log_1=None)
     assert Store.open(FOLDER, moved).load().records == ()
 
 
 def test_other_files_of_the_folder_are_left_alone() -> None:
     disk = Disk({"lost+found": b"?"}, {"lost+found": b"?"})
-    check_goes_on(disk, [EMPTY])
-    assert disk.seen["lost+found"] == b"?"
+    check_recovers(disk, [EMPTY])
+    assert disk.visible["lost+found"] == b"?"
 
 
 def test_the_bytes_on_disk() -> None:
-    """The form of the files; another form needs another mark."""
+    """The file format; a different format needs a different magic number."""
     disk = run_until(None, [b"old", b"state", (b"r1", b"")]).disk
-    assert {name: data.hex() for name, data in sorted(disk.seen.items())} == {
+    assert {name: data.hex() for name, data in sorted(disk.visible.items())} == {
         "slot.1": "6267733101000000000000000300000000000000a1be83fd" + b"old".hex(),
         "log.1": "0000000001000000000000000000000000000000d8fca6ec",
         "slot.0": "62677331020000000000000005000000000000005c4f1a41" + b"state".hex(),
@@ -677,7 +679,7 @@
             run.do(b"s" * (number + 1))
     assert run.store.generation >= 20
     assert run.store.log_bytes <= 1200
-    assert sum(map(len, disk.seen.values())) < 3000
+    assert sum(map(len, disk.visible.values())) < 3000
 
 
 def test_log_bytes_is_the_length_of_the_log() -> None:
@@ -685,13 +687,13 @@
     store = Store.open(FOLDER, disk)
     assert store.log_bytes == 0
     store.append(b"one")
-    assert store.log_bytes == len(disk.seen["log.0"])
+    assert store.log_bytes == len(disk.visible["log.0"])
     store.checkpoint(b"state")
     store.append(b"two")
-    assert store.log_bytes == len(disk.seen["log.1"])
+    assert store.log_bytes == len(disk.visible["log.1"])
     store.checkpoint(b"state")
     store.checkpoint(b"state")
-    assert store.log_bytes == len(disk.seen["log.1"])
+    assert store.log_bytes == len(disk.visible["log.1"])
     store.append(b"three")
     again = Store.open(FOLDER, disk.after_kill())
     again.load()
@@ -728,7 +730,7 @@
     store = Store.open(FOLDER, disk)
     with pytest.raises(ValueError, match="make a checkpoint"):
         store.append(bytes(MAX_RECORD_BYTES + 1))
-    assert disk.seen == {}
+    assert disk.visible == {}
     store.append(b"a")
     assert Store.open(FOLDER, disk.after_kill()).load().records == (b"a",)
 
@@ -748,7 +750,7 @@
     store.checkpoint(b"")
     files.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["log.0", "log.1", "slot.0", "slot.1"]
-    with pytest.raises(DiskError, match="let data_dir name a folder that is there"):
+    with pytest.raises(DiskError, match="set data_dir to an existing folder"):
         Store.open(tmp_path / "none", files).load()
 
 
@@ -763,16 +765,16 @@
 
 
 @dataclass
-class Gate(Files):
-    """A disk that hangs before each sync of a file until it is let go on, so that tests see what waits."""
+class BlockingDisk(Files):
+    """A disk that blocks before each file sync until the test lets it continue."""
 
     disk: Disk
     arrived: threading.Semaphore = field(default_factory=lambda: threading.Semaphore(0))
-    let: threading.Semaphore = field(default_factory=lambda: threading.Semaphore(0))
+    released: threading.Semaphore = field(default_factory=lambda: threading.Semaphore(0))
     threads: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.is_shut = False
+        self.is_blocking = False
 
     def names(self, folder: Path) -> list[str]:
         self.threads.add(threading.current_thread().name)
@@ -790,25 +792,25 @@
 
     def sync(self, path: Path) -> None:
         self.threads.add(threading.current_thread().name)
-        if self.is_shut:
+        if self.is_blocking:
             self.arrived.release()
-            assert self.let.acquire(timeout=MOST_S)
+            assert self.released.acquire(timeout=TIMEOUT_S)
         self.disk.sync(path)
 
     def sync_folder(self, folder: Path) -> None:
         self.disk.sync_folder(folder)
 
-    async def hang(self) -> None:
-        """Returns once a sync hangs."""
-        assert await asyncio.to_thread(self.arrived.acquire, timeout=MOST_S)
+    async def wait_until_blocked(self) -> None:
+        """Returns once a sync is blocked."""
+        assert await asyncio.to_thread(self.arrived.acquire, timeout=TIMEOUT_S)
 
 
 def play(main: Callable[[], Coroutine[None, None, None]]) -> None:
-    """Runs a test in an event loop; one that would hang fails."""
-    asyncio.run(asyncio.wait_for(main(), 2 * MOST_S))
+    """Runs a test in an event loop, with a time limit."""
+    asyncio.run(asyncio.wait_for(main(), 2 * TIMEOUT_S))
 
 
-def kept_on(disk: Disk) -> Kept:
+def stored_on(disk: Disk) -> Content:
     loaded = Store.open(FOLDER, disk.after_kill()).load()
     return loaded.state, loaded.records
 
@@ -818,8 +820,8 @@
     return ["kept" if error is None else str(error) for error in found]
 
 
-OVERTAKEN = "a command given before this one failed; give it again, on top of what is kept"
-FULL_LOG = "the disk refuses to write /data/log.0 (ENOSPC); free space on the disk; the next call tries again"
+OVERTAKEN = "a command queued earlier failed; retry it on top of the stored state"
+FULL_LOG = "cannot write /data/log.0 (ENOSPC); free space on the disk; the next call retries"
 
 
 def test_commands_run_in_their_order() -> None:
@@ -827,13 +829,13 @@
         disk = Disk()
         queue = DiskQueue(Store.open(FOLDER, disk))
         loaded = queue.load()
-        given = [queue.append(b"a"), queue.append(b"b"), queue.checkpoint(b"s"), queue.append(b"c")]
+        queued = [queue.append(b"a"), queue.append(b"b"), queue.checkpoint(b"s"), queue.append(b"c")]
         assert queue.waiting == 5
         assert (await loaded).is_fresh
-        assert await outcomes(*given) == ["kept"] * 4
+        assert await outcomes(*queued) == ["kept"] * 4
         assert queue.waiting == 0
-        assert queue.log_bytes == len(disk.seen["log.1"])
-        assert kept_on(disk) == (b"s", (b"c",))
+        assert queue.log_bytes == len(disk.visible["log.1"])
+        assert stored_on(disk) == (b"s", (b"c",))
         await queue.close()
 
     play(main)
@@ -841,45 +843,45 @@
 
 def test_appends_that_wait_share_one_sync_and_the_loop_never_waits_for_the_disk() -> None:
     async def main() -> None:
-        gate = Gate(Disk())
-        queue = DiskQueue(Store.open(FOLDER, gate), name="of the disk")
+        blocking = BlockingDisk(Disk())
+        queue = DiskQueue(Store.open(FOLDER, blocking), name="disk thread")
         await queue.load()
         await queue.append(b"0")
-        syncs = gate.disk.syncs
-        gate.is_shut = True
+        syncs = blocking.disk.syncs
+        blocking.is_blocking = True
         first = queue.append(b"1")
-        await gate.hang()  # the disk hangs with the first one
+        await blocking.wait_until_blocked()  # The disk blocks during the first append.
         rest = [queue.append(b"%d" % number) for number in range(2, 50)]
         assert queue.waiting == 49
         assert not first.done()
-        gate.let.release()
+        blocking.released.release()
         await first
-        await gate.hang()
+        await blocking.wait_until_blocked()
         assert not any(done.done() for done in rest)
-        gate.let.release()
+        blocking.released.release()
         assert await outcomes(*rest) == ["kept"] * 48
-        assert gate.disk.syncs == syncs + 2
-        assert kept_on(gate.disk) == (None, tuple(b"%d" % number for number in range(50)))
+        assert blocking.disk.syncs == syncs + 2
+        assert stored_on(blocking.disk) == (None, tuple(b"%d" % number for number in range(50)))
         await queue.close()
-        assert gate.threads == {"of the disk"}
+        assert blocking.threads == {"disk thread"}
 
     play(main)
 
 
 def test_a_checkpoint_parts_the_groups() -> None:
     async def main() -> None:
-        gate = Gate(Disk())
-        queue = DiskQueue(Store.open(FOLDER, gate))
+        blocking = BlockingDisk(Disk())
+        queue = DiskQueue(Store.open(FOLDER, blocking))
         await queue.append(b"0")
-        gate.is_shut = True
+        blocking.is_blocking = True
         first = queue.append(b"1")
-        await gate.hang()
+        await blocking.wait_until_blocked()
         rest = [queue.append(b"2"), queue.append(b"3"), queue.checkpoint(b"s"), queue.append(b"4")]
         rest += [queue.append(b"5"), queue.checkpoint(b"t"), queue.checkpoint(b"u"), queue.append(b"6")]
-        gate.is_shut = False
-        gate.let.release()
+        blocking.is_blocking = False
+        blocking.released.release()
         assert await outcomes(first, *rest) == ["kept"] * 9
-        assert kept_on(gate.disk) == (b"u", (b"6",))
+        assert stored_on(blocking.disk) == (b"u", (b"6",))
         await queue.close()
 
     play(main)
@@ -887,18 +889,19 @@
 
 def test_a_group_is_bounded() -> None:
     async def main() -> None:
-        gate = Gate(Disk())
-        queue = DiskQueue(Store.open(FOLDER, gate))
+        blocking = BlockingDisk(Disk())
+        queue = DiskQueue(Store.open(FOLDER, blocking))
         await queue.append(b"0")
-        gate.is_shut = True
+        blocking.is_blocking = True
         first = queue.append(b"1")
-        await gate.hang()
-        syncs = gate.disk.syncs
+        await blocking.wait_until_blocked()
+        syncs = blocking.disk.syncs
         rest = [queue.append(bytes(MAX_GROUP_BYTES // 2)) for _ in range(6)]
-        gate.is_shut = False
-        gate.let.release()
+        blocking.is_blocking = False
+        blocking.released.release()
         assert await outcomes(first, *rest) == ["kept"] * 7
-        assert gate.disk.syncs == syncs + 4  # the first one's, and two records in each group
+        # One for the first append, and one for each group of two records.
+        assert blocking.disk.syncs == syncs + 4
         await queue.close()
 
     play(main)
@@ -906,19 +909,20 @@
 
 def test_what_was_given_before_a_failure_was_known_fails_too() -> None:
     async def main() -> None:
-        gate = Gate(Disk())
-        queue = DiskQueue(Store.open(FOLDER, gate))
+        blocking = BlockingDisk(Disk())
+        queue = DiskQueue(Store.open(FOLDER, blocking))
         await queue.append(b"0")
-        gate.is_shut = True
-        gate.disk.failing = fail_at(gate.disk.calls + 1, 1, errno.ENOSPC)  # the sync of the next append
+        blocking.is_blocking = True
+        # The sync of the next append.
+        blocking.disk.failing = fail_at(blocking.disk.calls + 1, 1, errno.ENOSPC)
         first = queue.append(b"1")
-        await gate.hang()
+        await blocking.wait_until_blocked()
         rest = [queue.append(b"2"), queue.checkpoint(b"s"), queue.append(b"3")]
-        gate.is_shut = False
-        gate.let.release()
+        blocking.is_blocking = False
+        blocking.released.release()
         assert await outcomes(first, *rest) == [FULL_LOG, OVERTAKEN, OVERTAKEN, OVERTAKEN]
         assert await outcomes(queue.append(b"4")) == ["kept"]
-        assert kept_on(gate.disk) == (None, (b"0", b"4"))
+        assert stored_on(blocking.disk) == (None, (b"0", b"4"))
         await queue.close()
 
     play(main)
@@ -929,13 +933,13 @@
         disk = Disk()
         queue = DiskQueue(Store.open(FOLDER, disk))
         await queue.append(b"0")
-        disk.failing = refusing(["write"])
+        disk.failing = fail_kinds(["write"])
         for _ in range(3):
             assert set(await outcomes(queue.append(b"1"), queue.append(b"2"))) <= {FULL_LOG, OVERTAKEN}
             assert "ENOSPC" in (await outcomes(queue.checkpoint(b"s")))[0]
         disk.failing = never
         assert await outcomes(queue.append(b"3"), queue.append(b"4")) == ["kept", "kept"]
-        assert kept_on(disk) == (None, (b"0", b"3", b"4"))
+        assert stored_on(disk) == (None, (b"0", b"3", b"4"))
         await queue.close()
 
     play(main)
@@ -955,19 +959,19 @@
 
 def test_whoever_waits_may_be_cancelled() -> None:
     async def main() -> None:
-        gate = Gate(Disk())
-        queue = DiskQueue(Store.open(FOLDER, gate))
+        blocking = BlockingDisk(Disk())
+        queue = DiskQueue(Store.open(FOLDER, blocking))
         await queue.append(b"0")
-        gate.is_shut = True
+        blocking.is_blocking = True
         first = queue.append(b"1")
-        await gate.hang()
+        await blocking.wait_until_blocked()
         second, third = queue.append(b"2"), queue.append(b"3")
         first.cancel()
         second.cancel()
-        gate.is_shut = False
-        gate.let.release()
+        blocking.is_blocking = False
+        blocking.released.release()
         await third
-        assert kept_on(gate.disk) == (None, (b"0", b"1", b"2", b"3"))
+        assert stored_on(blocking.disk) == (None, (b"0", b"1", b"2", b"3"))
         assert queue.waiting == 0
         await queue.close()
 
@@ -978,11 +982,11 @@
     async def main() -> None:
         disk = Disk()
         queue = DiskQueue(Store.open(FOLDER, disk))
-        given = [queue.append(b"a"), queue.append(b"b")]
+        queued = [queue.append(b"a"), queue.append(b"b")]
         await queue.close()
-        assert all(done.done() for done in given)
-        assert kept_on(disk) == (None, (b"a", b"b"))
-        with pytest.raises(DiskError, match="give no command after close"):
+        assert all(done.done() for done in queued)
+        assert stored_on(disk) == (None, (b"a", b"b"))
+        with pytest.raises(DiskError, match="queue no command after close"):
             queue.append(b"c")
         await queue.close()
 
@@ -993,33 +997,33 @@
     async def main() -> None:
         disk = Disk()
         queue = DiskQueue(Store.open(FOLDER, disk))
-        given = queue.append(b"a")
+        queued = queue.append(b"a")
         with pytest.raises(ValueError, match="make a checkpoint"):
             queue.append(bytes(MAX_RECORD_BYTES + 1))
-        await given
+        await queued
         await queue.append(b"b")
-        assert kept_on(disk) == (None, (b"a", b"b"))
+        assert stored_on(disk) == (None, (b"a", b"b"))
         await queue.close()
 
     play(main)
 
 
 def test_the_thread_ends_where_its_loop_is_gone() -> None:
-    gate = Gate(Disk())
+    blocking = BlockingDisk(Disk())
 
     async def main() -> DiskQueue:
-        queue = DiskQueue(Store.open(FOLDER, gate), name="left alone")
+        queue = DiskQueue(Store.open(FOLDER, blocking), name="orphaned disk thread")
         await queue.append(b"0")
-        gate.is_shut = True
+        blocking.is_blocking = True
         queue.append(b"1")
         return queue
 
     asyncio.run(main())
-    assert gate.arrived.acquire(timeout=MOST_S)
-    thread = next(thread for thread in threading.enumerate() if thread.name == "left alone")
+    assert blocking.arrived.acquire(timeout=TIMEOUT_S)
+    thread = next(thread for thread in threading.enumerate() if thread.name == "orphaned disk thread")
     assert thread.daemon
-    gate.is_shut = False
-    gate.let.release()
-    thread.join(MOST_S)  # nobody waits for it any more
+    blocking.is_blocking = False
+    blocking.released.release()
+    thread.join(TIMEOUT_S)  # Nothing waits for the thread any more.
     assert not thread.is_alive()
-    assert kept_on(gate.disk) == (None, (b"0", b"1"))
+    assert stored_on(blocking.disk) == (None, (b"0", b"1"))
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -1,4 +1,4 @@
-"""Replicas of tallies: what was acknowledged is counted once, whatever is cut, lost, repeated or wiped."""
+"""Replicas of tallies: acknowledged adds count once despite partitions, losses, repeats and wiped disks."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
 @dataclass
 class Machine:
-    """A replica, its disk, and what it has acknowledged in this life."""
+    """A replica, its disk, and the adds that it has acknowledged since its last start."""
 
     ip: str
     replica: TallyReplica
     disk: State = EMPTY
     is_up: bool = True
-    life: int = 0
+    incarnation: int = 0
     acknowledged: set[str] = field(default_factory=set)
 
 
 class Net:
-    """Replicas on a network that delays, loses and cuts; time goes by in steps of a millisecond."""
+    """Replicas on a network that delays, loses and partitions messages; simulated in steps of 1 ms."""
 
     def __init__(self, count: int, copies: int, seed: int) -> None:
-        self.chance, self.now, self.copies = random.Random(seed), 0.0, copies
+        self.rng, self.now, self.copies = random.Random(seed), 0.0, copies
         self.machines = [self._machine(f"10.0.0.{i + 1}") for i in range(count)]
         self.cut: set[frozenset[str]] = set()
         self._due: dict[int, list[tuple[str, int, object, str]]] = defaultdict(list)
         self._tokens = 0
-        self.asked: dict[int, tuple[str, str, int]] = {}  # by token: ip, id, life
-        self.acknowledged: dict[str, list[tuple[str, float]]] = defaultdict(list)  # by id: where, when
+        self.requests: dict[int, tuple[str, str, int]] = {}  # IP, id and incarnation by token.
+        self.acknowledged: dict[str, list[tuple[str, float]]] = defaultdict(list)  # Where and when, by id.
         self.loss = 0.0
         self.bytes = 0
-        self.skew = [0] * count  # of the machines' clocks, in ms
+        self.skew = [0] * count  # Of the machines' wall clocks, in ms.
 
     def _machine(self, ip: str) -> Machine:
         return Machine(ip, TallyReplica(self.copies, MERGE_MS, self.now))
@@ -55,7 +55,7 @@
     def at(self, ip: str) -> Machine:
         return next(m for m in self.machines if m.ip == ip)
 
-    def wall(self, machine: Machine) -> int:
+    def wall_ms(self, machine: Machine) -> int:
         return EPOCH_MS + int(self.now) + self.skew[self.machines.index(machine)]
 
     def add(self, number: int, id_: str, amount: int = 1) -> None:
@@ -63,17 +63,17 @@
         if not machine.is_up or not machine.replica.is_ready(self.now):
             return
         self._tokens += 1
-        self.asked[self._tokens] = machine.ip, id_, machine.life
-        machine.replica.add(self._tokens, "t", id_, amount, self.wall(machine), self.now)
+        self.requests[self._tokens] = machine.ip, id_, machine.incarnation
+        machine.replica.add(self._tokens, "t", id_, amount, self.wall_ms(machine), self.now)
         self._carry_out(machine)
 
     def stop(self, number: int, wipes: bool = False) -> None:
         machine = self.machines[number]
         machine.is_up = False
-        machine.life += 1
+        machine.incarnation += 1
         if wipes:
             machine.disk = EMPTY
-        for at, due in self._due.items():  # what it has sent and nobody has heard goes with it
+        for at, due in self._due.items():  # Messages that have not arrived yet are lost with the process.
             self._due[at] = [entry for entry in due if entry[3] != machine.ip]
 
     def start(self, number: int) -> None:
@@ -88,9 +88,9 @@
         until = self.now + span_ms
         while self.now < until:
             self.now += 1.0
-            for ip, life, what, sender in self._due.pop(int(self.now), ()):
+            for ip, incarnation, what, sender in self._due.pop(int(self.now), ()):
                 machine = self.at(ip)
-                if not machine.is_up or machine.life != life:
+                if not machine.is_up or machine.incarnation != incarnation:
                     continue
                 if isinstance(what, int):
                     machine.replica.on_synced(what, self.now)
@@ -101,7 +101,7 @@
                 for machine in self.machines:
                     if machine.is_up:
                         machine.replica.set_peers(m.ip for m in self.machines if m is not machine)
-                        machine.replica.tick(self.wall(machine), self.now)
+                        machine.replica.tick(self.wall_ms(machine), self.now)
                         self._carry_out(machine)
 
     def _carry_out(self, machine: Machine) -> None:
@@ -109,33 +109,33 @@
             match effect:
                 case Send(ip, message):
                     self.bytes += len(KINDS.encode(message))
-                    if self.chance.random() >= self.loss:
-                        self._later(
-                            DELAY_MS + self.chance.random() * 4, ip, self.at(ip).life, message, machine.ip
+                    if self.rng.random() >= self.loss:
+                        self._schedule(
+                            DELAY_MS + self.rng.random() * 4, ip, self.at(ip).incarnation, message, machine.ip
                         )
                 case PersistAdds(number, adds):
                     kept = machine.disk
                     machine.disk = State(
                         kept.until, kept.count, kept.digest, kept.tallies, (*kept.adds, *adds)
                     )
-                    self._later(SYNC_MS, machine.ip, machine.life, number, "")
+                    self._schedule(SYNC_MS, machine.ip, machine.incarnation, number, "")
                 case PersistState():
                     machine.disk = machine.replica.adds.state()
                 case Acknowledge(token):
-                    ip, id_, life = self.asked[token]
-                    assert (ip, life) == (machine.ip, machine.life)
+                    ip, id_, incarnation = self.requests[token]
+                    assert (ip, incarnation) == (machine.ip, machine.incarnation)
                     machine.acknowledged.add(id_)
                     self.acknowledged[id_].append((ip, self.now))
 
-    def _later(self, delay_ms: float, ip: str, life: int, what: object, sender: str) -> None:
-        self._due[int(self.now + delay_ms) + 1].append((ip, life, what, sender))
+    def _schedule(self, delay_ms: float, ip: str, incarnation: int, what: object, sender: str) -> None:
+        self._due[int(self.now + delay_ms) + 1].append((ip, incarnation, what, sender))
 
     def totals(self) -> list[int]:
         return [m.replica.adds.total("t") for m in self.machines if m.is_up]
 
 
-def settled(net: Net) -> int:
-    """The sum that all tell behind all troubles."""
+def settled_total(net: Net) -> int:
+    """Returns the sum on which all machines agree after all faults have ended."""
     net.cut.clear()
     net.loss = 0.0
     for number in range(len(net.machines)):
@@ -160,12 +160,12 @@
 def test_what_is_acknowledged_counts_once_behind_any_troubles(
     steps: list[tuple[str, int, int]], count: int, seed: int
 ) -> None:
-    """Disks are lost only while nothing is cut or lost on the way, one machine at a time."""
+    """A disk is lost only while there are no partitions and no message loss, one machine at a time."""
     net = Net(count, copies=2, seed=seed)
-    net.skew = [net.chance.choice((-6000, 0, 0, 6000)) for _ in net.machines]
+    net.skew = [net.rng.choice((-6000, 0, 0, 6000)) for _ in net.machines]
     net.run(600)
     sent: set[str] = set()
-    has_lost = False  # whether something may be on one disk alone
+    has_lost = False  # Whether an add may be on a single disk.
     for what, number, other in steps:
         number, other = number % count, other % count
         match what:
@@ -197,12 +197,12 @@
             if machine.is_up:
                 assert len(machine.acknowledged) <= total <= len(sent)
     net.run(700)
-    assert len(net.acknowledged) <= settled(net) <= len(sent)
+    assert len(net.acknowledged) <= settled_total(net) <= len(sent)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_two_sides_agree_within_a_second_of_a_heal(seed: int) -> None:
-    """60 s apart at 41 adds a second, and then no more bytes than a few times what differs."""
+    """After 60 s apart at 41 adds a second, the repair sends only a few times the difference in bytes."""
     net = Net(5, copies=3, seed=seed)
     net.run(600)
     here = [m.ip for m in net.machines[:2]]
@@ -236,7 +236,7 @@
     assert net.acknowledged["b"]
     net.add(0, "c")
     net.run(20)
-    assert net.acknowledged["c"]  # nobody is waited for any more
+    assert net.acknowledged["c"]  # Unreachable replicas are no longer waited for.
 
 
 def test_a_wiped_machine_answers_once_it_has_what_the_others_have() -> None:
@@ -261,7 +261,7 @@
     net.run(50)
     net.add(1, "a", 9)
     net.run(50)
-    assert settled(net) == 4
+    assert settled_total(net) == 4
 
 
 def test_old_adds_are_folded_on_all_and_a_wiped_machine_takes_the_numbers_over() -> None:
@@ -285,7 +285,7 @@
     assert net.totals() == [301] * 3
     assert net.machines[2].disk.count == 300
     net.stop(1)
-    net.start(1)  # from its disk
+    net.start(1)  # Restarts from its disk.
     net.run(1_500)
     assert net.totals() == [301] * 3
 
@@ -300,7 +300,7 @@
     net.now += ID_RETENTION_MS + 4 * FOLD_SPANS * span_ms(FOLD_LEVEL) - net.now % 1000
     net.run(3_000)
     assert all(m.replica.adds.folded_until == 0 for m in net.machines)
-    assert settled(net) == 2
+    assert settled_total(net) == 2
 
 
 ADDS = st.lists(
--- a/tests/test_tallies_defects.py
+++ b/tests/test_tallies_defects.py
@@ -1,4 +1,4 @@
-"""Defects planted in tallies and in the shares of cold upstreams: each is found by a check."""
+"""Planted defects in tallies and in the load shares of cold upstreams; a check finds each of them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tallies.ranges import DigestTree, span_ms
 from tallies.replica import FOLD_LEVEL, FOLD_SPANS, ID_RETENTION_MS, TallyReplica
 from tests import test_cold_upstreams as cold
-from tests.test_tallies import MERGE_MS, Net, settled
+from tests.test_tallies import MERGE_MS, Net, settled_total
 
 IDS = 60
 
 
 def rough_day() -> None:
-    """Adds that come again at other machines, a cut, messages that are lost, a disk lost at a bad moment."""
+    """Adds repeated at other machines, a partition, lost messages, and a disk lost at a critical moment."""
     net, chance = Net(3, copies=2, seed=5), random.Random(5)
     net.run(600)
     sent = set[str]()
@@ -32,7 +32,7 @@
             sent.add(id_)
             net.add(chance.randrange(3), id_)
             net.run(25)
-            assert max(net.totals()) <= len(sent), "a sum above what can have counted"
+            assert max(net.totals()) <= len(sent), "a sum exceeds the number of distinct adds"
 
     adds(30)
     net.cut = {frozenset((net.machines[0].ip, m.ip)) for m in net.machines[1:]}
@@ -42,7 +42,7 @@
     adds(30)
     net.loss = 0.0
     net.run(MERGE_MS)
-    net.cut = {frozenset((net.machines[0].ip, net.machines[1].ip))}  # the third reaches both
+    net.cut = {frozenset((net.machines[0].ip, net.machines[1].ip))}  # The third machine reaches both.
     net.add(0, "last")
     while "last" not in net.acknowledged:
         net.run(1)
@@ -53,9 +53,9 @@
     net.run(2)
     first = net.machines[0].replica
     assert not first.is_ready(net.now) or first.adds.total("t") == len(net.acknowledged), (
-        "a sum of what is lost"
+        "a sum lacks acknowledged adds"
     )
-    assert len(net.acknowledged) <= settled(net) <= len(sent | {"last"})
+    assert len(net.acknowledged) <= settled_total(net) <= len(sent | {"last"})
 
 
 def long_day() -> None:
@@ -68,11 +68,11 @@
     net.run(500)
     net.now += ID_RETENTION_MS + 4 * FOLD_SPANS * span_ms(FOLD_LEVEL) - net.now % 1000
     net.run(3_000)
-    assert settled(net) == 2
+    assert settled_total(net) == 2
 
 
 def two_sides() -> None:
-    """A cold upstream that both sides of a cut would send to at any moment."""
+    """A cold upstream to which both sides of a partition could send at the same time."""
     fleet = cold.fleet_of(80, 1)
     cold.side(fleet, range(40))
     cold.side(fleet, range(40, 80))
--- a/tests/test_tallies_in_cuts.py
+++ b/tests/test_tallies_in_cuts.py
@@ -1,11 +1,8 @@
-"""Tallies are served on both sides of a cut, and agree again behind it.
-
-Seen: at the end of a day no sum of a tally was told in time, and every call for tallies before had failed.
-How: with no trouble before it; callers were told 404 by each control process, the leader among them, from
-the first call on. Cause: nothing kept tallies. What the operators' page of that deployment asks had no
-counterpart, and no check held the page against the calls that are declared. Proof: 1,402 of 1,402 calls
-failed and each process logged them as unknown; with replicas that each take adds and repair what differs
-(`tallies.replica`) the sums agree behind a cut.
+"""Tallies stay available on both sides of a partition and agree again after it.
+
+Guards against a control process without tallies: all 1,402 calls of a deployment's applications were answered
+with 404 and logged as unknown, because no check compared its operators' page with the declared calls. Each
+replica now accepts adds and repairs differences (`tallies.replica`), so the sums agree after a partition.
 """
 
 from __future__ import annotations
@@ -24,19 +21,19 @@
 
 @dataclass
 class Application:
-    """Calls the control process of one machine, and follows where that leads on to."""
+    """A client that calls the control process of one machine and follows redirects."""
 
     world: World
     machine: str
 
     async def add(self, name: str, id_: str, actor: int = 1) -> int:
-        """Add to a tally; the status."""
+        """Adds to a tally; returns the HTTP status."""
         body = json.dumps({"id": id_, "actor": actor}).encode()
         status, _ = await self.send("POST", f"/api/tallies/{name}", body)
         return status
 
     async def total(self, name: str) -> int:
-        """The sum that is told; -1 where none is."""
+        """Returns the sum of a tally, -1 if the call fails."""
         status, body = await self.send("GET", f"/api/tallies/{name}")
         return int(json.loads(body)["sum"]) if status == 200 else -1
 
@@ -62,7 +59,7 @@
         await world.wait(2.0)
         assert await one.add("t3", "a2") == 200
         assert await two.add("t3", "a3") == 200
-        assert await three.add("t3", "a2") == 200  # its caller had no answer of the other side
+        assert await three.add("t3", "a2") == 200  # Its caller got no answer from the other side.
         assert await one.add("t3", "a2") == 200
         assert await one.total("t3") == 2
         world.heal()
@@ -76,13 +73,13 @@
     return [Application(world, m.name) for m in world.cores() if m.name not in world.diskless]
 
 
-async def agreed(world: World, name: str, total: int, within_s: float = MERGE_S) -> None:
-    """All members that run tell this sum within the time, and none tells more."""
+async def wait_for_sum(world: World, name: str, total: int, within_s: float = MERGE_S) -> None:
+    """Waits until all running members return this sum; none may return more."""
     running = [app for app in apps(world) if world.running(world.machines[app.machine])]
     until = world.loop.time() + within_s
-    while (told := [await app.total(name) for app in running]) != [total] * len(running):
-        assert max(told) <= total
-        assert world.loop.time() < until, told
+    while (sums := [await app.total(name) for app in running]) != [total] * len(running):
+        assert max(sums) <= total
+        assert world.loop.time() < until, sums
         await world.wait(0.05)
 
 
@@ -97,8 +94,8 @@
         await world.wait(1.0)
         world.boot(app.machine)
         await world.wait(0.02)
-        assert await app.total("t1") in (-1, 5), "it tells no sum that lacks what it has lost"
-        await agreed(world, "t1", 5)
+        assert await app.total("t1") in (-1, 5), "the sum must not lack the lost add"
+        await wait_for_sum(world, "t1", 5)
 
     play(scene)
 
@@ -113,9 +110,9 @@
         await world.wait(1.0)
         world.boot(*names)
         await world.wait(0.5)
-        await agreed(world, "t1", sum(range(12)))
-        assert await apps(world)[0].add("t1", "a3", 3) == 200  # the caller had no answer before
-        await agreed(world, "t1", sum(range(12)))
+        await wait_for_sum(world, "t1", sum(range(12)))
+        assert await apps(world)[0].add("t1", "a3", 3) == 200  # The caller got no answer before.
+        await wait_for_sum(world, "t1", sum(range(12)))
 
     play(scene)
 
@@ -130,7 +127,7 @@
         one, two, three = apps(world)
         nine = Application(world, "core-9")
         assert await nine.add("t1", "a", 1) == 200
-        await agreed(world, "t1", 1)
+        await wait_for_sum(world, "t1", 1)
         world.cut([one.machine, "core-9"], [two.machine, three.machine])
         await world.wait(2.0)
         assert await nine.add("t1", "b", 2) == 200
@@ -139,11 +136,11 @@
         world.power_off(one.machine)
         await world.wait(2.0)
         status, _ = await nine.send("GET", "/api/tallies/t1")
-        assert status == 503, "nobody on its side has a disk"
+        assert status == 503, "no machine on its side has a disk"
         world.boot(one.machine)
         world.heal()
         await world.wait(1.0)
-        await agreed(world, "t1", 7)
+        await wait_for_sum(world, "t1", 7)
 
     play(scene, before=before)
 
@@ -162,11 +159,11 @@
         disk.is_full = False
         await world.wait(1.0)
         assert await app.add("t1", "c", 4) == 200
-        await agreed(world, "t1", 7)
+        await wait_for_sum(world, "t1", 7)
         world.power_off(app.machine)
         world.boot(app.machine)
         await world.wait(0.5)
-        await agreed(world, "t1", 7)
+        await wait_for_sum(world, "t1", 7)
 
     play(scene)
 
@@ -195,8 +192,8 @@
         await begun(world)
         app = apps(world)[0]
         for method, path, body in BAD:
-            status, said = await app.send(method, path, body)
-            assert (status, list(json.loads(said))) == (400, ["error"]), (method, path, body)
+            status, answer = await app.send(method, path, body)
+            assert (status, list(json.loads(answer))) == (400, ["error"]), (method, path, body)
         assert (await app.send("DELETE", "/api/tallies/t1"))[0] == 405
         assert (await app.send("GET", "/api/tallies/"))[0] == 404
         assert (await app.send("GET", "/api/tallies/a/b"))[0] == 404
@@ -207,7 +204,7 @@
 
 
 def test_calls_are_answered_beside_a_release_without_tallies(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The others pass over what they do not know: adds wait a little for them once, then no more."""
+    """Older releases ignore the messages of tallies; only the first add waits for them, briefly."""
 
     async def scene(world: World) -> None:
         await begun(world)
--- a/tests/test_tallies_search.py
+++ b/tests/test_tallies_search.py
@@ -1,13 +1,13 @@
-"""Every order of events, searched whole: three machines, an add, a cut that heals, a crash and a lost disk.
+"""An exhaustive search over a model: three machines, an add, a partition that heals, a crash and a lost disk.
 
-A model of what `tallies.replica` promises, not its code: a machine takes an add and pushes it, syncs, says
-that it has kept a push, acknowledges, is compared with another, stops, starts, loses its disk. What is
-acknowledged with another copy outlives any one disk; what a side that is alone acknowledged outlives all
-but its own.
+The model covers the guarantees of `tallies.replica`, not its code. A machine accepts and pushes an add,
+syncs, confirms a push, acknowledges, is compared with another, stops, starts or loses its disk. An add
+acknowledged with another copy must survive the loss of any one disk; an add acknowledged by an isolated
+machine must survive the loss of any other disk.
 
-One add stands for two: sets are merged id by id, and what a sync writes of one id does not depend on
-another, so a history of two ids that breaks a promise holds one of a single id that does. The machine of
-the add is the first, as all are alike.
+One add is enough: sets are merged id by id, and what a sync writes of one id doesn't depend on others, so a
+history of two ids that breaks a guarantee contains one of a single id that does. All machines are alike, so
+the first one accepts the add.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 import pytest
 
-IDS = (1,)  # bits of a set of ids
+IDS = (1,)  # Bits of a set of ids.
 MACHINES = range(3)
 PAIRS = ((0, 1), (0, 2), (1, 2))
 ADDS = 1
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Sets of ids are bits; everything by machine, in order."""
+    """Sets of ids are bit masks; tuples are indexed by machine."""
 
     memory: tuple[int, ...] = (0, 0, 0)
     disk: tuple[int, ...] = (0, 0, 0)
@@ -35,16 +35,17 @@
         0,
         0,
         0,
-    )  # machines, as bits, that one must be compared with before it answers
-    pushes: frozenset[tuple[int, int, int]] = frozenset()  # from, to, id: on the way
-    owes: frozenset[tuple[int, int, int]] = frozenset()  # by, to, id: heard, and kept once it is synced
-    keeps: frozenset[tuple[int, int, int]] = frozenset()  # by, to, id: "kept" on the way
-    kept: frozenset[tuple[int, int, int]] = frozenset()  # by, to, id: heard of by who asked
-    open: frozenset[tuple[int, int]] = frozenset()  # machine, id: not acknowledged yet
-    safe: int = 0  # acknowledged with a copy elsewhere
-    alone: tuple[int, ...] = (0, 0, 0)  # acknowledged with nobody in touch
-    own: tuple[int, ...] = (0, 0, 0)  # acknowledged in this life
-    cut: tuple[int, int] | None = None  # these two, or with the third: it is enough that two can't be reached
+    )  # Bit mask of machines to compare with before this one answers.
+    pushes: frozenset[tuple[int, int, int]] = frozenset()  # From, to, id: in transit.
+    owes: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: received, to be confirmed once synced.
+    keeps: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: confirmations in transit.
+    kept: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: received confirmations.
+    open: frozenset[tuple[int, int]] = frozenset()  # Machine, id: not acknowledged yet.
+    safe: int = 0  # Acknowledged with a copy elsewhere.
+    alone: tuple[int, ...] = (0, 0, 0)  # Acknowledged while no other machine was reachable.
+    own: tuple[int, ...] = (0, 0, 0)  # Acknowledged since the last start.
+    # The two machines that cannot reach each other; cutting one pair is enough.
+    cut: tuple[int, int] | None = None
     adds: int = 3
     cuts: int = 1
     crashes: int = 1
@@ -56,23 +57,28 @@
 
 
 class Model:
-    """The moves; `copies` disks for an acknowledgement, `waits` for a comparison before a machine answers."""
+    """The transitions of the model."""
 
     def __init__(self, copies: int = 2, syncs: bool = True, waits: bool = True, dedupes: bool = True) -> None:
+        """Sets which guarantees the model implements.
+
+        `copies`: disks per acknowledgement. `waits`: whether a restarted machine compares before it answers.
+        """
         self.copies, self.syncs, self.waits, self.dedupes = copies, syncs, waits, dedupes
 
     def reach(self, s: State, one: int, other: int) -> bool:
         return s.up[one] and s.up[other] and (min(one, other), max(one, other)) != s.cut
 
-    def moves(self, s: State) -> Iterator[State]:
-        yield from self._takes(s)
-        yield from self._messages(s)
-        yield from self._acknowledges(s)
-        yield from self._compares(s)
-        yield from self._troubles(s)
+    def transitions(self, s: State) -> Iterator[State]:
+        yield from self._accept_adds(s)
+        yield from self._deliver_messages(s)
+        yield from self._acknowledge(s)
+        yield from self._compare(s)
+        yield from self._inject_faults(s)
 
-    def _takes(self, s: State) -> Iterator[State]:
-        machines = MACHINES if s.memory != (0, 0, 0) or s.adds < ADDS else MACHINES[:1]  # all are alike
+    def _accept_adds(self, s: State) -> Iterator[State]:
+        # All machines are alike.
+        machines = MACHINES if s.memory != (0, 0, 0) or s.adds < ADDS else MACHINES[:1]
         for m in machines if s.adds else ():
             if s.up[m] and not s.missing[m]:
                 for id_ in IDS:
@@ -82,7 +88,7 @@
                         s, adds=s.adds - 1, memory=memory, pushes=s.pushes | pushes, open=s.open | {(m, id_)}
                     )
 
-    def _messages(self, s: State) -> Iterator[State]:
+    def _deliver_messages(self, s: State) -> Iterator[State]:
         for push in s.pushes:
             by, to, id_ = push
             if self.reach(s, by, to):
@@ -99,19 +105,19 @@
             if self.reach(s, keep[0], keep[1]):
                 yield replace(s, keeps=s.keeps - {keep}, kept=s.kept | {keep})
 
-    def _acknowledges(self, s: State) -> Iterator[State]:
+    def _acknowledge(self, s: State) -> Iterator[State]:
         for m, id_ in s.open:
             if self.syncs and not s.disk[m] & id_:
                 continue
             copies = 1 + sum((n, m, id_) in s.kept for n in MACHINES)
-            is_alone = not any(self.reach(s, m, n) for n in MACHINES if n != m)
+            is_isolated = not any(self.reach(s, m, n) for n in MACHINES if n != m)
             own = put(s.own, m, s.own[m] | id_)
             if copies >= self.copies:
                 yield replace(s, open=s.open - {(m, id_)}, safe=s.safe | id_, own=own)
-            elif is_alone:
+            elif is_isolated:
                 yield replace(s, open=s.open - {(m, id_)}, alone=put(s.alone, m, s.alone[m] | id_), own=own)
 
-    def _compares(self, s: State) -> Iterator[State]:
+    def _compare(self, s: State) -> Iterator[State]:
         for one, other in PAIRS:
             if self.reach(s, one, other):
                 both = s.memory[one] | s.memory[other]
@@ -120,23 +126,23 @@
                 missing = put(missing, other, missing[other] & ~(1 << one))
                 yield replace(s, memory=memory, missing=missing)
 
-    def _troubles(self, s: State) -> Iterator[State]:
+    def _inject_faults(self, s: State) -> Iterator[State]:
         if s.cut is not None:
             yield replace(s, cut=None)
         for pair in PAIRS if s.cuts and s.cut is None else ():
             yield replace(s, cuts=s.cuts - 1, cut=pair)
         for m in MACHINES:
             if s.up[m] and s.crashes:
-                yield self._down(replace(s, crashes=s.crashes - 1), m)
+                yield self._stop(replace(s, crashes=s.crashes - 1), m)
             if s.up[m] and s.wipes:
                 lost = replace(s, wipes=s.wipes - 1, disk=put(s.disk, m, 0), alone=put(s.alone, m, 0))
-                yield self._down(lost, m)
+                yield self._stop(lost, m)
             if not s.up[m]:
                 others = sum(1 << n for n in MACHINES if n != m) if self.waits else 0
                 up = (*s.up[:m], True, *s.up[m + 1 :])
                 yield replace(s, up=up, memory=put(s.memory, m, s.disk[m]), missing=put(s.missing, m, others))
 
-    def _down(self, s: State, m: int) -> State:
+    def _stop(self, s: State, m: int) -> State:
         gone = {
             name: frozenset(item for item in getattr(s, name) if item[at] != m)
             for name, at in (("owes", 0), ("kept", 1), ("open", 0))
@@ -146,38 +152,38 @@
 
 
 def broken(s: State) -> str:
-    """What a state shows that must never be; empty if nothing."""
+    """Returns which guarantee a state breaks, or an empty string."""
     held = s.disk[0] | s.disk[1] | s.disk[2]
     if s.safe & ~held:
-        return "acknowledged with a copy, and on no disk"
+        return "acknowledged with a copy, but on no disk"
     for m in MACHINES:
         if s.alone[m] & ~held:
-            return "acknowledged alone, and on no disk though its own was not lost"
+            return "acknowledged while isolated, but on no disk although its own was not lost"
         if s.up[m] and not s.missing[m] and s.own[m] & ~s.memory[m]:
-            return "a machine lacks what it has acknowledged in this life"
-        if s.up[m] and not s.missing[m] and s.safe & ~s.memory[m] and _is_quiet(s):
-            return "all are compared, and one that answers lacks what was acknowledged"
+            return "a machine lacks an add that it acknowledged since its start"
+        if s.up[m] and not s.missing[m] and s.safe & ~s.memory[m] and _is_converged(s):
+            return "all are compared, but a machine that answers lacks an acknowledged add"
     return ""
 
 
-def _is_quiet(s: State) -> bool:
-    """All are up, and nobody has anything that another lacks."""
+def _is_converged(s: State) -> bool:
+    """Whether all machines are up and have the same adds."""
     return all(s.up) and s.cut is None and not any(s.missing) and len(set(s.memory)) == 1
 
 
 def search(model: Model, adds: int, most: int) -> tuple[int, str]:
-    """How many states there are, and what was found first."""
+    """Returns the number of states, and the first broken guarantee."""
     first = State(adds=adds)
     seen, left = {first}, deque([first])
     while left:
         state = left.popleft()
         if found := broken(state):
             return len(seen), found
-        for after in model.moves(state):
+        for after in model.transitions(state):
             if after not in seen:
                 seen.add(after)
                 left.append(after)
-        assert len(seen) < most, "the bounds are too wide to be searched whole"
+        assert len(seen) < most, "the bounds are too large for an exhaustive search"
     return len(seen), ""
 
 
@@ -190,8 +196,8 @@
 @pytest.mark.parametrize(
     ("model", "found"),
     [
-        (Model(copies=1), "acknowledged with a copy, and on no disk"),
-        (Model(syncs=False), "acknowledged alone, and on no disk though its own was not lost"),
+        (Model(copies=1), "acknowledged with a copy, but on no disk"),
+        (Model(syncs=False), "acknowledged while isolated, but on no disk although its own was not lost"),
     ],
 )
 def test_defects_are_found(model: Model, found: str) -> None:
--- a/tests/test_wire_held.py
+++ b/tests/test_wire_held.py
@@ -1,7 +1,8 @@
-"""Kinds of messages and of records as releases have spoken them: none of them ever changes.
+"""Message and record kinds keep the encoding of the releases that introduced them.
 
-tests/approved/kinds.txt holds the schema of each kind and one message with its bytes, as the release wrote
-them that first had it. A release that is beside it in an upgrade reads those bytes, and writes the same.
+tests/approved/kinds.txt holds the schema of each kind and one message with its bytes, as written by the first
+release that had it. During an upgrade, a program of another release reads those bytes and writes the same
+ones.
 """
 
 from __future__ import annotations
@@ -21,29 +22,29 @@
 TABLES = {"control": CONTROL, "news": NEWS, "disk": RECORDS, "tallies": TALLIES}
 
 
-def a_value(schema: Any, place: str) -> Any:
-    """A value that fits a schema: each one another, worked out from where it stands."""
+def a_value(schema: Any, path: str) -> Any:
+    """Returns a value that fits a schema; it is derived from its position, so that all values differ."""
     if isinstance(schema, list):
-        return a_value(schema[-1], place)
+        return a_value(schema[-1], path)
     name = schema["type"] if isinstance(schema, dict) else schema
     match name:
         case "record":
-            return {f["name"]: a_value(f["type"], f"{place}.{f['name']}") for f in schema["fields"]}
+            return {f["name"]: a_value(f["type"], f"{path}.{f['name']}") for f in schema["fields"]}
         case "array":
-            return [a_value(schema["items"], f"{place}.{i}") for i in range(2)]
+            return [a_value(schema["items"], f"{path}.{i}") for i in range(2)]
         case "null":
             return None
         case "boolean":
             return True
         case "int" | "long":
-            return sum(place.encode()) * (1 if name == "int" else 1_000_003)
+            return sum(path.encode()) * (1 if name == "int" else 1_000_003)
         case "string":
-            return f"{place}-é"
-    return place.encode()
+            return f"{path}-é"
+    return path.encode()
 
 
 def fields_of(schema: Any) -> Any:
-    """A schema as it is spoken: the names of records and fields, in order, and their types."""
+    """Returns the encoded part of a schema: field names and types, in order."""
     if isinstance(schema, list):
         return [fields_of(part) for part in schema]
     if not isinstance(schema, dict):
@@ -86,21 +87,21 @@
         message = kinds.decode(number, frame.body)
         assert kinds.encode(message) == raw
         schema = kinds._by_number[number].schema
-        told = a_value({"type": "record", "fields": schema["fields"]}, type(message).__name__)
+        expected = a_value({"type": "record", "fields": schema["fields"]}, type(message).__name__)
         assert json.loads(json.dumps(plain(message), default=list_of)) == json.loads(
-            json.dumps(told, default=list_of)
+            json.dumps(expected, default=list_of)
         )
 
 
 def list_of(value: Any) -> Any:
-    return list(value)  # bytes
+    return list(value)  # Bytes.
 
 
 def test_the_edition_stands_for_these_kinds() -> None:
-    """A new kind raises EDITION with it, and a number is used once."""
+    """A new kind raises EDITION, and each number is used only once."""
     assert (EDITION, len(CONTROL._by_type), len(NEWS._by_type), len(TALLIES._by_type)) == (7, 15, 19, 8)
     assert CONTROL._by_number.keys().isdisjoint(NEWS._by_number)
-    # An earlier release ends the connection at a number below its highest that it doesn't know.
+    # Earlier releases close the connection on unknown numbers below their highest one.
     assert sorted(CONTROL._by_number) == [*range(1, 15), 118]
     assert sorted(TALLIES._by_number) == [*range(120, 128)]
     assert len(CONTROL._by_number) == len(CONTROL._by_type) and len(NEWS._by_number) == len(NEWS._by_type)
