--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -572,7 +572,7 @@
     with pytest.raises(DiskError) as refused:
         Store.open(FOLDER, disk).load()
     assert refused.value.remedy.startswith("empty the folder and restart the process")
-    return refused.value.wrong
+    return refused.value.problem
 
 
 @pytest.mark.parametrize("steps", [[b"one"], [b"one", (b"a",)], [(b"a",), b"one"]])
