--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -33,10 +33,10 @@
     )
 
 
-def tiers(*entries: Upstream, seed: int = 1, full: tuple[str, ...] = ()) -> Tiers:
-    made = Tiers(random.Random(seed), lambda name: name not in full)
-    made.update(entries, 0.0)
-    return made
+def make_tiers(*entries: Upstream, seed: int = 1, full: tuple[str, ...] = ()) -> Tiers:
+    tiers = Tiers(random.Random(seed), lambda name: name not in full)
+    tiers.update(entries, 0.0)
+    return tiers
 
 
 def known(peer: Peer | None) -> Peer:
@@ -49,39 +49,39 @@
     peer.server.served, peer.server.busy, peer.server.updated_at = 1000.0, 1e6 / rate, now * 1000
 
 
-def decode_pick(made: Tiers, now: float = 0.0, zone: str = "a", avoid: tuple[str, ...] = ()) -> str:
-    return known(made.pick_decode(SVC, None, zone, avoid, now)).entry.id
+def decode_pick(tiers: Tiers, now: float = 0.0, zone: str = "a", avoid: tuple[str, ...] = ()) -> str:
+    return known(tiers.pick_decode(SVC, None, zone, avoid, now)).entry.id
 
 
 # ---- the draw
 
 
 def test_draws_follow_the_estimated_capacity() -> None:
-    made = tiers(*(entry(n) for n in "wxyz"))
+    tiers = make_tiers(*(entry(n) for n in "wxyz"))
     rates = {"w": 1.0, "x": 2.0, "y": 4.0, "z": 8.0}
     for name, rate in rates.items():
-        learn(known(made.peer(name)), rate)
+        learn(known(tiers.peer(name)), rate)
     drawn = Counter[str]()
     # With calls in flight in proportion to capacity all loads are equal, and the draw decides.
     for name, rate in rates.items():
-        known(made.peer(name)).server.in_flight = 10 * round(rate)
+        known(tiers.peer(name)).server.in_flight = 10 * round(rate)
     for _ in range(8000):
-        drawn[draw_one(made)] += 1
+        drawn[draw_one(tiers)] += 1
     assert drawn["w"] < drawn["x"] < drawn["y"] < drawn["z"]
 
 
-def draw_one(made: Tiers) -> str:
-    group = made._groups[SVC, DECODE]
-    return made._draw(group, group.peers, 0.0).entry.id
+def draw_one(tiers: Tiers) -> str:
+    group = tiers._groups[SVC, DECODE]
+    return tiers._draw(group, group.peers, 0.0).entry.id
 
 
 def test_one_draw_alone_takes_each_with_its_share_of_the_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("umberworks.choice.DRAWS", 1)
-    made = tiers(*(entry(n) for n in "wxyz"))
+    tiers = make_tiers(*(entry(n) for n in "wxyz"))
     rates = {"w": 1.0, "x": 2.0, "y": 4.0, "z": 8.0}
     for name, rate in rates.items():
-        learn(known(made.peer(name)), rate)
-    drawn = Counter(draw_one(made) for _ in range(15000))
+        learn(known(tiers.peer(name)), rate)
+    drawn = Counter(draw_one(tiers) for _ in range(15000))
     for name, rate in rates.items():
         assert abs(drawn[name] / 15000 - rate / 15) < 0.02, drawn
 
@@ -90,34 +90,34 @@
     monkeypatch.setattr("umberworks.choice.DRAWS", 64)  # enough draws to meet all four
     for seed in range(200):
         chance = random.Random(seed)
-        made = tiers(*(entry(n) for n in "wxyz"), seed=seed)
+        tiers = make_tiers(*(entry(n) for n in "wxyz"), seed=seed)
         loads = {}
         for name in "wxyz":
-            peer, rate = known(made.peer(name)), chance.uniform(0.5, 2.0)
+            peer, rate = known(tiers.peer(name)), chance.uniform(0.5, 2.0)
             learn(peer, rate)
             peer.server.in_flight = chance.randrange(6)
             loads[name] = (peer.server.in_flight + 1) / rate
         best = sorted(loads, key=lambda n: loads[n])
         if loads[best[1]] - loads[best[0]] > 0.01:  # the prior shifts estimates slightly
-            assert draw_one(made) == best[0], (seed, loads)
+            assert draw_one(tiers) == best[0], (seed, loads)
 
 
 def test_ties_go_to_the_larger_capacity_and_then_to_chance(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("umberworks.choice.DRAWS", 64)
     monkeypatch.setattr("umberworks.choice.PRIOR_CALLS", 0.0)
-    made = tiers(entry("x"), entry("y"))
+    tiers = make_tiers(entry("x"), entry("y"))
     for name, rate, out in (("x", 1.0, 0), ("y", 2.0, 1)):
-        learn(known(made.peer(name)), rate)
-        known(made.peer(name)).server.in_flight = out
-    assert {draw_one(made) for _ in range(50)} == {"y"}
-    learn(known(made.peer("y")), 1.0)
-    known(made.peer("y")).server.in_flight = 0
-    assert {draw_one(made) for _ in range(50)} == {"x", "y"}
+        learn(known(tiers.peer(name)), rate)
+        known(tiers.peer(name)).server.in_flight = out
+    assert {draw_one(tiers) for _ in range(50)} == {"y"}
+    learn(known(tiers.peer("y")), 1.0)
+    known(tiers.peer("y")).server.in_flight = 0
+    assert {draw_one(tiers) for _ in range(50)} == {"x", "y"}
 
 
 def test_a_call_that_did_not_run_adds_nothing_and_one_that_was_served_does() -> None:
-    made = tiers(entry("x"))
-    peer = known(made.peer("x"))
+    tiers = make_tiers(entry("x"))
+    peer = known(tiers.peer("x"))
     peer.on_call_sent(1.0, 300)
     assert (peer.server.in_flight, peer.pending_tokens) == (1, 300)
     peer.on_call_ended(1.5, 300, served=False)
@@ -128,14 +128,14 @@
 
 
 def test_a_newcomer_starts_at_the_median_and_a_fallen_estimate_finds_back() -> None:
-    made = tiers(*(entry(n) for n in "xyz"))
+    tiers = make_tiers(*(entry(n) for n in "xyz"))
     for name, rate in (("x", 1.0), ("y", 4.0), ("z", 9.0)):
-        learn(known(made.peer(name)), rate)
-    made.update((*(entry(n) for n in "xyz"), entry("new")), 0.0)
-    choice = made._groups[SVC, DECODE].selector
+        learn(known(tiers.peer(name)), rate)
+    tiers.update((*(entry(n) for n in "xyz"), entry("new")), 0.0)
+    choice = tiers._groups[SVC, DECODE].selector
     median = choice.refresh_median(0.0)
-    assert choice._capacity(known(made.peer("new")).server, median, 0.0) == pytest.approx(median)
-    fallen = known(made.peer("z")).server
+    assert choice._capacity(known(tiers.peer("new")).server, median, 0.0) == pytest.approx(median)
+    fallen = known(tiers.peer("z")).server
     fallen.served, fallen.busy, fallen.updated_at = 0.0, 60_000.0, 0.0
     low = choice._capacity(fallen, median, 0.0)
     assert low < 0.1 * median
@@ -146,100 +146,100 @@
 
 
 def test_draining_gone_and_misplaced_upstreams_get_nothing_new_at_once() -> None:
-    made = tiers(entry("x"), entry("y"))
-    assert made.update((entry("x", state="draining"), entry("y")), 1.0)
-    assert {decode_pick(made) for _ in range(20)} == {"y"}
-    assert dict(made.addresses()).keys() == {"x", "y"}  # calls in flight there continue
-    made.update((entry("x", phase=PREFILL), entry("y")), 2.0)
-    assert {decode_pick(made) for _ in range(20)} == {"y"}
-    made.update((entry("x", svc="other"),), 3.0)
-    assert made.pick_decode(SVC, None, "a", (), 3.0) is None
+    tiers = make_tiers(entry("x"), entry("y"))
+    assert tiers.update((entry("x", state="draining"), entry("y")), 1.0)
+    assert {decode_pick(tiers) for _ in range(20)} == {"y"}
+    assert dict(tiers.addresses()).keys() == {"x", "y"}  # calls in flight there continue
+    tiers.update((entry("x", phase=PREFILL), entry("y")), 2.0)
+    assert {decode_pick(tiers) for _ in range(20)} == {"y"}
+    tiers.update((entry("x", svc="other"),), 3.0)
+    assert tiers.pick_decode(SVC, None, "a", (), 3.0) is None
 
 
 def test_the_same_list_again_changes_nothing_and_the_same_address_with_another_id_is_another() -> None:
-    made = tiers(entry("x", addr="10.0.0.1:80"))
-    assert not made.update((entry("x", addr="10.0.0.1:80"),), 1.0)
-    peer = known(made.peer("x"))
-    assert made.update((entry("x", addr="10.0.0.1:80"), entry("y", addr="10.0.0.2:80")), 1.0)
-    assert made.peer("x") is peer
-    assert made.update((entry("z", addr="10.0.0.1:80"),), 2.0)
-    assert made.peer("x") is None and made.peer("z") is not peer
+    tiers = make_tiers(entry("x", addr="10.0.0.1:80"))
+    assert not tiers.update((entry("x", addr="10.0.0.1:80"),), 1.0)
+    peer = known(tiers.peer("x"))
+    assert tiers.update((entry("x", addr="10.0.0.1:80"), entry("y", addr="10.0.0.2:80")), 1.0)
+    assert tiers.peer("x") is peer
+    assert tiers.update((entry("z", addr="10.0.0.1:80"),), 2.0)
+    assert tiers.peer("x") is None and tiers.peer("z") is not peer
 
 
 def test_silent_blocked_and_full_upstreams_are_left_out_unless_there_is_no_other() -> None:
-    made = tiers(entry("x"), entry("y"), entry("z"), full=("z",))
-    known(made.peer("x")).is_silent = True
-    assert {decode_pick(made) for _ in range(20)} == {"y"}
-    known(made.peer("y")).block(0.0, 0.5)
-    assert {decode_pick(made) for _ in range(20)} == {"y"}  # blocked, but not silent
-    known(made.peer("y")).is_silent = True
-    assert {decode_pick(made) for _ in range(50)} == {"x", "y"}
-    known(made.peer("x")).on_data_received(1.0)
-    assert {decode_pick(made, now=1.0) for _ in range(20)} == {"x"}
-    assert made.pick_decode(SVC, None, "a", ("x", "y"), 1.0) is None
+    tiers = make_tiers(entry("x"), entry("y"), entry("z"), full=("z",))
+    known(tiers.peer("x")).is_silent = True
+    assert {decode_pick(tiers) for _ in range(20)} == {"y"}
+    known(tiers.peer("y")).block(0.0, 0.5)
+    assert {decode_pick(tiers) for _ in range(20)} == {"y"}  # blocked, but not silent
+    known(tiers.peer("y")).is_silent = True
+    assert {decode_pick(tiers) for _ in range(50)} == {"x", "y"}
+    known(tiers.peer("x")).on_data_received(1.0)
+    assert {decode_pick(tiers, now=1.0) for _ in range(20)} == {"x"}
+    assert tiers.pick_decode(SVC, None, "a", ("x", "y"), 1.0) is None
 
 
 def test_a_prefill_upstream_whose_handles_are_lost_again_and_again_is_avoided_for_a_while() -> None:
-    made = tiers(entry("x", PREFILL), entry("y", PREFILL))
-    peer, prompt = known(made.peer("x")), Prompt(100)
+    tiers = make_tiers(entry("x", PREFILL), entry("y", PREFILL))
+    peer, prompt = known(tiers.peer("x")), Prompt(100)
     for _ in range(MAX_FAILED_FETCHES):
         peer.on_fetch_ended(0.0, succeeded=False)
-    assert {known(made.pick_prefill(SVC, prompt, (), 0.1)).entry.id for _ in range(20)} == {"y"}
+    assert {known(tiers.pick_prefill(SVC, prompt, (), 0.1)).entry.id for _ in range(20)} == {"y"}
     later = FETCH_BLOCK_S + 0.1
-    assert {known(made.pick_prefill(SVC, prompt, (), later)).entry.id for _ in range(50)} == {"x", "y"}
+    assert {known(tiers.pick_prefill(SVC, prompt, (), later)).entry.id for _ in range(50)} == {"x", "y"}
 
 
 # ---- cached prefixes and their homes
 
 
-def home(made: Tiers, prefix: bytes, shared: int = 4000) -> str:
-    return known(made.pick_prefill(SVC, Prompt(shared + 500, shared, prefix), (), 0.0)).entry.id
+def home(tiers: Tiers, prefix: bytes, shared: int = 4000) -> str:
+    return known(tiers.pick_prefill(SVC, Prompt(shared + 500, shared, prefix), (), 0.0)).entry.id
 
 
 def test_a_subject_has_one_home_that_stays_when_others_come_and_go() -> None:
     names = [f"p{i}" for i in range(6)]
-    made = tiers(*(entry(n, PREFILL) for n in names))
+    tiers = make_tiers(*(entry(n, PREFILL) for n in names))
     prefixes = [b"%08x" % i for i in range(300)]
-    homes = {s: home(made, s) for s in prefixes}
+    homes = {s: home(tiers, s) for s in prefixes}
     assert set(homes.values()) == set(names)
-    assert all(home(made, s) == homes[s] for s in prefixes)
-    made.update(tuple(entry(n, PREFILL) for n in names if n != "p3"), 1.0)
-    moved = {s for s in prefixes if home(made, s) != homes[s]}
+    assert all(home(tiers, s) == homes[s] for s in prefixes)
+    tiers.update(tuple(entry(n, PREFILL) for n in names if n != "p3"), 1.0)
+    moved = {s for s in prefixes if home(tiers, s) != homes[s]}
     assert moved == {s for s in prefixes if homes[s] == "p3"}
 
 
 def test_a_home_with_clearly_more_to_read_is_left_by_what_weighs_less() -> None:
-    made = tiers(entry("x", PREFILL), entry("y", PREFILL))
+    tiers = make_tiers(entry("x", PREFILL), entry("y", PREFILL))
     prefix = b"5c1e07a2"
-    first = home(made, prefix, shared=200)
-    peer = known(made.peer(first))
+    first = home(tiers, prefix, shared=200)
+    peer = known(tiers.peer(first))
     peer.pending_tokens = 200 * REREAD_WEIGHT + TOKEN_TOLERANCE - 200
-    assert home(made, prefix, shared=200) == first
+    assert home(tiers, prefix, shared=200) == first
     peer.pending_tokens = 200 * REREAD_WEIGHT + 2 * TOKEN_TOLERANCE
-    assert home(made, prefix, shared=200) != first
-    assert home(made, prefix, shared=8000) == first  # prefilling so much again costs more than waiting
+    assert home(tiers, prefix, shared=200) != first
+    assert home(tiers, prefix, shared=8000) == first  # prefilling so much again costs more than waiting
 
 
 def test_who_has_read_a_subject_is_preferred_and_the_oldest_are_forgotten() -> None:
-    made = tiers(*(entry(n, PREFILL) for n in "wxyz"))
+    tiers = make_tiers(*(entry(n, PREFILL) for n in "wxyz"))
     prefix = b"91bd3f06"
-    other = next(n for n in "wxyz" if n != home(made, prefix))
-    assert made.prefix_index.add(prefix, other) and not made.prefix_index.add(prefix, other)
-    assert {home(made, prefix) for _ in range(20)} == {other}
+    other = next(n for n in "wxyz" if n != home(tiers, prefix))
+    assert tiers.prefix_index.add(prefix, other) and not tiers.prefix_index.add(prefix, other)
+    assert {home(tiers, prefix) for _ in range(20)} == {other}
     for i in range(MAX_PAIRS):
-        made.prefix_index.add(b"%d" % i, other)
-    assert other not in made.prefix_index.holders(prefix)
-    assert not made.prefix_index.add(b"", other)
+        tiers.prefix_index.add(b"%d" % i, other)
+    assert other not in tiers.prefix_index.holders(prefix)
+    assert not tiers.prefix_index.add(b"", other)
 
 
 def test_what_an_upstream_had_is_forgotten_with_its_part_or_its_place_on_the_list() -> None:
-    made = tiers(*(entry(n, PREFILL) for n in "xyz"))
+    tiers = make_tiers(*(entry(n, PREFILL) for n in "xyz"))
     for name in "xyz":
-        made.prefix_index.add(b"5c1e07a2", name)
-    made.update((entry("x", PREFILL), entry("y", DECODE), entry("v", PREFILL)), 1.0)
-    assert list(made.prefix_index.holders(b"5c1e07a2")) == ["x"]
-    made.update((entry("x", PREFILL, addr="10.9.9.9:80"), entry("y", DECODE)), 2.0)
-    assert not made.prefix_index.holders(b"5c1e07a2")
+        tiers.prefix_index.add(b"5c1e07a2", name)
+    tiers.update((entry("x", PREFILL), entry("y", DECODE), entry("v", PREFILL)), 1.0)
+    assert list(tiers.prefix_index.holders(b"5c1e07a2")) == ["x"]
+    tiers.update((entry("x", PREFILL, addr="10.9.9.9:80"), entry("y", DECODE)), 2.0)
+    assert not tiers.prefix_index.holders(b"5c1e07a2")
 
 
 def test_the_table_of_what_was_read_is_bounded_as_a_whole() -> None:
@@ -257,65 +257,65 @@
 
 
 def test_what_others_have_out_counts() -> None:
-    made = tiers(entry("x", PREFILL), entry("y", PREFILL))
-    made.other_loads = lambda name: (0, 50_000 if name == "x" else 0)
-    assert {known(made.pick_prefill(SVC, Prompt(900), (), 0.0)).entry.id for _ in range(20)} == {"y"}
-    assert made.pending_tokens(known(made.peer("x"))) == 50_000
+    tiers = make_tiers(entry("x", PREFILL), entry("y", PREFILL))
+    tiers.other_loads = lambda name: (0, 50_000 if name == "x" else 0)
+    assert {known(tiers.pick_prefill(SVC, Prompt(900), (), 0.0)).entry.id for _ in range(20)} == {"y"}
+    assert tiers.pending_tokens(known(tiers.peer("x"))) == 50_000
 
 
 # ---- decode
 
 
 def test_a_run_stays_in_the_zone_of_its_memory_unless_that_is_clearly_busier() -> None:
-    made = tiers(entry("x", zone="a"), entry("y", zone="b"), entry("z", zone="b"))
-    assert {decode_pick(made, zone="b") for _ in range(50)} == {"y", "z"}
-    assert {decode_pick(made, zone="a") for _ in range(20)} == {"x"}
-    known(made.peer("x")).server.in_flight = CALL_TOLERANCE + 1
-    assert {decode_pick(made, zone="a") for _ in range(50)} == {"y", "z"}
-    assert {decode_pick(made, zone="c") for _ in range(50)} == {"y", "z"}
+    tiers = make_tiers(entry("x", zone="a"), entry("y", zone="b"), entry("z", zone="b"))
+    assert {decode_pick(tiers, zone="b") for _ in range(50)} == {"y", "z"}
+    assert {decode_pick(tiers, zone="a") for _ in range(20)} == {"x"}
+    known(tiers.peer("x")).server.in_flight = CALL_TOLERANCE + 1
+    assert {decode_pick(tiers, zone="a") for _ in range(50)} == {"y", "z"}
+    assert {decode_pick(tiers, zone="c") for _ in range(50)} == {"y", "z"}
 
 
 def test_runs_with_memory_keep_off_upstreams_that_read_by_themselves() -> None:
-    made = tiers(entry("x", zone="a"), entry("y", zone="b"))
-    known(made.peer("x")).pending_tokens = TOKEN_TOLERANCE + 1
-    assert {decode_pick(made, zone="a") for _ in range(20)} == {"y"}
+    tiers = make_tiers(entry("x", zone="a"), entry("y", zone="b"))
+    known(tiers.peer("x")).pending_tokens = TOKEN_TOLERANCE + 1
+    assert {decode_pick(tiers, zone="a") for _ in range(20)} == {"y"}
 
 
 def test_of_many_upstreams_those_with_an_idle_connection_are_drawn_while_they_are_not_busier() -> None:
     """With 80 balancers and 70 upstreams, new connections were the largest cost on quiet days."""
     names = [f"u{n:02}" for n in range(20)]
     idle = {"u03", "u07"}
-    made = Tiers(random.Random(1), lambda name: True, "a", lambda name: name in idle)
-    made.update(tuple(entry(name, DECODE) for name in names), 0.0)
-    assert {decode_pick(made) for _ in range(100)} == idle
-    made.other_loads = lambda name: (9, 0) if name == "u03" else (0, 0)
-    assert {decode_pick(made) for _ in range(100)} == {"u07"}
-    made.other_loads = lambda name: (9, 0) if name in idle else (0, 0)
-    assert len({decode_pick(made) for _ in range(300)}) == 18  # they are busier, so the others are drawn
-    made.other_loads = lambda name: (0, 0)
+    tiers = Tiers(random.Random(1), lambda name: True, "a", lambda name: name in idle)
+    tiers.update(tuple(entry(name, DECODE) for name in names), 0.0)
+    assert {decode_pick(tiers) for _ in range(100)} == idle
+    tiers.other_loads = lambda name: (9, 0) if name == "u03" else (0, 0)
+    assert {decode_pick(tiers) for _ in range(100)} == {"u07"}
+    tiers.other_loads = lambda name: (9, 0) if name in idle else (0, 0)
+    assert len({decode_pick(tiers) for _ in range(300)}) == 18  # they are busier, so the others are drawn
+    tiers.other_loads = lambda name: (0, 0)
     idle.clear()
-    assert len({decode_pick(made) for _ in range(300)}) == 20
+    assert len({decode_pick(tiers) for _ in range(300)}) == 20
 
 
 def test_of_few_upstreams_each_is_drawn_whatever_connections_there_are() -> None:
     """In small groups the preference did harm: scale-1 of fc-kitchen-line fell from 0.83 to 0.72."""
     names = [f"u{n:02}" for n in range(MANY_UPSTREAMS)]
-    made = Tiers(random.Random(1), lambda name: True, "a", lambda name: name == "u03")
-    made.update(tuple(entry(name, DECODE) for name in names), 0.0)
-    assert len({decode_pick(made) for _ in range(300)}) == MANY_UPSTREAMS
+    tiers = Tiers(random.Random(1), lambda name: True, "a", lambda name: name == "u03")
+    tiers.update(tuple(entry(name, DECODE) for name in names), 0.0)
+    assert len({decode_pick(tiers) for _ in range(300)}) == MANY_UPSTREAMS
 
 
 def test_without_phases_any_upstream_runs() -> None:
-    made = tiers(entry("x", phase=""))
-    assert not made.is_split(SVC) and decode_pick(made) == "x"
-    assert tiers(entry("x", PREFILL), entry("y")).is_split(SVC)
-    assert not tiers(entry("y")).is_split(SVC)
+    tiers = make_tiers(entry("x", phase=""))
+    assert not tiers.is_split(SVC) and decode_pick(tiers) == "x"
+    assert make_tiers(entry("x", PREFILL), entry("y")).is_split(SVC)
+    assert not make_tiers(entry("y")).is_split(SVC)
 
 
 @pytest.mark.parametrize("part", [PREFILL, DECODE])
 def test_a_tier_without_a_place_costs_more_than_any_other(part: str) -> None:
     """The home of an uncached prefix was looked up among no upstreams, and the client got a 500."""
-    made = tiers(entry("a", PREFILL), entry("b", DECODE), full=("a" if part == PREFILL else "b",))
+    tiers = make_tiers(entry("a", PREFILL), entry("b", DECODE), full=("a" if part == PREFILL else "b",))
     told = Prompt(2_000, 1_500, b"subject")
-    assert made.prefill_cost(SVC, part, told, 0.0) == math.inf
-    assert made.prefill_cost(SVC, DECODE if part == PREFILL else PREFILL, told, 0.0) == 2_000
+    assert tiers.prefill_cost(SVC, part, told, 0.0) == math.inf
+    assert tiers.prefill_cost(SVC, DECODE if part == PREFILL else PREFILL, told, 0.0) == 2_000
--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -21,12 +21,12 @@
 # ---- routes
 
 
-def table(*routes: Route) -> RouteTable:
+def make_table(*routes: Route) -> RouteTable:
     return RouteTable(Configuration(3, routes, (Service("pool"), Service("other"))))
 
 
 def test_the_longest_prefix_of_the_host_is_the_route() -> None:
-    known = table(
+    known = make_table(
         route(), route(name="longer", path_prefix="/run/far/"), route(name="host", host="b.example")
     )
     for host, path, name in (
@@ -83,7 +83,7 @@
 def read(
     *more: tuple[bytes, bytes], method: bytes = b"POST", target: bytes = b"/run/1?q=2", version: str = "1.1"
 ) -> RoutedCall:
-    return read_head(method, target, version, [*HEAD, *more], table(route()), ClientLimits())
+    return read_head(method, target, version, [*HEAD, *more], make_table(route()), ClientLimits())
 
 
 def test_a_good_head_keeps_what_is_end_to_end_and_drops_what_is_ours_to_say() -> None:
@@ -138,7 +138,7 @@
         (400, [*HEAD[:2], (b"Content-Length", b"+1")]),
     ):
         with pytest.raises(BadRequestError) as caught:
-            read_head(b"POST", b"/run/1", "1.1", head, table(route()), ClientLimits())
+            read_head(b"POST", b"/run/1", "1.1", head, make_table(route()), ClientLimits())
         assert caught.value.status == status
 
 
@@ -191,43 +191,43 @@
 # ---- budget
 
 
-def budget(slack: float, now: float = 0.0, balancers: int = 1) -> RetryBudget:
-    made = RetryBudget(0.2, 10.0, slack, now)
-    made.count_balancers(balancers)
-    return made
+def make_budget(slack: float, now: float = 0.0, balancers: int = 1) -> RetryBudget:
+    budget = RetryBudget(0.2, 10.0, slack, now)
+    budget.count_balancers(balancers)
+    return budget
 
 
 def test_the_budget_is_a_share_of_the_requests_and_a_part_of_the_slack() -> None:
-    made, now = budget(0.0), 20.0
+    budget, now = make_budget(0.0), 20.0
     for _ in range(100):
-        made.arrived(now)
+        budget.arrived(now)
     spent = 0
-    while made.allows(1, now):
-        made.spend(now)
+    while budget.allows(1, now):
+        budget.spend(now)
         spent += 1
     assert spent == int(SAFETY * 0.2 * 100)
-    assert not made.allows(1, now + 9.9)
-    made.refund()
-    assert made.allows(1, now + 0.1) and not made.allows(2, now + 0.1)
+    assert not budget.allows(1, now + 9.9)
+    budget.refund()
+    assert budget.allows(1, now + 0.1) and not budget.allows(2, now + 0.1)
 
 
 def test_the_slack_is_parted_among_the_balancers_and_small_before_they_are_known() -> None:
-    assert budget(54.0, now=-20.0, balancers=1).allows(43, 0.0)
-    assert budget(54.0, now=-20.0, balancers=7).allows(6, 0.0)
-    assert not budget(54.0, now=-20.0, balancers=7).allows(7, 0.0)
+    assert make_budget(54.0, now=-20.0, balancers=1).allows(43, 0.0)
+    assert make_budget(54.0, now=-20.0, balancers=7).allows(6, 0.0)
+    assert not make_budget(54.0, now=-20.0, balancers=7).allows(7, 0.0)
     unknown = RetryBudget(0.2, 10.0, 54.0, -20.0)
     assert unknown.allows(1, 0.0) and not unknown.allows(2, 0.0)
 
 
 def test_the_first_window_of_a_process_has_less_as_the_one_before_may_have_spent() -> None:
-    assert not budget(54.0, now=0.0).allows(22, 1.0)
-    assert budget(54.0, now=0.0).allows(22, 11.0)
+    assert not make_budget(54.0, now=0.0).allows(22, 1.0)
+    assert make_budget(54.0, now=0.0).allows(22, 11.0)
 
 
 def test_no_window_holds_more_extra_arrivals_than_the_rule_allows() -> None:
     for seed in range(20):
         chance = random.Random(seed)
-        balancers = [budget(54.0, balancers=5) for _ in range(5)]
+        balancers = [make_budget(54.0, balancers=5) for _ in range(5)]
         requests, extras, now = list[float](), list[float](), 0.0
         while now < 60:
             now += chance.expovariate(40 if 20 < now < 25 else 8)
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -25,37 +25,37 @@
 PROMPT = Prompt(1000, 800, b"s")
 
 
-def tiers(count: int = 10, zones: int = 1, seed: int = 1) -> Tiers:
-    made = Tiers(random.Random(seed), lambda name: True, "z0")
+def make_tiers(count: int = 10, zones: int = 1, seed: int = 1) -> Tiers:
+    tiers = Tiers(random.Random(seed), lambda name: True, "z0")
     entries = (Upstream(f"i-{n}", "pool", f"10.0.0.{n}:80", f"z{n % zones}") for n in range(count))
-    made.update(tuple(entries), 0.0)
-    return made
+    tiers.update(tuple(entries), 0.0)
+    return tiers
 
 
-def peer(made: Tiers, name: str = "i-0") -> Peer:
-    found = made.peer(name)
+def peer(tiers: Tiers, name: str = "i-0") -> Peer:
+    found = tiers.peer(name)
     assert found is not None
     return found
 
 
-def served(made: Tiers, calls: int, now: float = 0.0) -> None:
+def served(tiers: Tiers, calls: int, now: float = 0.0) -> None:
     """Count this many successful calls, spread over all upstreams."""
     for n in range(calls):
-        made.outliers.on_call_ended(peer(made, f"i-{n % 10}"), now)
+        tiers.outliers.on_call_ended(peer(tiers, f"i-{n % 10}"), now)
 
 
-def able(made: Tiers, now: float, repeatable: bool = True) -> set[str]:
+def eligible(tiers: Tiers, now: float, repeatable: bool = True) -> set[str]:
     """Return the upstreams that are selected in many draws."""
     found = set()
     for _ in range(300):
-        one = made.pick_decode("pool", None, "z0", (), now, repeatable)
+        one = tiers.pick_decode("pool", None, "z0", (), now, repeatable)
         assert one is not None
         found.add(one.entry.id)
     return found
 
 
-def set_fleet_failures(made: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
-    made.outliers.set_fleet_failures(told, made.peer, now)
+def set_fleet_failures(tiers: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
+    tiers.outliers.set_fleet_failures(told, tiers.peer, now)
 
 
 # ---- what counts as a failure
@@ -86,96 +86,96 @@
 
 
 def test_failures_of_our_own_calls_are_held_against_how_many_calls_there_usually_are() -> None:
-    few, many = tiers(), tiers()
+    few, many = make_tiers(), make_tiers()
     served(few, 10)
     served(many, 400)
-    for made in (few, many):
-        made.outliers.on_failure(peer(made), 0.0)
-        made.outliers.on_failure(peer(made), 0.0)
-    assert "i-0" not in able(few, 0.1)
-    assert "i-0" in able(many, 0.1)
+    for tiers in (few, many):
+        tiers.outliers.on_failure(peer(tiers), 0.0)
+        tiers.outliers.on_failure(peer(tiers), 0.0)
+    assert "i-0" not in eligible(few, 0.1)
+    assert "i-0" in eligible(many, 0.1)
     many.outliers.on_failure(peer(many), 0.2, 5 * FAILURE_WEIGHT)
-    assert "i-0" not in able(many, 0.3)
+    assert "i-0" not in eligible(many, 0.3)
 
 
 def test_silence_counts_half_as_it_may_be_load() -> None:
     """At full weight, two pauses under load ejected an upstream for 4 s on a small site."""
-    made = tiers()
-    made.outliers.on_failure(peer(made), 0.0, 3 * SILENCE_WEIGHT)
-    assert "i-0" in able(made, 0.1)
-    made.outliers.on_failure(peer(made), 0.2, SILENCE_WEIGHT)
-    assert "i-0" not in able(made, 0.3)
+    tiers = make_tiers()
+    tiers.outliers.on_failure(peer(tiers), 0.0, 3 * SILENCE_WEIGHT)
+    assert "i-0" in eligible(tiers, 0.1)
+    tiers.outliers.on_failure(peer(tiers), 0.2, SILENCE_WEIGHT)
+    assert "i-0" not in eligible(tiers, 0.3)
 
 
 def test_trust_returns_by_requests_that_may_be_repeated_and_a_relapse_costs_little() -> None:
-    made = tiers()
-    made.outliers.on_failure(peer(made), 0.0, 2 * FAILURE_WEIGHT)
-    assert "i-0" not in able(made, WINDOW_S - 0.1)
-    assert (made.outliers.state("i-0", WINDOW_S - 0.1), made.outliers.failure_count("i-0")) == (
+    tiers = make_tiers()
+    tiers.outliers.on_failure(peer(tiers), 0.0, 2 * FAILURE_WEIGHT)
+    assert "i-0" not in eligible(tiers, WINDOW_S - 0.1)
+    assert (tiers.outliers.state("i-0", WINDOW_S - 0.1), tiers.outliers.failure_count("i-0")) == (
         "distrusted",
         2,
     )
     back = WINDOW_S + 0.1
-    assert "i-0" in able(made, back)
-    assert (made.outliers.state("i-0", back), made.outliers.failure_count("i-0")) == ("wary", 0)
-    assert "i-0" not in able(made, back, repeatable=False)
-    made.outliers.on_failure(peer(made), back + 1)  # one failure is enough on probation
-    assert "i-0" not in able(made, back + 1.1)
+    assert "i-0" in eligible(tiers, back)
+    assert (tiers.outliers.state("i-0", back), tiers.outliers.failure_count("i-0")) == ("wary", 0)
+    assert "i-0" not in eligible(tiers, back, repeatable=False)
+    tiers.outliers.on_failure(peer(tiers), back + 1)  # one failure is enough on probation
+    assert "i-0" not in eligible(tiers, back + 1.1)
     calm = back + 1 + WINDOW_S + PROBATION_S + 0.2
-    able(made, back + 1 + WINDOW_S + 0.1)  # its failure has expired
-    assert "i-0" in able(made, calm, repeatable=False)
-    assert made.outliers.state("i-0", calm) == ""
+    eligible(tiers, back + 1 + WINDOW_S + 0.1)  # its failure has expired
+    assert "i-0" in eligible(tiers, calm, repeatable=False)
+    assert tiers.outliers.state("i-0", calm) == ""
 
 
 def test_nine_in_ten_bad_at_once_leave_most_in_use_those_least_doubted() -> None:
-    made = tiers()
+    tiers = make_tiers()
     for n in range(9):
-        made.outliers.on_failure(peer(made, f"i-{n}"), 0.0, 20 - n)
-    used = able(made, 0.1)
+        tiers.outliers.on_failure(peer(tiers, f"i-{n}"), 0.0, 20 - n)
+    used = eligible(tiers, 0.1)
     assert used == {f"i-{n}" for n in range(2, 10)} and len(used) == math.ceil(MIN_IN_USE * 10)
 
 
 @pytest.mark.parametrize(("count", "left"), [(1, 1), (2, 2), (3, 3), (4, 3), (8, 6)])
 def test_a_tier_of_few_is_not_left_to_fewer(count: int, left: int) -> None:
     """Ejecting one of two upstreams left the whole load to the other for 4 s on a small site."""
-    made = tiers(count)
+    tiers = make_tiers(count)
     for n in range(count // 2 + 1):
-        made.outliers.on_failure(peer(made, f"i-{n}"), 0.0, 20)
-    assert len(able(made, 0.1)) == left
+        tiers.outliers.on_failure(peer(tiers, f"i-{n}"), 0.0, 20)
+    assert len(eligible(tiers, 0.1)) == left
 
 
 def test_one_that_left_the_list_is_forgotten() -> None:
-    made = tiers()
-    made.outliers.on_failure(peer(made), 0.0, 5)
-    made.update(tuple(peer(made, f"i-{n}").entry for n in range(1, 10)), 0.1)
-    assert made.outliers.ejected() == [] and made.outliers.own_failures(0.2) == {}
+    tiers = make_tiers()
+    tiers.outliers.on_failure(peer(tiers), 0.0, 5)
+    tiers.update(tuple(peer(tiers, f"i-{n}").entry for n in range(1, 10)), 0.1)
+    assert tiers.outliers.ejected() == [] and tiers.outliers.own_failures(0.2) == {}
 
 
 # ---- failures seen by other balancers
 
 
 def test_one_balancers_bad_link_condemns_nothing() -> None:
-    made = tiers(zones=2)
-    made.outliers.balancers = 80
-    set_fleet_failures(made, {("i-0", "z0"): (1, 50)}, 0.0)
-    assert "i-0" in able(made, 0.1)
+    tiers = make_tiers(zones=2)
+    tiers.outliers.balancers = 80
+    set_fleet_failures(tiers, {("i-0", "z0"): (1, 50)}, 0.0)
+    assert "i-0" in eligible(tiers, 0.1)
 
 
 def test_two_balancers_of_our_zone_are_enough_and_those_of_one_other_zone_are_not() -> None:
-    made = tiers(zones=2)
-    made.outliers.balancers = 80
-    set_fleet_failures(made, {("i-0", "z0"): (2, 2 * FAILURE_WEIGHT), ("i-2", "z1"): (9, 50)}, 0.0)
-    used = able(made, 0.1)
+    tiers = make_tiers(zones=2)
+    tiers.outliers.balancers = 80
+    set_fleet_failures(tiers, {("i-0", "z0"): (2, 2 * FAILURE_WEIGHT), ("i-2", "z1"): (9, 50)}, 0.0)
+    used = eligible(tiers, 0.1)
     assert "i-0" not in used and "i-2" in used
 
 
 def test_balancers_of_two_zones_are_enough_and_what_they_take_back_is_over() -> None:
-    made = tiers(zones=2)
-    made.outliers.balancers = 80
-    set_fleet_failures(made, {("i-0", "z1"): (1, FAILURE_WEIGHT), ("i-0", "z2"): (2, FAILURE_WEIGHT)}, 0.0)
-    assert "i-0" not in able(made, 0.1)
-    set_fleet_failures(made, {}, 0.2)
-    assert "i-0" in able(made, 0.3) and "i-0" not in able(made, 0.3, repeatable=False)
+    tiers = make_tiers(zones=2)
+    tiers.outliers.balancers = 80
+    set_fleet_failures(tiers, {("i-0", "z1"): (1, FAILURE_WEIGHT), ("i-0", "z2"): (2, FAILURE_WEIGHT)}, 0.0)
+    assert "i-0" not in eligible(tiers, 0.1)
+    set_fleet_failures(tiers, {}, 0.2)
+    assert "i-0" in eligible(tiers, 0.3) and "i-0" not in eligible(tiers, 0.3, repeatable=False)
 
 
 # ---- exchange between balancers
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -35,11 +35,13 @@
         f"edge-{number}", f"10.1.{number // 200}.{number % 200 + 1}", "a", "edge", (7720, 7735),
         CloudApi("127.0.0.1:1"), listen=Listen(), bounds=Bounds(cold_excess=EXCESS, cold_slack=SLACK),
     )  # fmt: skip
-    made = Balancer(settings, number)
-    made.configure(Configuration(1, svcs=(Service(SVC, cold_s=3.0, cold_per_s=PER_S),)))
-    made.count_balancers(count)
-    made.tiers._can_connect = made.tiers._has_idle = lambda name: True  # it is connected to all upstreams
-    return made
+    balancer = Balancer(settings, number)
+    balancer.configure(Configuration(1, svcs=(Service(SVC, cold_s=3.0, cold_per_s=PER_S),)))
+    balancer.count_balancers(count)
+    balancer.tiers._can_connect = balancer.tiers._has_idle = lambda name: (
+        True
+    )  # it is connected to all upstreams
+    return balancer
 
 
 @dataclass
