--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -58,7 +58,7 @@
 
     @property
     def needs_unused(self) -> bool:
-        """Whether to avoid used connections: an upstream that closes one may never read the request."""
+        """Whether to use a new connection: a request that crosses an upstream's close is lost undetectably."""
         return self.needs_fresh_connection
 
     @property
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,7 +41,7 @@
 from umberworks.rules import Balancer
 
 
-def shares(harness: Harness, rounds: int) -> Counter[str]:
+def count_by_server(harness: Harness, rounds: int) -> Counter[str]:
     """Count by server the requests served one at a time, each in the same time."""
     return Counter(harness.serve(takes=20.0) for _ in range(rounds))
 
@@ -64,7 +64,7 @@
     return got
 
 
-def batch(harness: Harness, count: int, takes: float) -> int:
+def send_batch(harness: Harness, count: int, takes: float) -> int:
     """Send `count` requests at once and serve the admitted ones after `takes`; return their number."""
     asked = [(request, sent(actions)) for request, actions in (harness.arrive() for _ in range(count))]
     for request, sends in asked:
@@ -81,7 +81,7 @@
 
 
 def test_equal_servers_get_equal_shares() -> None:
-    got = shares(Harness(4), 2_000)
+    got = count_by_server(Harness(4), 2_000)
     assert len(got) == 4 and min(got.values()) > 100
 
 
@@ -289,16 +289,16 @@
     assert len(logs) == 1, "one line for a whole period of refusals"
 
 
-def steady(harness: Harness, takes: float, rounds: int = 200, asked: int = 40) -> float:
+def mean_admitted(harness: Harness, takes: float, rounds: int = 200, asked: int = 40) -> float:
     """The mean number admitted at once under excess demand, in the last quarter of the rounds."""
-    got = [batch(harness, asked, takes) for _ in range(rounds)]
+    got = [send_batch(harness, asked, takes) for _ in range(rounds)]
     return sum(got[-rounds // 4 :]) / (rounds // 4)
 
 
 def test_the_room_does_not_shrink_away_when_all_calls_take_a_little_longer() -> None:
     harness = Harness(2)
-    assert steady(harness, 20.0, asked=16) > 10
-    assert steady(harness, 24.0) > 12, "more than the floor of four a server"
+    assert mean_admitted(harness, 20.0, asked=16) > 10
+    assert mean_admitted(harness, 24.0) > 12, "more than the floor of four a server"
 
 
 def refused_share(per_s: float, calls: int = 6_000) -> float:
@@ -331,18 +331,18 @@
 
 def test_a_standing_crowd_is_held_back_where_a_burst_is_let_through() -> None:
     harness = Harness(2)
-    steady(harness, 20.0, asked=4)
-    burst = batch(harness, 40, 20.0)
-    assert burst > 1.3 * steady(harness, 60.0)
+    mean_admitted(harness, 20.0, asked=4)
+    burst = send_batch(harness, 40, 20.0)
+    assert burst > 1.3 * mean_admitted(harness, 60.0)
 
 
 def test_before_the_time_in_service_is_known_a_burst_is_held_to_the_floor() -> None:
-    assert batch(Harness(2), 40, 20.0) == 8
+    assert send_batch(Harness(2), 40, 20.0) == 8
 
 
 def test_hours_of_little_traffic_do_not_open_the_room_without_bound() -> None:
     harness = Harness(2)
-    steady(harness, 20.0, asked=4)
+    mean_admitted(harness, 20.0, asked=4)
     for _ in range(2_000):
         harness.now += 60_000
         harness.update_list(*members(2))
@@ -350,7 +350,7 @@
 
 
 def test_inner_tiers_hardly_hold_back_what_others_have_worked_on() -> None:
-    assert batch(Harness(2, calling_tier=1), 100, 20.0) > 3 * batch(Harness(2), 100, 20.0)
+    assert send_batch(Harness(2, calling_tier=1), 100, 20.0) > 3 * send_batch(Harness(2), 100, 20.0)
 
 
 def test_the_newest_waiting_request_goes_first() -> None:
@@ -373,21 +373,21 @@
 
 
 def test_a_small_room_is_not_divided_as_one_balancer_may_have_all_callers() -> None:
-    assert batch(Harness(4, balancers=2), 40, 20.0) == 16, "all that four servers allow"
-    assert batch(Harness(2, balancers=2), 40, 20.0) == 8, "but no more than two servers allow"
-    assert batch(Harness(8, balancers=2), 40, 20.0) == 16, "from here on the limit is shared"
-    assert batch(Harness(16, balancers=2), 40, 20.0) == 32
+    assert send_batch(Harness(4, balancers=2), 40, 20.0) == 16, "all that four servers allow"
+    assert send_batch(Harness(2, balancers=2), 40, 20.0) == 8, "but no more than two servers allow"
+    assert send_batch(Harness(8, balancers=2), 40, 20.0) == 16, "from here on the limit is shared"
+    assert send_batch(Harness(16, balancers=2), 40, 20.0) == 32
 
 
 def test_a_small_room_is_divided_once_calls_take_twice_as_long() -> None:
     harness = Harness(4, balancers=2)
-    assert steady(harness, 20.0, rounds=40, asked=8) == 8
-    assert batch(harness, 40, 20.0) >= 16, "a burst while calls are quick"
-    assert steady(harness, 60.0, rounds=40) < 12, "the limit of half of the fleet, and a little more"
+    assert mean_admitted(harness, 20.0, rounds=40, asked=8) == 8
+    assert send_batch(harness, 40, 20.0) >= 16, "a burst while calls are quick"
+    assert mean_admitted(harness, 60.0, rounds=40) < 12, "the limit of half of the fleet, and a little more"
 
 
 def test_the_least_rooms_of_many_balancers_together_do_not_crowd_the_servers() -> None:
-    together = 20 * batch(Harness(20, balancers=20), 40, 20.0)
+    together = 20 * send_batch(Harness(20, balancers=20), 40, 20.0)
     assert 4 * 20 < together < 12 * 20, "sixteen of each balancer would be sixteen for each server"
 
 
@@ -395,10 +395,10 @@
     # Losing a zone made all balancers admit by service time at once, which shows an overload only once it is
     # there.
     harness = Harness(10, balancers=8)
-    usual = steady(harness, 20.0, rounds=40, asked=8)
+    usual = mean_admitted(harness, 20.0, rounds=40, asked=8)
     harness.update_list(*members(6))
     assert usual == 8
-    assert batch(harness, 100, 20.0) <= 24
+    assert send_batch(harness, 100, 20.0) <= 24
 
 
 def test_connections_are_kept_free_while_callers_can_open_no_more() -> None:
@@ -449,7 +449,7 @@
 # ---- cordoned servers
 
 
-def draws(harness: Harness, count: int = 200) -> Counter[str]:
+def count_served(harness: Harness, count: int = 200) -> Counter[str]:
     return Counter(harness.serve(takes=20.0) for _ in range(count))
 
 
@@ -459,15 +459,15 @@
     for _ in range(2):
         harness.handle(Cordon("s1", True))
     assert harness.balancer.excluded() == harness.balancer.cordoned() == {"s1"}
-    assert set(draws(harness)) == {"s0", "s2"}
+    assert set(count_served(harness)) == {"s0", "s2"}
     gone = Member("s1", readiness=Readiness.GONE)
     harness.update_list(gone, kind=ListKind.CHANGES)
     assert harness.balancer.excluded() == frozenset() and harness.balancer.cordoned() == {"s1"}
     harness.update_list(*members(3), kind=kind)
-    assert set(draws(harness)) == {"s0", "s2"}
+    assert set(count_served(harness)) == {"s0", "s2"}
     harness.handle(Cordon("s1", False))
     assert harness.balancer.excluded() == harness.balancer.cordoned() == frozenset()
-    assert set(draws(harness)) == {"s0", "s1", "s2"}
+    assert set(count_served(harness)) == {"s0", "s1", "s2"}
 
 
 def test_a_second_try_does_not_go_to_a_cordoned_server_either() -> None:
@@ -482,7 +482,7 @@
 
 def test_a_server_restarted_while_out_returns_cold() -> None:
     harness = Harness(3)
-    draws(harness)
+    count_served(harness)
     harness.handle(Cordon("s1", True))
     harness.update_list(Member("s1", up_since_ms=harness.now), kind=ListKind.CHANGES)
     harness.handle(Cordon("s1", False))
@@ -490,7 +490,7 @@
     assert server.served == 0 and harness.balancer._selector._warm_share(
         server, harness.now
     ) == pytest.approx(0.2)
-    assert draws(harness, 300)["s1"] > 0
+    assert count_served(harness, 300)["s1"] > 0
 
 
 def test_with_all_held_out_a_request_is_refused_at_once() -> None:
@@ -607,7 +607,7 @@
     assert ask_briefly(), "past its deadline no retry is expected"
 
 
-def copies(harness: Harness, cls: RequestClass, serves_others: bool = False) -> list[Send]:
+def copies_of_overdue_call(harness: Harness, cls: RequestClass, serves_others: bool = False) -> list[Send]:
     """The copies of a call that is in flight until it is overdue."""
     train(harness, dict.fromkeys(("s0", "s1", "s2", "s3"), 20.0), 100)
     request, actions = harness.arrive(cls)
@@ -624,10 +624,10 @@
 
 
 def test_a_call_at_a_silent_server_gets_a_copy_where_that_does_no_harm() -> None:
-    assert len(copies(Harness(4, cold_ms=0), READ)) == 1
-    assert copies(Harness(4, cold_ms=0), PAY) == []
-    assert copies(Harness(4, cold_ms=0, may_duplicate=False), READ) == []
-    assert copies(Harness(4, cold_ms=0), READ, serves_others=True) == [], (
+    assert len(copies_of_overdue_call(Harness(4, cold_ms=0), READ)) == 1
+    assert copies_of_overdue_call(Harness(4, cold_ms=0), PAY) == []
+    assert copies_of_overdue_call(Harness(4, cold_ms=0, may_duplicate=False), READ) == []
+    assert copies_of_overdue_call(Harness(4, cold_ms=0), READ, serves_others=True) == [], (
         "the server answers other calls: this one takes long"
     )
 
@@ -667,7 +667,7 @@
     assert sent(harness.handle(TimerDue(f"copy:{request}"))) == []
 
 
-def crowd(harness: Harness, takes: float, asked: int, tenant: str | None = None) -> int:
+def count_admitted(harness: Harness, takes: float, asked: int, tenant: str | None = None) -> int:
     """How many of the requests, one a second and each in flight for `takes`, are admitted."""
     let_in = 0
     out: list[tuple[float, int, str]] = []
@@ -700,11 +700,11 @@
     # With many balancers per server the limit fell below one call: an idle fleet refused requests.
     slow = RequestClass("read", 10_000, 30_000, Effect.REPEATABLE)
     calm = Harness(count=4, balancers=40, classes=(slow,))
-    assert crowd(calm, takes=2_500, asked=100) == 100
+    assert count_admitted(calm, takes=2_500, asked=100) == 100
     packed = Harness(count=4, balancers=40, classes=(slow,))
-    assert crowd(packed, takes=20_000, asked=100) < 60
+    assert count_admitted(packed, takes=20_000, asked=100) < 60
     inner = Harness(count=4, balancers=40, classes=(slow,), calling_tier=1)
-    assert crowd(inner, takes=20_000, asked=100) == 100
+    assert count_admitted(inner, takes=20_000, asked=100) == 100
 
 
 def test_a_small_part_of_a_share_is_not_rounded_down_to_nothing() -> None:
@@ -712,9 +712,9 @@
     slow = RequestClass("read", 10_000, 30_000, Effect.REPEATABLE)
     tenants = (Tenant("within", 48.0), Tenant("beyond", 8.0))
     within = Harness(count=4, balancers=40, classes=(slow,), tenants=tenants)
-    assert crowd(within, takes=5_000, asked=100, tenant="within") == 100
+    assert count_admitted(within, takes=5_000, asked=100, tenant="within") == 100
     beyond = Harness(count=4, balancers=40, classes=(slow,), tenants=tenants)
-    assert crowd(beyond, takes=5_000, asked=100, tenant="beyond") < 90
+    assert count_admitted(beyond, takes=5_000, asked=100, tenant="beyond") < 90
 
 
 def test_calls_to_a_cold_server_are_spaced_not_sent_in_one_burst() -> None:
@@ -729,7 +729,7 @@
     assert len(sent(harness.arrive()[1])) == 1
 
 
-def flow(harness: Harness, requests: int, takes: dict[str, float]) -> Counter[str]:
+def send_at_intervals(harness: Harness, requests: int, takes: dict[str, float]) -> Counter[str]:
     """Count by server requests that arrive every 50 ms, each server having its own service time."""
     got: Counter[str] = Counter()
     out: list[tuple[float, int, str]] = []
@@ -751,9 +751,9 @@
     to_cold = 0
     for seed in range(8):
         harness = Harness(3, seed=seed, balancers=8, calling_tier=1)
-        flow(harness, 600, takes)
+        send_at_intervals(harness, 600, takes)
         harness.update_list(*members(3), Member("cold", up_since_ms=harness.now))
-        to_cold += flow(harness, 100, takes)["cold"]
+        to_cold += send_at_intervals(harness, 100, takes)["cold"]
     # Three times the capacity, which rises from a fifth of the usual to three fifths after 5 of 10 s.
     budget = 8 * 3.0 * 0.4 * (100 / 3)
     assert 0.42 < to_cold / budget < 0.8
@@ -827,12 +827,12 @@
 
 def test_a_cold_server_put_back_is_called_also_where_calls_are_few() -> None:
     harness = Harness(6)
-    draws(harness, 300)
+    count_served(harness, 300)
     harness.handle(Cordon("s1", True))
-    draws(harness, 20)
+    count_served(harness, 20)
     harness.update_list(Member("s1", up_since_ms=harness.now), kind=ListKind.CHANGES)
     harness.handle(Cordon("s1", False))
-    assert "s1" in draws(harness, 30)
+    assert "s1" in count_served(harness, 30)
     assert not harness.balancer._servers["s1"].returned
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -60,7 +60,7 @@
     return request, sent(actions)[0].server
 
 
-def used(harness: SilenceHarness, asked: int = 12) -> set[str]:
+def servers_in_use(harness: SilenceHarness, asked: int = 12) -> set[str]:
     """The servers that get calls while many are in flight."""
     return {action.server for _ in range(asked) for action in sent(harness.arrive(PAY)[1])}
 
@@ -118,9 +118,9 @@
     _, server = send_unanswered(harness)
     pass_time(harness, 250.0)
     fail_probe(harness, server)
-    assert used(harness, 6) == {f"s{i}" for i in range(4)} - {server}
+    assert servers_in_use(harness, 6) == {f"s{i}" for i in range(4)} - {server}
     harness.handle(Probed(server, True))
-    assert server in used(harness)
+    assert server in servers_in_use(harness)
 
 
 def test_a_silent_server_counts_as_avoided_and_is_said_once() -> None:
@@ -157,7 +157,7 @@
     pass_time(harness, 250.0)
     fail_probe(harness, server)
     harness.end(request, 0, server, Outcome.SERVED)
-    assert server in used(harness)
+    assert server in servers_in_use(harness)
 
 
 def test_a_silent_server_that_starts_anew_is_silent_no_more() -> None:
@@ -222,7 +222,7 @@
     harness.handle(Cordon(server, True))
     assert Probe(server) not in pass_time(harness, 500.0)
     harness.handle(Cordon(server, False))
-    assert server in used(harness, 30)
+    assert server in servers_in_use(harness, 30)
 
 
 def test_a_listed_server_that_left_is_probed_no_more() -> None:
