--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -58,7 +58,7 @@
 
     @property
     def needs_unused(self) -> bool:
-        """Whether to use a new connection: a request that crosses an upstream's close is lost undetectably."""
+        """Whether to use a new connection: a request that crosses an upstream's close is lost unnoticed."""
         return self.needs_fresh_connection
 
     @property
--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -89,13 +89,13 @@
 def test_the_pick_is_the_lowest_of_in_flight_plus_one_over_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("umberworks.choice.DRAWS", 64)  # enough draws to meet all four
     for seed in range(200):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         tiers = make_tiers(*(entry(n) for n in "wxyz"), seed=seed)
         loads = {}
         for name in "wxyz":
-            peer, rate = known(tiers.peer(name)), chance.uniform(0.5, 2.0)
+            peer, rate = known(tiers.peer(name)), rng.uniform(0.5, 2.0)
             learn(peer, rate)
-            peer.server.in_flight = chance.randrange(6)
+            peer.server.in_flight = rng.randrange(6)
             loads[name] = (peer.server.in_flight + 1) / rate
         best = sorted(loads, key=lambda n: loads[n])
         if loads[best[1]] - loads[best[0]] > 0.01:  # the prior shifts estimates slightly
--- a/tests/test_balancer_draw_properties.py
+++ b/tests/test_balancer_draw_properties.py
@@ -53,9 +53,9 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_100_000_draws_follow_capacity(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
     monkeypatch.setattr("umberworks.choice.DRAWS", 1)
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     names = "abcdefgh"
-    rates = {n: chance.uniform(0.2, 5.0) for n in names}
+    rates = {n: rng.uniform(0.2, 5.0) for n in names}
     tiers = make_tiers(names, seed)
     for name, rate in rates.items():
         learn(known(tiers, name), rate)
@@ -85,13 +85,13 @@
 def test_the_pick_minimises_whatever_the_counts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("umberworks.choice.DRAWS", 200)  # enough draws to meet all five
     for seed in range(300):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         tiers = make_tiers("vwxyz", seed)
         loads = {}
         for name in "vwxyz":
-            rate, peer = chance.choice((0.5, 1.0, 2.0)) * chance.uniform(0.8, 1.2), known(tiers, name)
+            rate, peer = rng.choice((0.5, 1.0, 2.0)) * rng.uniform(0.8, 1.2), known(tiers, name)
             learn(peer, rate)
-            peer.server.in_flight = chance.randrange(8)
+            peer.server.in_flight = rng.randrange(8)
             loads[name] = (peer.server.in_flight + 1) / rate
         assert loads[draw(tiers)] == pytest.approx(min(loads.values()), rel=1e-3), (seed, loads)
 
--- a/tests/test_balancer_once.py
+++ b/tests/test_balancer_once.py
@@ -64,11 +64,11 @@
 @pytest.mark.parametrize("resumable", [False, True])
 def test_no_request_runs_twice_wherever_its_client_goes(seed: int, resumable: bool) -> None:
     """Each try has its own id; a request that must not run twice reaches one upstream that accepts it."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     bad = [reset, cut_after(0), cut_after(2), answer("500 Broken"), answer("200 OK", sealed=False)]
 
     def script(good: Handler) -> list[Handler]:
-        return [chance.choice([*bad, good, good, good]) for _ in range(60)] + [good]
+        return [rng.choice([*bad, good, good, good]) for _ in range(60)] + [good]
 
     async def scene() -> None:
         upstreams = [FakeUpstream(f"p{n}", "prefill", *script(prefill)) for n in range(2)]
--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -45,13 +45,13 @@
 
 
 def test_a_split_route_draws_its_service_by_weight() -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     split = route(svc=None, split=(Split("pool", 90), Split("other", 10), Split("never", 0)))
-    drawn = Counter(draw_service(split, chance) for _ in range(4000))
+    drawn = Counter(draw_service(split, rng) for _ in range(4000))
     assert set(drawn) == {"pool", "other"}
     assert 0.08 < drawn["other"] / 4000 < 0.12
-    assert draw_service(route(svc=None, split=(Split("pool", 0), Split("other", 5))), chance) == "other"
-    assert draw_service(route(), chance) == "pool"
+    assert draw_service(route(svc=None, split=(Split("pool", 0), Split("other", 5))), rng) == "other"
+    assert draw_service(route(), rng) == "pool"
 
 
 # ---- prompts
@@ -226,18 +226,18 @@
 
 def test_no_window_holds_more_extra_arrivals_than_the_rule_allows() -> None:
     for seed in range(20):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         balancers = [make_budget(54.0, balancers=5) for _ in range(5)]
         requests, extras, now = list[float](), list[float](), 0.0
         while now < 60:
-            now += chance.expovariate(40 if 20 < now < 25 else 8)
-            one = chance.choice(balancers)
+            now += rng.expovariate(40 if 20 < now < 25 else 8)
+            one = rng.choice(balancers)
             one.arrived(now)
             requests.append(now)
-            for _ in range(chance.randrange(4)):
+            for _ in range(rng.randrange(4)):
                 if one.allows(1, now):
                     one.spend(now)
-                    extras.append(now + chance.random() * LATE_S / 2)
+                    extras.append(now + rng.random() * LATE_S / 2)
         extras.sort()
         for i, start in enumerate(extras):
             end = start + 10
--- a/tests/test_balancer_urgency.py
+++ b/tests/test_balancer_urgency.py
@@ -14,10 +14,10 @@
 
 def settled() -> PriorityEstimator:
     """Return an estimator that has seen long prompts of priority 0 and short ones of priority 1."""
-    estimator, chance = PriorityEstimator(), random.Random(7)
+    estimator, rng = PriorityEstimator(), random.Random(7)
     for _ in range(400):
-        estimator.prefill_priority(route(0), round(chance.lognormvariate(8.6, 0.9)))
-        estimator.prefill_priority(route(1), round(chance.lognormvariate(6.4, 0.7)))
+        estimator.prefill_priority(route(0), round(rng.lognormvariate(8.6, 0.9)))
+        estimator.prefill_priority(route(1), round(rng.lognormvariate(6.4, 0.7)))
     return estimator
 
 
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -49,16 +49,18 @@
     """Balancers, and upstreams that prefill one prompt after the other and record arrivals."""
 
     balancers: list[Balancer]
-    chance: random.Random
+    rng: random.Random
     arrivals: dict[str, list[float]] = field(default_factory=dict)
     refused: int = 0
-    free_at: dict[str, float] = field(default_factory=dict)  # when an upstream has prefilled all its prompts
-    out: list[tuple[float, int, str, int]] = field(default_factory=list)  # end, balancer, upstream, tokens
+    idle_at: dict[str, float] = field(default_factory=dict)  # when an upstream has prefilled all its prompts
+    in_flight: list[tuple[float, int, str, int]] = field(
+        default_factory=list
+    )  # end, balancer, upstream, tokens
     total: dict[str, tuple[int, int]] = field(default_factory=dict)  # calls and tokens, as exchanged
     exchanged_at: float = -math.inf
     list_delay_s: float = 0.1  # time within which a list reaches all
 
-    def list(self, now: float, warm: int, cold: int = 0, left_ms: float = 3000.0) -> None:
+    def send_list(self, now: float, warm: int, cold: int = 0, left_ms: float = 3000.0) -> None:
         """Send all balancers a list, each after a random delay."""
         entries = [Upstream(f"w{i}", SVC, f"10.9.0.{i + 1}:80", "a", phase="prefill") for i in range(warm)]
         entries += [
@@ -66,19 +68,19 @@
             for i in range(cold)
         ]
         for balancer in self.balancers:
-            balancer.tiers.update(tuple(entries), now + self.chance.uniform(0.0, self.list_delay_s))
+            balancer.tiers.update(tuple(entries), now + self.rng.uniform(0.0, self.list_delay_s))
 
-    def play(self, begins: float, ends: float, per_s: float) -> None:
+    def send_requests(self, begins: float, ends: float, per_s: float) -> None:
         """Send requests at this total rate, each to a random balancer."""
         now = begins
-        while (now := now + self.chance.expovariate(per_s)) < ends:
+        while (now := now + self.rng.expovariate(per_s)) < ends:
             self._end_calls(now)
             if now - self.exchanged_at >= EXCHANGE_S:
                 self._exchange_loads(now)
-            self._take(self.chance.randrange(len(self.balancers)), now)
+            self._send(self.rng.randrange(len(self.balancers)), now)
 
-    def _take(self, number: int, now: float) -> None:
-        tokens = round(self.chance.lognormvariate(7.9, 0.8))
+    def _send(self, number: int, now: float) -> None:
+        tokens = round(self.rng.lognormvariate(7.9, 0.8))
         tiers = self.balancers[number].tiers
         peer = tiers.pick_prefill(SVC, Prompt(tokens, 0, b""), (), now)
         if peer is None:
@@ -86,13 +88,13 @@
             return
         name = peer.entry.id
         peer.on_call_sent(now, tokens)
-        self.free_at[name] = max(self.free_at.get(name, 0.0), now) + tokens / TOKENS_S
-        heapq.heappush(self.out, (self.free_at[name], number, name, tokens))
+        self.idle_at[name] = max(self.idle_at.get(name, 0.0), now) + tokens / TOKENS_S
+        heapq.heappush(self.in_flight, (self.idle_at[name], number, name, tokens))
         self.arrivals.setdefault(name, []).append(now)
 
     def _end_calls(self, now: float) -> None:
-        while self.out and self.out[0][0] <= now:
-            ended, number, name, tokens = heapq.heappop(self.out)
+        while self.in_flight and self.in_flight[0][0] <= now:
+            ended, number, name, tokens = heapq.heappop(self.in_flight)
             peer = self.balancers[number].tiers.peer(name)
             if peer is not None:
                 peer.on_call_ended(ended, tokens, True)
@@ -100,7 +102,7 @@
     def _exchange_loads(self, now: float) -> None:
         self.exchanged_at = now
         self.total = {}
-        for _, _, name, tokens in self.out:
+        for _, _, name, tokens in self.in_flight:
             calls, held = self.total.get(name, (0, 0))
             self.total[name] = calls + 1, held + tokens
         for balancer in self.balancers:
@@ -108,20 +110,20 @@
 
             def others(name: str, own: dict[str, tuple[int, int]] = own) -> tuple[int, int]:
                 calls, tokens = self.total.get(name, (0, 0))
-                mine = own.get(name, (0, 0))
-                return max(calls - mine[0], 0), max(tokens - mine[1], 0)
+                own_load = own.get(name, (0, 0))
+                return max(calls - own_load[0], 0), max(tokens - own_load[1], 0)
 
             balancer.set_other_loads(others)
 
-    def most_in_a_second(self, name: str) -> int:
+    def max_in_a_second(self, name: str) -> int:
         """The most arrivals in any second."""
-        window, most = deque[float](), 0
+        window, highest = deque[float](), 0
         for at in self.arrivals.get(name, []):
             window.append(at)
             while window[0] <= at - 1.0:
                 window.popleft()
-            most = max(most, len(window))
-        return most
+            highest = max(highest, len(window))
+        return highest
 
 
 def fleet_of(count: int, seed: int) -> Fleet:
@@ -131,14 +133,14 @@
 def test_a_release_floods_no_cold_upstream() -> None:
     """80 balancers, 28 upstreams, 350 requests a second; two upstreams join empty and cold."""
     fleet = fleet_of(80, 1)
-    fleet.list(0.0, warm=26)
-    fleet.play(0.0, 6.0, per_s=350.0)
-    fleet.list(6.0, warm=26, cold=2)
-    fleet.play(6.0, 9.0, per_s=350.0)
-    assert max(fleet.most_in_a_second(name) for name in ("c0", "c1")) <= BOUND
+    fleet.send_list(0.0, warm=26)
+    fleet.send_requests(0.0, 6.0, per_s=350.0)
+    fleet.send_list(6.0, warm=26, cold=2)
+    fleet.send_requests(6.0, 9.0, per_s=350.0)
+    assert max(fleet.max_in_a_second(name) for name in ("c0", "c1")) <= BOUND
 
 
-def side(fleet: Fleet, numbers: range) -> None:
+def isolate(fleet: Fleet, numbers: range) -> None:
     """Make these balancers know each other and no others."""
     for place, number in enumerate(numbers):
         fleet.balancers[number].count_balancers(len(numbers))
@@ -159,7 +161,7 @@
     return sorted(found)
 
 
-def most(times: list[float]) -> int:
+def highest(times: list[float]) -> int:
     """The most of these times in any second."""
     return max((sum(1 for t in times[i:] if t < at + 1.0) for i, at in enumerate(times)), default=0)
 
@@ -177,11 +179,11 @@
     """Both sides of a partition, of any sizes and with any delay of the list, always willing to send."""
     fleet = fleet_of(count, seed)
     here = round(cut * count)
-    side(fleet, range(here))
-    side(fleet, range(here, count))
+    isolate(fleet, range(here))
+    isolate(fleet, range(here, count))
     fleet.list_delay_s = reaches
-    fleet.list(0.0, warm=0, cold=1, left_ms=8000.0)
-    assert most(windows(fleet, 8.0)) <= BOUND
+    fleet.send_list(0.0, warm=0, cold=1, left_ms=8000.0)
+    assert highest(windows(fleet, 8.0)) <= BOUND
 
 
 @settings(max_examples=20, deadline=None)
@@ -190,27 +192,27 @@
     count: int, seed: int
 ) -> None:
     fleet = fleet_of(count, seed)
-    fleet.list(0.0, warm=0, cold=1, left_ms=8000.0)
-    assert most(windows(fleet, 8.0)) <= BOUND
+    fleet.send_list(0.0, warm=0, cold=1, left_ms=8000.0)
+    assert highest(windows(fleet, 8.0)) <= BOUND
 
 
 def test_a_cold_upstream_is_used_and_all_of_its_part_being_cold_is_no_way_round() -> None:
     fleet = fleet_of(80, 2)
-    side(fleet, range(80))
-    fleet.list(0.0, warm=0, cold=28, left_ms=8000.0)
-    fleet.play(0.0, 6.0, per_s=350.0)
+    isolate(fleet, range(80))
+    fleet.send_list(0.0, warm=0, cold=28, left_ms=8000.0)
+    fleet.send_requests(0.0, 6.0, per_s=350.0)
     arrived = [len(fleet.arrivals[f"c{i}"]) for i in range(28)]
-    assert max(fleet.most_in_a_second(f"c{i}") for i in range(28)) <= BOUND
+    assert max(fleet.max_in_a_second(f"c{i}") for i in range(28)) <= BOUND
     assert min(arrived) > PER_S  # in six seconds: more than half of their capacity is used
     assert fleet.refused
 
 
 def test_it_is_like_any_other_once_it_is_warm() -> None:
     fleet = fleet_of(80, 3)
-    fleet.list(0.0, warm=26, cold=2, left_ms=1000.0)
-    fleet.play(0.0, 1.0, per_s=300.0)
+    fleet.send_list(0.0, warm=26, cold=2, left_ms=1000.0)
+    fleet.send_requests(0.0, 1.0, per_s=300.0)
     held = {name: len(times) for name, times in fleet.arrivals.items() if name[0] == "c"}
-    fleet.play(1.2, 6.0, per_s=300.0)
+    fleet.send_requests(1.2, 6.0, per_s=300.0)
     assert all(len(fleet.arrivals[name]) > held.get(name, 0) + 10 for name in ("c0", "c1"))
 
 
@@ -218,6 +220,6 @@
     fleet = fleet_of(8, 4)
     for balancer in fleet.balancers:
         balancer.configure(Configuration(2, svcs=(Service(SVC),)))
-    fleet.list(0.0, warm=0, cold=1)
-    fleet.play(0.0, 1.0, per_s=100.0)
+    fleet.send_list(0.0, warm=0, cold=1)
+    fleet.send_requests(0.0, 1.0, per_s=100.0)
     assert not fleet.refused
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -303,11 +303,11 @@
 
 def refused_share(per_s: float, calls: int = 6_000) -> float:
     """The refused share where the service times of two classes do not depend on the calls in flight."""
-    chance, limit, now = random.Random(1), ConcurrencyLimit(balancers=2), 0.0
+    rng, limit, now = random.Random(1), ConcurrencyLimit(balancers=2), 0.0
     ends: list[tuple[float, float]] = []
     refused = 0
     for _ in range(calls):
-        now += chance.expovariate(per_s / 1_000)
+        now += rng.expovariate(per_s / 1_000)
         while ends and ends[0][0] <= now:
             over, aim = heappop(ends)
             limit.advance(over)
@@ -318,8 +318,8 @@
             refused += 1
             continue
         limit.in_flight += 1
-        aim, mean = chance.choice(((2_500.0, 520.0), (1_000.0, 280.0)))
-        heappush(ends, (now + mean * chance.uniform(0.4, 1.6), aim))
+        aim, mean = rng.choice(((2_500.0, 520.0), (1_000.0, 280.0)))
+        heappush(ends, (now + mean * rng.uniform(0.4, 1.6), aim))
     return refused / calls
 
 
