--- a/tests/test_tallies_defects.py
+++ b/tests/test_tallies_defects.py
@@ -74,10 +74,10 @@
 def two_sides() -> None:
     """A cold upstream to which both sides of a partition could send at the same time."""
     fleet = cold.fleet_of(80, 1)
-    cold.side(fleet, range(40))
-    cold.side(fleet, range(40, 80))
-    fleet.list(0.0, warm=0, cold=1, left_ms=8000.0)
-    assert cold.most(cold.windows(fleet, 8.0)) <= cold.BOUND
+    cold.isolate(fleet, range(40))
+    cold.isolate(fleet, range(40, 80))
+    fleet.send_list(0.0, warm=0, cold=1, left_ms=8000.0)
+    assert cold.highest(cold.windows(fleet, 8.0)) <= cold.BOUND
 
 
 CHECKS = {"rough day": rough_day, "long day": long_day, "two sides": two_sides}
