--- a/balancer/active_request.py
+++ b/balancer/active_request.py
@@ -17,8 +17,8 @@
 from balancer.upstream_call import UpstreamCall
 from balancer.wire import Staged, is_sound, read_handle
 from config.configuration import Route
-from passpost.attempt import Outgoing
-from passpost.http1 import Answer
+from passpost.attempt import UpstreamRequest
+from passpost.http1 import Response
 from umberworks.interface import Outcome
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         call: RoutedCall,
         service: str,
         ends: float,
-        out: Outgoing,
+        out: UpstreamRequest,
         client: Client,
     ) -> None:
         """`ends`: when the client stops waiting, in seconds on the steady clock."""
@@ -118,7 +118,7 @@
             case steps.BreakOff():
                 self._finish()
                 self._free()
-                self._client.break_off()
+                self._client.abort()
 
     def _read(self) -> None:
         now = time.monotonic()
@@ -182,14 +182,16 @@
         return b"%bLast-Event-Id: %d\r\n" % (prio, last)
 
     def _request(self, extra: bytes, is_careful: bool) -> Staged:
-        return Staged(self._out.head, self._out.body, None, self._ends, self._call.txn, extra, is_careful)
+        return Staged(
+            self._out.head, self._out.body, None, self._ends, self._call.request_id, extra, is_careful
+        )
 
     def _may_leave(self, quiet: float, most: float) -> bool:
         return quiet >= RUN_LEFT * most and self._pair.may_repeat()
 
     # ---- prefill
 
-    def _read_done(self, outcome: Outcome, answer: Answer | None) -> None:
+    def _read_done(self, outcome: Outcome, answer: Response | None) -> None:
         peer = self._upstream_call.ended(outcome, answer, good=True)
         if outcome is not Outcome.SERVED and not self._finished:
             _log(peer, "read_ended", outcome, answer, self._call)
@@ -227,7 +229,9 @@
         """The stream is broken: nothing more of this upstream is wanted."""
         peer = self._upstream_call.peer
         name = peer.entry.id if peer is not None else ""
-        logger.warning("event=bad_stream upstream={} request={}", name, self._call.txn.decode("latin-1"))
+        logger.warning(
+            "event=bad_stream upstream={} request={}", name, self._call.request_id.decode("latin-1")
+        )
         self._upstream_call.cancel()
 
     def passes(self) -> None:
@@ -250,7 +254,7 @@
         if well:
             self._pair.handle = None  # there is nothing to be freed
 
-    def _run_done(self, outcome: Outcome, answer: Answer | None) -> None:
+    def _run_done(self, outcome: Outcome, answer: Response | None) -> None:
         relay = self._relay
         passing = relay.is_streaming()
         if passing and outcome is Outcome.SERVED and not relay.is_whole():
@@ -269,7 +273,7 @@
             outcome is Outcome.SERVED and answer is not None and is_sound(answer.headers) and not relay.begun
         ):
             self._finish()
-            self._client.serve(answer)
+            self._client.send_response(answer)
         elif (
             outcome is Outcome.ERROR
             and answer is not None
@@ -278,7 +282,7 @@
         ):
             self._finish()
             self._free()
-            self._client.serve(answer)
+            self._client.send_response(answer)
         else:
             _log(peer, "run_ended", outcome, answer, self._call)
             if outcome is Outcome.TURNED_AWAY and self._fetching is not None:
@@ -305,7 +309,7 @@
     return aim / 1000 * max(WAIT_MOST - WAIT_RANK * route.prio, WAIT_LEAST)
 
 
-def _log(peer: Peer, what: str, outcome: Outcome, answer: Answer | None, call: RoutedCall) -> None:
+def _log(peer: Peer, what: str, outcome: Outcome, answer: Response | None, call: RoutedCall) -> None:
     status = answer.status if answer is not None else 0
     text = "event={} upstream={} outcome={!r} status={} request={}"
-    logger.debug(text, what, peer.entry.id, outcome.value, status, call.txn.decode("latin-1"))
+    logger.debug(text, what, peer.entry.id, outcome.value, status, call.request_id.decode("latin-1"))
--- a/balancer/answer_log.py
+++ b/balancer/answer_log.py
@@ -8,8 +8,8 @@
 from loguru import logger
 
 from balancer.wire import Staged
-from passpost.answer_end import AnswerEnd, Misuse
-from passpost.attempt import Outgoing
+from passpost.answer_end import Misuse, ResponseEnd
+from passpost.attempt import UpstreamRequest
 from passpost.http1 import EndKind, Framing
 
 MOST_NAMED = 4_096  # upstreams of which it is kept that they were named in the log
@@ -28,7 +28,7 @@
         self.misuses[misuse] += 1
         logger.info("event=connection_misused upstream={} by={}", upstream, misuse.value)
 
-    def ended(self, upstream: str, request: Outgoing, end: AnswerEnd) -> None:
+    def ended(self, upstream: str, request: UpstreamRequest, end: ResponseEnd) -> None:
         """An answer, or the wait for one, is over; those to calls of our own are not counted."""
         if not isinstance(request, Staged):
             return
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -30,12 +30,12 @@
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
 from dissemination.doubts import Doubts
-from passpost.attempt import Outgoing
+from passpost.attempt import UpstreamRequest
 from passpost.client_options import ClientOptions
 from passpost.http1 import Headers
 from passpost.server import Server
 from passpost.upstream import Upstreams
-from passpost.validation import BadRequestError, Call
+from passpost.validation import BadRequestError, RequestHead
 
 if TYPE_CHECKING:
     from passpost.engine import Client
@@ -96,15 +96,19 @@
         to_upstreams = max(int(files * UPSTREAM_SHARE), 16)
         self.upstreams = Upstreams(CONNECT_S, IDLE_S * 2, to_upstreams, options.upstream_options())
         self.answers = AnswerLog()
-        self.upstreams.watch_answers = self.answers.ended
-        self.upstreams.watch_misuse = self.answers.misused
+        self.upstreams.on_response_end = self.answers.ended
+        self.upstreams.on_misuse = self.answers.misused
         self._chance = random.Random(seed)
         self.load_changed: Callable[[], None] = _nothing
         self._tell_kept: Callable[[bytes, str], None] | None = None
         self.other_calls: readiness.Other | None = None  # at the address of readiness
         self._cold_share = ColdShare(settings.node, settings.bounds)
         self.tiers = Tiers(
-            self._chance, self.upstreams.has_place, settings.zone, self.upstreams.has_idle, self._cold_share
+            self._chance,
+            self.upstreams.can_send,
+            settings.zone,
+            self.upstreams.has_idle_connection,
+            self._cold_share,
         )
         self.standing = Standing(self.tiers, self.upstreams)
         self._max_open = files - to_upstreams
@@ -155,7 +159,7 @@
         self.urgency.keep_only({r.name for r in configuration.routes})
         self.tiers.want_versions(wanted_versions(configuration), time.monotonic())
         if self._server is not None:
-            self._server.treat(self._client_options())
+            self._server.apply_options(self._client_options())
         self._limit_connections()
         if self.tiers.has_any():
             self._open_door()
@@ -163,7 +167,9 @@
     def list_upstreams(self, entries: tuple[Upstream, ...]) -> None:
         """The whole list as it is now; the same as before costs little."""
         if self.tiers.take(entries, time.monotonic()):
-            self.upstreams.route({name: parse_address(address) for name, address in self.tiers.addresses()})
+            self.upstreams.set_addresses(
+                {name: parse_address(address) for name, address in self.tiers.addresses()}
+            )
         if self._configuration is not None:
             self._open_door()
 
@@ -268,7 +274,7 @@
         most = min((s.max_conns for s in services), default=math.inf)
         if math.isfinite(most):
             part = CONNS_SHARE * most / (self._balancers or UNKNOWN_BALANCERS)
-            self.upstreams.limit_each(max(CONNS_LEAST, part))
+            self.upstreams.limit_connections_each(max(CONNS_LEAST, part))
 
     def budget(self, service: str) -> ServiceBudget:
         """What pays for extra arrivals at a service."""
@@ -295,7 +301,7 @@
         """Whether any upstream is ready."""
         return self.tiers.has_any()
 
-    def read(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call:
+    def parse_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> RequestHead:
         """The call that a head stands for; raises BadRequestError."""
         if self._configuration is None:
             self.counters.refused(Refusal.UNCONFIGURED)
@@ -303,7 +309,12 @@
         return read_head(method, target, version, headers, self._table, self._configuration.limits)
 
     def take_up(
-        self, call: Call, remaining: float, outgoing: Outgoing, client: Client, free_connections: float
+        self,
+        call: RequestHead,
+        remaining: float,
+        outgoing: UpstreamRequest,
+        client: Client,
+        free_connections: float,
     ) -> int:
         """A request is there, with so many seconds to answer it; the result is its number."""
         assert isinstance(call, RoutedCall)
@@ -318,10 +329,10 @@
         passage.begin()
         return number
 
-    def whole(self, number: int) -> None:
+    def on_request_complete(self, number: int) -> None:
         """Bodies are held whole before their requests are taken up: there is nothing to do."""
 
-    def left(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         """The client has gone."""
         passage = self._requests.get(number)
         if passage is not None:
--- a/balancer/ingress.py
+++ b/balancer/ingress.py
@@ -10,8 +10,8 @@
 from balancer.prompt import Prompt, read_prompt
 from balancer.routes import RouteTable
 from config.configuration import ClientLimits, Route
-from passpost.http1 import Headers, end_to_end
-from passpost.validation import BadRequestError, Call
+from passpost.http1 import Headers, end_to_end_headers
+from passpost.validation import BadRequestError, RequestHead
 
 REQUEST_ID, DEADLINE = b"mastturn-request-id", b"mastturn-deadline-ms"
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RoutedCall(Call):
+class RoutedCall(RequestHead):
     """A good request's head, with the route that it is on; `after`: the last event that its client has."""
 
     route: Route
@@ -73,7 +73,7 @@
     remaining = route.deadline_ms / 1000
     if (told := fields.get(DEADLINE)) is not None and _MS.fullmatch(told):
         remaining = min(remaining, float(told) / 1000)
-    passed_on = [(n, v) for n, v in end_to_end(headers) if n.lower() not in _OURS]
+    passed_on = [(n, v) for n, v in end_to_end_headers(headers) if n.lower() not in _OURS]
     prompt = read_prompt(fields.get(b"mastturn-prompt-prefix"), fields.get(b"mastturn-token-count"))
     after = fields.get(b"last-event-id")
     if not math.isfinite(remaining):
--- a/balancer/options.py
+++ b/balancer/options.py
@@ -21,13 +21,13 @@
     """How upstreams are spoken to."""
     return UpstreamOptions(
         outcome=outcome,
-        at_once=is_event_stream,
-        stall_s=STALL_S,
-        heeds_keep_alive=True,
-        bounds_answers=True,
-        question=ask_for_report,
-        doubts_misused=True,
-        dark_ms=DARK_MS,
+        is_streamed=is_event_stream,
+        stall_timeout_s=STALL_S,
+        honors_keep_alive=True,
+        applies_timeout_to_streams=True,
+        liveness_request=ask_for_report,
+        avoids_misused_connections=True,
+        unacked_timeout_ms=DARK_MS,
     )
 
 
@@ -35,20 +35,20 @@
     """How clients are treated under these limits, and at a stop that leaves us so long."""
     idle = limits.idle_timeout_ms / 1000
     return ClientOptions(
-        max_head=limits.max_header_bytes,
-        max_body=limits.max_body_bytes,
-        read_s=limits.header_timeout_ms / 1000,
-        first_s=idle,
-        idle_s=idle + 1.0,  # they are told less: none sends across our close
-        body_rate=BODY_RATE,
-        held_each=limits.max_body_bytes,
-        uploads=False,
-        told_idle_s=max(int(idle) - 1, 1),
-        reads_past_end=False,
+        max_head_bytes=limits.max_header_bytes,
+        max_body_bytes=limits.max_body_bytes,
+        head_timeout_s=limits.header_timeout_ms / 1000,
+        first_request_timeout_s=idle,
+        idle_timeout_s=idle + 1.0,  # they are told less: none sends across our close
+        min_body_rate=BODY_RATE,
+        max_buffered_body=limits.max_body_bytes,
+        streams_uploads=False,
+        keep_alive_timeout_s=max(int(idle) - 1, 1),
+        discards_late_input=False,
         sweep_s=SWEEP_S,
-        dark_ms=CLIENT_DARK_MS,
+        unacked_timeout_ms=CLIENT_DARK_MS,
         closes_at_stop=True,
         accept_after_stop_s=min(ACCEPT_AFTER_STOP_S, ACCEPT_SHARE * grace_s),
-        last_call_s=min(LAST_CALL_S, LAST_CALL_SHARE * grace_s),
+        closing_phase_s=min(LAST_CALL_S, LAST_CALL_SHARE * grace_s),
         drain_step_s=DRAIN_STEP_S,
     )
--- a/balancer/relay.py
+++ b/balancer/relay.py
@@ -10,7 +10,7 @@
 
 from balancer.streams import BadStreamError, EventReader
 from balancer.wire import is_event_stream, is_sound
-from passpost.http1 import Flow, Start
+from passpost.http1 import FlowControl, ResponseStart
 
 if TYPE_CHECKING:
     from passpost.engine import Client
@@ -39,9 +39,9 @@
         """`after`: the last event that the client has already."""
         self._owner, self._client = owner, client
         self._events = EventReader(after)
-        self._head: Start | None = None  # of the answer that comes; a stream's waits for the first event
+        self._head: ResponseStart | None = None  # a stream's waits for the first event
         self.is_stream = True  # of events
-        self._flow: Flow | None = None
+        self._flow: FlowControl | None = None
         self._held_up = False  # the client does not read
         self.begun = False  # the head has gone to the client
         self.bad = False  # the run was broken by what it brought
@@ -64,7 +64,7 @@
         """Whether what has come of a stream ends between two events."""
         return not self.is_stream or self._events.is_between()
 
-    def start(self, start: Start, flow: Flow) -> bool:
+    def on_response_start(self, start: ResponseStart, flow: FlowControl) -> bool:
         """An answer begins; False if nobody wants it, or if it is not sound."""
         if not self._owner.wants():
             return False
@@ -77,7 +77,7 @@
             flow.pause()
         return True
 
-    def more(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """A piece of it; of a stream only whole events, in their order, reach the client."""
         if not self._owner.wants():
             return
@@ -96,7 +96,7 @@
         if data:
             self._owner.passes()
             self.show_head()
-            self._client.more(data)
+            self._client.send_body(data)
 
     def show_head(self) -> None:
         """Let the client have the head of the first stream; those of later ones are nobody's."""
@@ -104,7 +104,7 @@
             self.begun = True
             # The length of one run says nothing of a stream that another may go on with.
             length = None if self.is_stream else self._head.length
-            self._client.begin(Start(self._head.headers, length, self._head.status), self)
+            self._client.begin_response(ResponseStart(self._head.headers, length, self._head.status), self)
 
     # ---- the flow of what the client gets
 
--- a/balancer/request_counters.py
+++ b/balancer/request_counters.py
@@ -5,7 +5,7 @@
 import enum
 from bisect import bisect_left
 
-from passpost.counters import Final
+from passpost.counters import RequestResult
 
 FIRST_EVENT_S = (0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 8.0, 13.0, 20.0)  # upper bounds
 
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.in_flight = 0
-        self.ends = dict.fromkeys(Final, 0)
+        self.ends = dict.fromkeys(RequestResult, 0)
         self.refusals = dict.fromkeys(Refusal, 0)
         self.tokens_read, self.tokens_read_again = 0, 0
         self.shared_again = 0  # tokens of shared parts, read by one upstream while another has them
@@ -40,11 +40,11 @@
         self.first_events = [0] * (len(FIRST_EVENT_S) + 1)  # by how long they took; the last one: longer
         self.first_events_s = 0.0  # in all
 
-    def taken(self) -> None:
+    def request_received(self) -> None:
         """A whole request has come; it ends exactly once."""
         self.in_flight += 1
 
-    def ended(self, class_name: str, final: Final) -> None:
+    def request_ended(self, class_name: str, final: RequestResult) -> None:
         """A taken request has its final answer, or its client has gone."""
         self.in_flight -= 1
         self.ends[final] += 1
--- a/balancer/standing.py
+++ b/balancer/standing.py
@@ -11,7 +11,7 @@
 from balancer.peer import Peer
 from balancer.tiers import Tiers
 from balancer.trust import HARD, SILENT, WINDOW_S, is_failure
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from passpost.upstream import Upstreams
 from umberworks.interface import Outcome
 
@@ -29,7 +29,7 @@
         self._tiers, self._upstreams = tiers, upstreams
         self.changed: Callable[[], None] = _nothing  # told when there are failures to report, or no longer
 
-    def ended(self, peer: Peer, outcome: Outcome, answer: Answer | None, good: bool) -> None:
+    def ended(self, peer: Peer, outcome: Outcome, answer: Response | None, good: bool) -> None:
         """A call of ours has ended there; `good`: nothing of its answer was spoilt."""
         self._tiers.trust.ended(peer, time.monotonic())
         if is_failure(outcome, answer, good):
@@ -48,7 +48,7 @@
             peer.silent = True
             logger.warning("event=silent upstream={}", peer.entry.id)
             self._failed(peer, each * max(peer.server.in_flight, 1))  # each call that is out there is owed
-            self._upstreams.drop_idle(peer.entry.id)
+            self._upstreams.close_idle_connections(peer.entry.id)
             asyncio.get_running_loop().call_later(PROBE_S, self._probe, peer)
 
     def _failed(self, peer: Peer, count: int) -> None:
--- a/balancer/trust.py
+++ b/balancer/trust.py
@@ -20,7 +20,7 @@
 
 from balancer.peer import Peer
 from dissemination.doubts import Doubts
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from umberworks.interface import Outcome
 
 WINDOW_S = 4.0  # failures count for so long
@@ -48,7 +48,7 @@
         return self.count * math.exp(-(now - self.at) / WINDOW_S)
 
 
-def is_failure(outcome: Outcome, answer: Answer | None, good: bool) -> bool:
+def is_failure(outcome: Outcome, answer: Response | None, good: bool) -> bool:
     """Whether a call's end speaks against its upstream; a rejection and a deadline do not."""
     if outcome is Outcome.ERROR and answer is not None:
         return answer.status >= 500 and answer.status != 504
--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -10,8 +10,8 @@
 from balancer.patience import Watch, patience
 from balancer.peer import Peer
 from balancer.wire import Staged
-from passpost.attempt import Attempt, Done, Sink
-from passpost.http1 import Answer
+from passpost.attempt import Attempt, AttemptCallback, ResponseSink
+from passpost.http1 import Response
 from umberworks.interface import Outcome
 
 ANSWER_GRACE_S = 0.25  # past the deadline: so long the upstream's own word is awaited
@@ -40,7 +40,9 @@
         self.booked = 0  # all that was outstanding there once it was booked
         self.left = False  # it was given up, as its upstream is silent
 
-    def send(self, peer: Peer, request: Staged, tokens: int, sink: Sink | None, done: Done) -> None:
+    def send(
+        self, peer: Peer, request: Staged, tokens: int, sink: ResponseSink | None, done: AttemptCallback
+    ) -> None:
         """Send a request; without a sink it is a prefill call. `done` calls `ended` first."""
         now = time.monotonic()
         self.peer, self.tokens, self._sent = peer, tokens, now
@@ -57,8 +59,8 @@
             left + ANSWER_GRACE_S,
             done,
             sink=sink,
-            wanted=self._wants,
-            write_within=left,
+            is_wanted=self._wants,
+            write_within_s=left,
         )
         if not attempt.is_over():
             self._attempt = attempt
@@ -73,7 +75,7 @@
         """Seconds since the latest call went out."""
         return time.monotonic() - self._sent
 
-    def ended(self, outcome: Outcome, answer: Answer | None, good: bool) -> Peer:
+    def ended(self, outcome: Outcome, answer: Response | None, good: bool) -> Peer:
         """Book the end of the call that was out, and where none should go next; `good`: it was served."""
         peer, now = self.peer, time.monotonic()
         assert peer is not None
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from passpost.attempt import Outgoing
-from passpost.http1 import Address, Answer, Headers
+from passpost.attempt import UpstreamRequest
+from passpost.http1 import Address, Headers, Response
 from umberworks.interface import Outcome
 
 SEAL, REQUEST_ID, NOT_RUN = b"mastturn-server-seal", b"mastturn-request-id", b"mastturn-not-run"
@@ -30,12 +30,12 @@
     return kind is not None and kind.lower().startswith(_EVENTS)
 
 
-def is_not_run(answer: Answer) -> bool:
+def is_not_run(answer: Response) -> bool:
     """Whether the upstream says that it did not run the request."""
     return answer.status == 421 or header(answer.headers, NOT_RUN) is not None
 
 
-def outcome(answer: Answer) -> Outcome:
+def outcome(answer: Response) -> Outcome:
     """What an upstream's answer means."""
     if 200 <= answer.status < 300:
         return Outcome.SERVED
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Staged(Outgoing):
+class Staged(UpstreamRequest):
     """A request on its way to one upstream; `ends`: when its client stops waiting, on the steady clock."""
 
     ends: float = 0.0
@@ -51,18 +51,18 @@
     extra: bytes = b""  # header lines of this stage
     is_careful: bool = False  # it may run once, or a call of its request has broken off already
 
-    def write(self, remaining: float) -> bytes:
+    def encode(self, remaining: float) -> bytes:
         """The bytes for the wire, with the milliseconds that are left now."""
         left = max(self.ends - time.monotonic(), 0.0) * 1000
         return b"%bMastturn-Deadline-Ms: %d\r\n%b\r\n%b" % (self.head, left, self.extra, self.body)
 
     @property
-    def needs_unused(self) -> bool:
+    def needs_unused_connection(self) -> bool:
         """What crosses an upstream's stray bytes and its close is never read, and nobody can tell."""
         return self.is_careful
 
     @property
-    def is_due(self) -> IsDue:
+    def response_matcher(self) -> IsDue:
         """By its id; see `is_ours`."""
         return lambda status, headers: is_ours(status, headers, self.request_id)
 
@@ -89,15 +89,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallWithoutId(Outgoing):
+class CallWithoutId(UpstreamRequest):
     """A call of the balancer's own; it carries no request's id, and neither does its answer."""
 
-    def write(self, remaining: float) -> bytes:
+    def encode(self, remaining: float) -> bytes:
         """The bytes for the wire."""
         return self.head
 
     @property
-    def is_due(self) -> IsDue:
+    def response_matcher(self) -> IsDue:
         """An answer with an id belongs to an earlier request."""
         return lambda status, headers: not header(headers, REQUEST_ID)
 
--- a/control/orders.py
+++ b/control/orders.py
@@ -8,7 +8,7 @@
 
 from config.configuration import Upstream
 from config.settings import parse_address
-from passpost.http1 import AnswerReader, BadAnswerError
+from passpost.http1 import InvalidResponseError, ResponseReader
 
 CALL_S = 1.0
 
@@ -58,12 +58,12 @@
             reader, writer = await asyncio.open_connection(*parse_address(upstream.addr))
             try:
                 writer.write(head.encode("latin-1") + body)
-                answers = AnswerReader()
+                answers = ResponseReader()
                 while data := await reader.read(4096):
                     if (answer := answers.feed(data)) is not None:
                         return Taken() if answer.status in (200, 202) else Rejected(answer.status)
                 return Unclear("the connection ended")
             finally:
                 writer.close()
-    except (OSError, TimeoutError, BadAnswerError) as error:
+    except (OSError, TimeoutError, InvalidResponseError) as error:
         return Unclear(f"{type(error).__name__}: {error}")
--- a/control/platform.py
+++ b/control/platform.py
@@ -11,7 +11,7 @@
 from config.settings import Address
 from control import cold_times
 from dissemination.lists import page_of
-from passpost.discovery import Line
+from passpost.discovery import DiscoveryConnection
 
 CALL_S = 1.0  # for one page
 MOST_PAGES = 256
@@ -31,7 +31,7 @@
     def __init__(self, address: Address, calls_s: float = 50.0) -> None:
         """`calls_s`: so often a second a page may be asked for."""
         self._address = address
-        self._line = Line(address)
+        self._line = DiscoveryConnection(address)
         self.pages = 1  # that the last whole list took: each is a call
         self.calls = 0  # in all
         self._calls: deque[float] = deque()
@@ -47,8 +47,8 @@
     def move(self, address: Address) -> None:
         """The settings name another address."""
         if address != self._address:
-            self._line.hang_up()
-            self._address, self._line = address, Line(address)
+            self._line.close()
+            self._address, self._line = address, DiscoveryConnection(address)
 
     async def read(self) -> list[dict[str, Any]]:
         """All entries as the platform tells them; raises PlatformError."""
@@ -106,7 +106,7 @@
             async with asyncio.timeout(CALL_S):
                 answer = await self._line.get(target)
         except Exception as error:  # whatever it is, this page is not to be had
-            self._line.hang_up()
+            self._line.close()
             raise PlatformError(f"{type(error).__name__}: {error}") from None
         if answer.status != 200:
             raise PlatformError(f"status {answer.status}")
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -24,7 +24,7 @@
 from mastturn.engines.jobs import Figures, Job
 from mastturn.engines.wire import HEAD_BYTES, Network, SimulatedUpstreams, extra
 from mastturnd.balancing import HOLDINGS_S
-from passpost.attempt import Outgoing
+from passpost.attempt import UpstreamRequest
 
 MakeTiers = Callable[[random.Random, Callable[[str], bool]], Tiers]
 
@@ -45,7 +45,7 @@
     def __init__(self, settings: Settings, seed: int, upstreams: Any, tiers: MakeTiers) -> None:
         super().__init__(settings, seed)
         self.upstreams = upstreams
-        self.tiers = tiers(self._chance, upstreams.has_place)
+        self.tiers = tiers(self._chance, upstreams.can_send)
         self.standing = Standing(self.tiers, upstreams)
 
 
@@ -144,7 +144,7 @@
     def left(self, number: int) -> None:
         """A client has gone."""
         if self.up:
-            self.plane.left(number)
+            self.plane.on_client_disconnected(number)
 
     def _job(self, request: Staged, caller: Any, now: float) -> Job:
         lines = extra(request)
@@ -167,7 +167,7 @@
             source=source,
         )
 
-    def _size_of(self, request: Outgoing) -> float:
+    def _size_of(self, request: UpstreamRequest) -> float:
         """Bytes of a request."""
         asked = self._asked.get(request.request_id) if isinstance(request, Staged) else None
         return HEAD_BYTES + (asked.kind.req_bytes.mean if asked is not None else 0.0)
@@ -203,7 +203,7 @@
         for passage in passages:
             passage.left()
         for client in clients.values():
-            client.break_off()
+            client.abort()
         if self.parent is not None:
             self.parent.loads.forget(self)
 
--- a/mastturn/engines/clients.py
+++ b/mastturn/engines/clients.py
@@ -8,7 +8,7 @@
 
 from mastturn.engines.demand import Asked
 from mastturn.engines.records import Record
-from passpost.http1 import Answer, Flow, Start
+from passpost.http1 import FlowControl, Response, ResponseStart
 
 AGAIN_S = 0.2  # after a failure
 UNREAD_MOST = (
@@ -42,18 +42,18 @@
         self.number: int | None = None
         self.over = False
 
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether it still waits."""
         return not self.over
 
-    def serve(self, answer: Answer) -> None:
+    def send_response(self, answer: Response) -> None:
         """A whole answer; none that is emulated is."""
         self._user.back(self, self._user.failed)
 
-    def begin(self, start: Start, flow: Flow) -> None:
+    def begin_response(self, start: ResponseStart, flow: FlowControl) -> None:
         """A stream begins."""
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Events of it."""
         self._user.back(self, self._user.heard, data.count(b"id: "))
 
@@ -61,7 +61,7 @@
         """It has ended in order."""
         self._user.back(self, self._user.done)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """It never will."""
         self._user.back(self, self._user.failed)
 
--- a/mastturn/engines/wire.py
+++ b/mastturn/engines/wire.py
@@ -13,8 +13,8 @@
 from balancer.wire import Staged
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import MISPLACED, Figures, Job
-from passpost.attempt import Done, Outgoing, Sink
-from passpost.http1 import Answer, Headers, Start
+from passpost.attempt import AttemptCallback, ResponseSink, UpstreamRequest
+from passpost.http1 import Headers, Response, ResponseStart
 from umberworks.interface import Outcome
 
 CONNECT_S = 0.5
@@ -51,10 +51,15 @@
     """One call: the sending side, and the caller that its engine knows."""
 
     def __init__(
-        self, pool: SimulatedUpstreams, engine: Engine, request: Outgoing, done: Done, sink: Sink | None
+        self,
+        pool: SimulatedUpstreams,
+        engine: Engine,
+        request: UpstreamRequest,
+        done: AttemptCallback,
+        sink: ResponseSink | None,
     ) -> None:
         self._pool, self._engine, self._request, self._sink = pool, engine, request, sink
-        self._done: Done | None = done
+        self._done: AttemptCallback | None = done
         self._timer: asyncio.TimerHandle | None = None
         self._way = pool.network.way(pool.zone, engine.zone)
         self._loop = asyncio.get_running_loop()
@@ -72,7 +77,7 @@
         """Nobody waits any more."""
         self.end(Outcome.CANCELLED)
 
-    def begin(self, timeout: float, write_within: float, connected: bool, handshake_s: float) -> None:
+    def begin(self, timeout: float, write_within_s: float, connected: bool, handshake_s: float) -> None:
         """Connect if need be, and send."""
         self._timer = self._loop.call_later(timeout, self._timed_out)
         engine = self._engine
@@ -83,7 +88,7 @@
             self._loop.call_later(wait, self.end, Outcome.UNREACHED)
         else:
             wait = 2 * self._way + handshake_s
-            self._loop.call_later(min(wait, write_within), self._send)
+            self._loop.call_later(min(wait, write_within_s), self._send)
 
     def _send(self) -> None:
         if self._done is None:
@@ -114,7 +119,7 @@
     def _timed_out(self) -> None:
         self.end(Outcome.TIMED_OUT if self._sent else Outcome.UNREACHED)
 
-    def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+    def end(self, outcome: Outcome, answer: Response | None = None) -> None:
         """Tell the outcome, once; an engine at work on it hears that nobody waits."""
         if self._done is None:
             return
@@ -133,7 +138,7 @@
 
     def _answered(self, status: int, body: bytes) -> None:
         headers = _EVENTS[1:] if 200 <= status < 300 else _NOT_RUN
-        answer = Answer(status, headers, body, True)
+        answer = Response(status, headers, body, True)
         if 200 <= status < 300:
             self.end(Outcome.SERVED, answer)
         else:
@@ -160,19 +165,19 @@
             request = self._request
             assert isinstance(request, Staged)
             headers = [*_EVENTS, (b"Mastturn-Request-Id", request.request_id)]
-            if not self._sink.start(Start(headers, None), Flowing()):
+            if not self._sink.on_response_start(ResponseStart(headers, None), Flowing()):
                 self.end(Outcome.BROKEN)
                 return
             if self._timer is not None:
                 self._timer.cancel()
-        self._sink.more(b"id: %d\ndata: x\n\n" % number)
+        self._sink.on_body(b"id: %d\ndata: x\n\n" % number)
 
     def ended(self) -> None:
         """The answer is whole."""
         self._back(self._whole)
 
     def _whole(self) -> None:
-        self.end(Outcome.SERVED, Answer(200, _EVENTS, b"", True))
+        self.end(Outcome.SERVED, Response(200, _EVENTS, b"", True))
 
     def cut(self) -> None:
         """The connection broke."""
@@ -188,7 +193,7 @@
         network: Network,
         handshake_ms: float,
         job: Callable[..., Job],
-        size_of: Callable[[Outgoing], float],
+        size_of: Callable[[UpstreamRequest], float],
         figures: Figures,
     ) -> None:
         """`job`: what a staged request, its caller and the time of its arrival mean to an engine."""
@@ -217,14 +222,14 @@
     def stop(self) -> None:
         """Nothing is held."""
 
-    def route(self, addresses: Mapping[str, object]) -> None:
+    def set_addresses(self, addresses: Mapping[str, object]) -> None:
         """The engines are known otherwise."""
 
-    def limit_each(self, most: float) -> None:
+    def limit_connections_each(self, most: float) -> None:
         """So many connections are opened to one upstream."""
         self._most_each = most
 
-    def drop_idle(self, server: str) -> None:
+    def close_idle_connections(self, server: str) -> None:
         """Close the idle connections to one upstream."""
         engine = self._engines.get(server)
         if engine is not None:
@@ -239,7 +244,7 @@
             self._open[engine] -= 1
         return idle
 
-    def has_place(self, server: str) -> bool:
+    def can_send(self, server: str) -> bool:
         """Whether an attempt would find a connection to this upstream, or could open one."""
         engine = self._engines.get(server)
         if engine is None:
@@ -249,13 +254,13 @@
     def send(
         self,
         server: str,
-        request: Outgoing,
+        request: UpstreamRequest,
         timeout: float,
-        done: Done,
+        done: AttemptCallback,
         written: Callable[[], None] = lambda: None,
-        sink: Sink | None = None,
-        wanted: Callable[[], bool] = lambda: True,
-        write_within: float = math.inf,
+        sink: ResponseSink | None = None,
+        is_wanted: Callable[[], bool] = lambda: True,
+        write_within_s: float = math.inf,
     ) -> SimulatedAttempt:
         """Make one attempt."""
         engine = self._engines.get(server)
@@ -267,14 +272,14 @@
         idle = self._idle_ones(engine)
         if idle:
             idle.pop()
-            attempt.begin(timeout, write_within, True, 0.0)
+            attempt.begin(timeout, write_within_s, True, 0.0)
         elif self._open.get(engine, 0) >= self._most_each:
             self._open[engine] = self._open.get(engine, 0) + 1
             attempt.end(Outcome.UNREACHED)
         else:
             self._open[engine] = self._open.get(engine, 0) + 1
             self.handshakes += not engine.down
-            attempt.begin(timeout, write_within, False, self._handshake_s)
+            attempt.begin(timeout, write_within_s, False, self._handshake_s)
         return attempt
 
     def over(self, engine: Engine, reusable: bool) -> None:
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -36,15 +36,15 @@
 
 
 def _fin_taken_as_end() -> None:
-    from passpost.http1 import Answer, AnswerReader, EndKind, Framing
+    from passpost.http1 import EndKind, Framing, Response, ResponseReader
 
-    def end(self: AnswerReader, kind: EndKind) -> Answer | None:
-        if kind is EndKind.FIN and self.framing() is not Framing.UNKNOWN and self._whole is None:
-            self._whole = Answer(self._status, self._headers, self._rest(), False)
-            return self._whole
+    def end(self: ResponseReader, kind: EndKind) -> Response | None:
+        if kind is EndKind.FIN and self.framing() is not Framing.UNKNOWN and self._response is None:
+            self._response = Response(self._status, self._headers, self._buffered_body(), False)
+            return self._response
         return None
 
-    _replace(AnswerReader, "end", end)
+    _replace(ResponseReader, "end", end)
 
 
 def _reset_taken_as_end() -> None:
@@ -58,11 +58,11 @@
     from balancer import options
 
     made = options.upstream_options
-    options.upstream_options = lambda: dataclasses.replace(made(), question=None)
+    options.upstream_options = lambda: dataclasses.replace(made(), liveness_request=None)
 
 
 def _kept_after_surplus() -> None:
-    from passpost.http1 import AnswerReader
+    from passpost.http1 import ResponseReader
     from passpost.upstream_connection import Connection
 
     taken = Connection.data_received
@@ -74,7 +74,7 @@
     def is_spent(self: Connection) -> bool:
         return self._transport is None or self._transport.is_closing()
 
-    _replace(AnswerReader, "has_surplus", lambda self: False)
+    _replace(ResponseReader, "has_surplus", lambda self: False)
     _replace(Connection, "data_received", data_received)
     _replace(Connection, "is_spent", is_spent)
 
@@ -138,19 +138,19 @@
     from balancer import options
 
     made = options.upstream_options
-    options.upstream_options = lambda: dataclasses.replace(made(), bounds_answers=False)
+    options.upstream_options = lambda: dataclasses.replace(made(), applies_timeout_to_streams=False)
 
 
 def _body_altered() -> None:
     from balancer.wire import Staged
 
-    write = Staged.write
+    encode = Staged.encode
 
     def alter(self: Staged, remaining: float) -> bytes:
-        data = write(self, remaining)
+        data = encode(self, remaining)
         return data[:-BYTES_ALTERED] + bytes(BYTES_ALTERED) if len(self.body) > BYTES_LONG else data
 
-    _replace(Staged, "write", alter)
+    _replace(Staged, "encode", alter)
 
 
 def _replace(where: type, name: str, method: Any) -> None:
--- a/mastturnd/tap.py
+++ b/mastturnd/tap.py
@@ -14,7 +14,7 @@
 from balancer.ingress import RoutedCall
 from balancer.peer import Peer
 from balancer.tiers import Group
-from passpost.attempt import Outgoing
+from passpost.attempt import UpstreamRequest
 from umberworks.interface import Outcome
 
 Hear = Callable[[str, dict[str, Any]], None]
@@ -69,7 +69,7 @@
 
     def _take_up(self, inner: Any) -> Any:
         def take_up(call: RoutedCall, remaining: float, *rest: Any) -> int:
-            self._current = call.txn.decode("latin-1")
+            self._current = call.request_id.decode("latin-1")
             fields = {"request": self._current, "route": call.route.name, "tokens": call.prompt.tokens}
             self._hear("taken", fields | {"left_ms": round(remaining * 1000)})
             try:
@@ -103,7 +103,9 @@
         return draw
 
     def _send(self, inner: Any) -> Any:
-        def send(server: str, request: Outgoing, timeout: float, done: Any, *rest: Any, **more: Any) -> Any:
+        def send(
+            server: str, request: UpstreamRequest, timeout: float, done: Any, *rest: Any, **more: Any
+        ) -> Any:
             name = getattr(request, "request_id", b"").decode("latin-1")
             if not name:
                 return inner(server, request, timeout, done, *rest, **more)
--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -220,7 +220,7 @@
         self._hold(server, False)
 
     def _hold(self, server: str, out: bool) -> None:
-        if not self.discovery.knows(server) and server not in self.engine.cordoned():
+        if not self.discovery.contains(server) and server not in self.engine.cordoned():
             raise KeyError(server)
         self.engine.cordon(server, out)
         self._tell(cordon=server, out=out)
--- a/passpost/answer_end.py
+++ b/passpost/answer_end.py
@@ -7,7 +7,7 @@
 import socket
 from dataclasses import dataclass
 
-from passpost.http1 import AnswerReader, EndKind, Framing
+from passpost.http1 import EndKind, Framing, ResponseReader
 
 
 class Misuse(enum.Enum):
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerEnd:
+class ResponseEnd:
     """The end of one answer. `status` is 0 where no whole head has come; `body_bytes` without framing."""
 
     kind: EndKind
@@ -28,9 +28,9 @@
     body_bytes: int
 
 
-def answer_end(kind: EndKind, reader: AnswerReader) -> AnswerEnd:
+def answer_end(kind: EndKind, reader: ResponseReader) -> ResponseEnd:
     """The end of the answer that a reader was at."""
-    return AnswerEnd(kind, reader.framing(), reader.status(), reader.body_size())
+    return ResponseEnd(kind, reader.framing(), reader.status(), reader.body_size())
 
 
 def connection_end(peer: socket.socket) -> EndKind:
--- a/passpost/answer_writer.py
+++ b/passpost/answer_writer.py
@@ -5,7 +5,7 @@
 import time
 
 from passpost.client_transport import ClientTransport
-from passpost.http1 import Flow, Headers, Start, end_to_end, write_headers
+from passpost.http1 import FlowControl, Headers, ResponseStart, end_to_end_headers, write_headers
 
 _REASONS = {
     200: "OK",
@@ -23,12 +23,12 @@
 }
 
 
-class AnswerWriter:
+class ResponseWriter:
     """The answers on one connection."""
 
     def __init__(self, transport: ClientTransport) -> None:
         self._transport = transport
-        self._flow: Flow | None = None  # of the answer that is passed on
+        self._flow: FlowControl | None = None  # of the answer that is passed on
         self._chunked = False  # how that goes
         self._clogged_at = 0.0
         self.is_clogged = False  # answers pile up unread
@@ -55,7 +55,7 @@
 
     # ---- an answer that is passed on
 
-    def begin(self, start: Start, flow: Flow, version: str, persistence: bytes) -> None:
+    def begin(self, start: ResponseStart, flow: FlowControl, version: str, persistence: bytes) -> None:
         """Send its head. One that does not tell its end ends with its connection, and a reset until then."""
         self._flow = flow
         self._chunked = start.length is None and is_framed(start, version)
@@ -64,7 +64,7 @@
             framing = b"Transfer-Encoding: chunked\r\n"
         elif start.length is None:
             self._transport.reset_at_close(True)  # whatever ends it before it is whole
-        headers = write_headers(end_to_end(start.headers))
+        headers = write_headers(end_to_end_headers(start.headers))
         self._transport.write(b"%b%b%b%b\r\n" % (_status_line(start.status), headers, framing, persistence))
 
     def more(self, data: bytes) -> None:
@@ -94,7 +94,7 @@
         )
 
 
-def is_framed(start: Start, version: str) -> bool:
+def is_framed(start: ResponseStart, version: str) -> bool:
     """Whether an answer that is passed on tells its own end; an older client can't read chunks."""
     return start.length is not None or version != "1.0"
 
--- a/passpost/attempt.py
+++ b/passpost/attempt.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from passpost.http1 import HELD_BODY, Answer, Flow, Headers, Start
+from passpost.http1 import MAX_BUFFERED_BODY, FlowControl, Headers, Response, ResponseStart
 from umberworks.interface import Outcome
 
-Done = Callable[[Outcome, Answer | None], None]
+AttemptCallback = Callable[[Outcome, Response | None], None]
 
 
 class Carrier(Protocol):
@@ -31,7 +31,7 @@
 class Upload:
     """A body that is passed on while it comes. One attempt can carry it; what is gone can't be sent again."""
 
-    def __init__(self, length: int | None, first: bytes, flow: Flow) -> None:
+    def __init__(self, length: int | None, first: bytes, flow: FlowControl) -> None:
         self.length, self.whole, self.failed, self.carried = length, False, False, False
         self.flow = flow  # of the client's bytes
         self._held, self._size = [first], len(first)
@@ -48,7 +48,7 @@
         elif self.is_fresh():
             self._held.append(data)
             self._size += len(data)
-            if self._size > HELD_BODY:
+            if self._size > MAX_BUFFERED_BODY:
                 self.flow.pause()
 
     def finish(self) -> None:
@@ -83,14 +83,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class UpstreamRequest:
     """A request as it goes on, but for the time left, which is known when it is written."""
 
     head: bytes
     body: bytes
     upload: Upload | None = None  # in place of a body that is there already
 
-    def write(self, remaining: float) -> bytes:
+    def encode(self, remaining: float) -> bytes:
         """The bytes for the wire."""
         return b"%bX-Remaining: %.3f\r\n\r\n%b" % (self.head, remaining, self.body)
 
@@ -99,23 +99,23 @@
         return self.upload is None or self.upload.is_fresh()
 
     @property
-    def needs_unused(self) -> bool:
+    def needs_unused_connection(self) -> bool:
         """Whether it goes out on no connection that an upstream which misuses its connections has used."""
         return False
 
     @property
-    def is_due(self) -> Callable[[int, Headers], bool] | None:
+    def response_matcher(self) -> Callable[[int, Headers], bool] | None:
         """Tells by an answer's status and headers whether it is to this request; None: all are."""
         return None
 
 
-class Sink(Protocol):
+class ResponseSink(Protocol):
     """Who gets a long answer as it comes."""
 
-    def start(self, start: Start, flow: Flow) -> bool:
+    def on_response_start(self, start: ResponseStart, flow: FlowControl) -> bool:
         """It begins; False if nobody wants it any more."""
 
-    def more(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """A piece of its body."""
 
 
@@ -133,18 +133,18 @@
 
     def __init__(
         self,
-        request: Outgoing,
+        request: UpstreamRequest,
         timeout: float,
-        done: Done,
+        done: AttemptCallback,
         written: Callable[[], None] = lambda: None,
-        sink: Sink | None = None,
-        wanted: Callable[[], bool] = lambda: True,
-        write_within: float = math.inf,
+        sink: ResponseSink | None = None,
+        is_wanted: Callable[[], bool] = lambda: True,
+        write_within_s: float = math.inf,
         is_bounded: bool = False,
     ) -> None:
         """`is_bounded`: an answer that is passed on as it comes has to end within the timeout as well."""
         self._is_bounded = is_bounded
-        self.request, self.wanted = request, wanted
+        self.request, self.is_wanted = request, is_wanted
         self.connection: AttemptConnection | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.opening: AttemptConnection | None = None  # that is coming up for it
@@ -153,11 +153,11 @@
         self._ends = time.monotonic() + timeout
         self._timer: asyncio.TimerHandle | None = None
         self._write_timer: asyncio.TimerHandle | None = None
-        if write_within < timeout:
-            self._write_timer = asyncio.get_running_loop().call_later(write_within, self._not_written)
+        if write_within_s < timeout:
+            self._write_timer = asyncio.get_running_loop().call_later(write_within_s, self._not_written)
         if request.upload is None or request.upload.whole:
             self._run_timer()
-        self._done: Done | None = done
+        self._done: AttemptCallback | None = done
         self._sink = sink
         self.written = written  # told once the last byte has gone out
 
@@ -186,9 +186,9 @@
         """Whether long answers can be passed on as they come."""
         return self._sink is not None
 
-    def start(self, start: Start, flow: Flow) -> bool:
+    def start(self, start: ResponseStart, flow: FlowControl) -> bool:
         """Its answer is passed on from now on; False if nobody wants it."""
-        if self._sink is None or not self._sink.start(start, flow):
+        if self._sink is None or not self._sink.on_response_start(start, flow):
             return False
         self.started = True
         if self._timer is not None and not self._is_bounded:
@@ -198,9 +198,9 @@
     def more(self, data: bytes) -> None:
         """A piece of the answer that is passed on."""
         if self._sink is not None and self._done is not None and data:
-            self._sink.more(data)
+            self._sink.on_body(data)
 
-    def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+    def end(self, outcome: Outcome, answer: Response | None = None) -> None:
         """Tell the outcome, once; a connection that still waits for the answer is of no further use."""
         if self._done is None:
             return
--- a/passpost/client_connection.py
+++ b/passpost/client_connection.py
@@ -6,7 +6,7 @@
 import time
 from typing import Protocol
 
-from passpost.answer_writer import AnswerWriter
+from passpost.answer_writer import ResponseWriter
 from passpost.client_transport import LINGER_S, ClientTransport, Phase
 from passpost.exchange import Exchange, ExchangeServer
 from passpost.request_reader import ReaderServer, Request, RequestReader
@@ -46,7 +46,7 @@
         self._server = server
         self.transport = ClientTransport()
         self.reader = RequestReader(self, server)
-        self.answer = AnswerWriter(self.transport)
+        self.answer = ResponseWriter(self.transport)
         self.exchange = Exchange(self, server)
         self._parsing: asyncio.Handle | None = None  # it is looked at again in the loop's next turn
         self.is_useful = useful  # a good request has come by it
@@ -57,8 +57,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A client has connected."""
         peer = self.transport.attach(transport)
-        if self._server.options.dark_ms:
-            notice_darkness(peer, self._server.options.dark_ms)
+        if self._server.options.unacked_timeout_ms:
+            notice_darkness(peer, self._server.options.unacked_timeout_ms)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The client has gone, or we have closed."""
@@ -181,7 +181,7 @@
 
         To close outright would reset the connection if a byte came just then, and take the last answer along.
         """
-        self._linger(END_S, self._server.options.reads_past_end)
+        self._linger(END_S, self._server.options.discards_late_input)
 
     def give_way(self) -> None:
         """Make room for another at once: there is no time to wait for its client."""
--- a/passpost/client_options.py
+++ b/passpost/client_options.py
@@ -20,41 +20,41 @@
 class ClientOptions:
     """How clients are treated; spans in seconds. `in_service` makes that of the program in service."""
 
-    max_head: int
-    max_body: int
-    read_s: float
-    first_s: float  # a connection that has brought nothing yet is kept so long
-    idle_s: float
-    body_rate: float
-    held_each: int
-    uploads: bool  # a body too long to be held goes on as it comes; else it is refused
-    told_idle_s: int  # what Keep-Alive tells clients; 0: nothing
-    reads_past_end: bool  # what crosses our end between requests is read and dropped; else left unread
+    max_head_bytes: int
+    max_body_bytes: int
+    head_timeout_s: float
+    first_request_timeout_s: float  # a connection that has brought nothing yet is kept so long
+    idle_timeout_s: float
+    min_body_rate: float
+    max_buffered_body: int
+    streams_uploads: bool  # a body too long to be held goes on as it comes; else it is refused
+    keep_alive_timeout_s: int  # what Keep-Alive tells clients; 0: nothing
+    discards_late_input: bool  # what crosses our end between requests is read and dropped; else left unread
     sweep_s: float
-    dark_ms: int  # as upstream.UpstreamOptions's
+    unacked_timeout_ms: int  # as upstream.UpstreamOptions's
     closes_at_stop: bool  # each answer closes its connection from the stop on
     accept_after_stop_s: float
-    last_call_s: float
+    closing_phase_s: float
     drain_step_s: float
 
 
 def in_service() -> ClientOptions:
     """How the program in service treats its clients."""
     return ClientOptions(
-        max_head=MAX_HEAD,
-        max_body=MAX_BODY,
-        read_s=READ_S,
-        first_s=READ_S,
-        idle_s=IDLE_S,
-        body_rate=BODY_RATE,
-        held_each=HELD_EACH,
-        uploads=True,
-        told_idle_s=0,
-        reads_past_end=True,
+        max_head_bytes=MAX_HEAD,
+        max_body_bytes=MAX_BODY,
+        head_timeout_s=READ_S,
+        first_request_timeout_s=READ_S,
+        idle_timeout_s=IDLE_S,
+        min_body_rate=BODY_RATE,
+        max_buffered_body=HELD_EACH,
+        streams_uploads=True,
+        keep_alive_timeout_s=0,
+        discards_late_input=True,
         sweep_s=SWEEP_S,
-        dark_ms=0,
+        unacked_timeout_ms=0,
         closes_at_stop=False,
         accept_after_stop_s=ACCEPT_AFTER_STOP_S,
-        last_call_s=LAST_CALL_S,
+        closing_phase_s=LAST_CALL_S,
         drain_step_s=DRAIN_STEP_S,
     )
--- a/passpost/client_transport.py
+++ b/passpost/client_transport.py
@@ -128,7 +128,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def break_off(self) -> None:
+    def reset(self) -> None:
         """End it by a reset, which no client takes for the end of an answer."""
         if self.phase is Phase.OPEN:
             self.phase = Phase.ENDING
--- a/passpost/connection_bounds.py
+++ b/passpost/connection_bounds.py
@@ -55,7 +55,7 @@
             transport.abort()
     elif reader.is_in_request:
         # A byte more of a head gains no time; of a body its client has to keep the rate.
-        if age > options.read_s and (reader.is_in_head or now > reader.body_until):
+        if age > options.head_timeout_s and (reader.is_in_head or now > reader.body_until):
             reader.bad = reader.bad or 408
             connection.take_next()
     elif age > _idle_limit(connection, options, is_crowded) and is_spare(connection, now):
@@ -64,8 +64,8 @@
 
 def _idle_limit(connection: ClientConnection, options: ClientOptions, is_crowded: bool) -> float:
     if not connection.is_useful:
-        return options.first_s
-    return CROWDED_IDLE_S if is_crowded else options.idle_s
+        return options.first_request_timeout_s
+    return CROWDED_IDLE_S if is_crowded else options.idle_timeout_s
 
 
 def find_spare(connections: set[ClientConnection]) -> ClientConnection | None:
--- a/passpost/counters.py
+++ b/passpost/counters.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Final(enum.Enum):
+class RequestResult(enum.Enum):
     """How a request ended for its client."""
 
     SERVED = "served"
@@ -19,15 +19,15 @@
     """Requests by class and final answer, those that are open, and the attempts written whole."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        names = [final.value for final in Final]
+        names = [final.value for final in RequestResult]
         self._requests = {name: dict.fromkeys([*names, "attempts"], 0) for name in classes}
         self.in_flight = 0
 
-    def taken(self) -> None:
+    def request_received(self) -> None:
         """A whole request has come; it ends exactly once."""
         self.in_flight += 1
 
-    def ended(self, class_name: str, final: Final) -> None:
+    def request_ended(self, class_name: str, final: RequestResult) -> None:
         """A taken request has its final answer, or its client has gone."""
         self.in_flight -= 1
         self._requests[class_name][final.value] += 1
--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn, Protocol
 
-from passpost.http1 import Address, Answer, AnswerReader, BadAnswerError
+from passpost.http1 import Address, InvalidResponseError, Response, ResponseReader
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
 log = logging.getLogger(__name__)
@@ -71,29 +71,29 @@
     return Listing(int(data["revision"]), bool(data["complete"]), tuple(members), addresses)
 
 
-class Line:
+class DiscoveryConnection:
     """A connection to discovery, kept for call after call."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def get(self, target: str) -> Answer:
+    async def get(self, target: str) -> Response:
         """The answer to one call."""
         if self._stream is None or self._stream[0].at_eof():
-            self.hang_up()
+            self.close()
             self._stream = await asyncio.open_connection(*self._address)
         reader, writer = self._stream
         writer.write(f"GET {target} HTTP/1.1\r\nHost: {self._address[0]}:{self._address[1]}\r\n\r\n".encode())
-        parser = AnswerReader(MAX_LIST)
+        parser = ResponseReader(MAX_LIST)
         while (data := await reader.read(65536)) != b"":
             if (answer := parser.feed(data)) is not None:
                 if not answer.reusable:
-                    self.hang_up()
+                    self.close()
                 return answer
         raise EOFError("the connection ended before the answer did")
 
-    def hang_up(self) -> None:
+    def close(self) -> None:
         """End the connection, if there is one."""
         if self._stream is not None:
             self._stream[1].close()
@@ -108,7 +108,7 @@
     def start(self, tell: Callable[[ListUpdate, dict[str, Address]], None]) -> None:
         """Tell the saved list; what comes later goes to the same place."""
 
-    def knows(self, server: str) -> bool:
+    def contains(self, server: str) -> bool:
         """Whether the list holds it."""
 
     def count(self) -> int:
@@ -152,7 +152,7 @@
         self._tell = tell
         self._apply(self._known, ListKind.SAVED)
 
-    def knows(self, server: str) -> bool:
+    def contains(self, server: str) -> bool:
         """Whether the list holds it."""
         return server in self._addresses
 
@@ -204,7 +204,7 @@
 
     async def _watch(self) -> NoReturn:
         """Follow the list by one connection until that fails, with _LostError."""
-        line = Line(self._address)
+        line = DiscoveryConnection(self._address)
         wait = 0  # the first answer comes at once, so that the module hears whether the list is back
         try:
             while True:
@@ -215,14 +215,14 @@
                 self._revision = listing.revision
                 self.heard.set()
                 wait = WATCH_MS
-        except (OSError, TimeoutError, EOFError, BadAnswerError) as error:
+        except (OSError, TimeoutError, EOFError, InvalidResponseError) as error:
             raise _LostError(f"{type(error).__name__}: {error}", wait > 0) from None
         except Exception as error:
             # A bad answer must not empty or half change the list: the old one stands, asked for whole next.
             self._revision = None
             raise _LostError(f"bad answer: {type(error).__name__}: {error}", False) from None
         finally:
-            line.hang_up()
+            line.close()
 
     def _apply(self, listing: Listing, kind: ListKind) -> None:
         kept = {} if listing.complete else self._addresses
@@ -230,12 +230,12 @@
         self._addresses = {k: a for k, a in (kept | listing.addresses).items() if k not in left}
         self._tell(ListUpdate(kind, listing.members), self._addresses)
 
-    async def _call(self, line: Line, wait_ms: int) -> Listing:
+    async def _call(self, line: DiscoveryConnection, wait_ms: int) -> Listing:
         target = PATH if self._revision is None else f"{PATH}?after={self._revision}&wait_ms={wait_ms}"
         async with asyncio.timeout(wait_ms / 1000 + CALL_TIMEOUT):
             answer = await line.get(target)
         if answer.status != 200:
-            raise BadAnswerError(f"status {answer.status}")
+            raise InvalidResponseError(f"status {answer.status}")
         listing = parse_listing(json.loads(answer.body))
         if not listing.complete and (self._revision is None or listing.revision < self._revision):
             raise ValueError(f"changes up to {listing.revision} do not follow on {self._revision}")
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from passpost.attempt import Attempt, Outgoing
+from passpost.attempt import Attempt, UpstreamRequest
 from passpost.counters import Counters
-from passpost.http1 import Address, Answer, Flow, Headers, Start
+from passpost.http1 import Address, FlowControl, Headers, Response, ResponseStart
 from passpost.reports import LoadReports
 from passpost.upstream import Upstreams
-from passpost.validation import Call, check
+from passpost.validation import RequestHead, check
 from umberworks import interface as face
 from umberworks.interface import Outcome
 from umberworks.rules import Balancer
@@ -29,19 +29,19 @@
 class Client(Protocol):
     """Whoever waits for a request's one answer."""
 
-    def serve(self, answer: Answer) -> None:
+    def send_response(self, answer: Response) -> None:
         """Pass on an upstream's answer."""
 
-    def begin(self, start: Start, flow: Flow) -> None:
+    def begin_response(self, start: ResponseStart, flow: FlowControl) -> None:
         """Pass on a long answer as it comes."""
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """A piece of it."""
 
     def complete(self) -> None:
         """It has ended in order."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """It never will: end it so that whoever reads it can tell."""
 
     def refuse(self, retry_after_ms: float) -> None:
@@ -50,14 +50,14 @@
     def fail(self, status: int) -> None:
         """Say that it has failed."""
 
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether it still waits: its end may lie unread."""
 
 
 class _Open:
     """A request that the module has not heard the end of."""
 
-    def __init__(self, class_name: str, client: Client, outgoing: Outgoing, remaining: float) -> None:
+    def __init__(self, class_name: str, client: Client, outgoing: UpstreamRequest, remaining: float) -> None:
         self.class_name, self.client, self.outgoing = class_name, client, outgoing
         self.remaining = remaining
         self.guard: asyncio.TimerHandle | None = None  # runs once the request is whole
@@ -75,14 +75,14 @@
     def __init__(self, engine: Engine, number: int, request: _Open, index: int) -> None:
         self._engine, self._number, self._request, self._index = engine, number, request, index
 
-    def start(self, start: Start, flow: Flow) -> bool:
+    def on_response_start(self, start: ResponseStart, flow: FlowControl) -> bool:
         """It begins; False if nobody wants it any more."""
         return self._engine.begun(self._number, self._request, self._index, start, flow)
 
-    def more(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """A piece of its body."""
         if not self._request.finished:
-            self._request.client.more(data)
+            self._request.client.send_body(data)
 
 
 class Engine:
@@ -146,7 +146,7 @@
 
     def listed(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
         """News of the list; the addresses come first, as the module may send at once."""
-        self._upstreams.route(addresses)
+        self._upstreams.set_addresses(addresses)
         self.has_upstreams = self.has_upstreams or any(
             m.readiness is face.Readiness.READY for m in update.members
         )
@@ -157,7 +157,7 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: UpstreamRequest,
         client: Client,
         free_connections: float,
     ) -> int:
@@ -172,17 +172,22 @@
         request.arriving = False
         return number
 
-    def read(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call | None:
+    def parse_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> RequestHead | None:
         """The call that a head stands for, None for the question whether we are ready; or BadRequestError."""
         return check(method, target, version, headers, self.classes)
 
     def take_up(
-        self, call: Call, remaining: float, outgoing: Outgoing, client: Client, free_connections: float
+        self,
+        call: RequestHead,
+        remaining: float,
+        outgoing: UpstreamRequest,
+        client: Client,
+        free_connections: float,
     ) -> int:
         """A request that was read is there; as `arrived`."""
         return self.arrived(call.class_name, call.tenant, remaining, outgoing, client, free_connections)
 
-    def whole(self, number: int) -> None:
+    def on_request_complete(self, number: int) -> None:
         """The last byte of a request that arrived unfinished is there: its time runs."""
         request = self._requests.get(number)
         if request is not None and not request.finished:
@@ -194,7 +199,7 @@
         delay = request.remaining + self._grace
         request.guard = asyncio.get_running_loop().call_later(delay, self._overdue, number)
 
-    def left(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         """The client has gone."""
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
@@ -286,13 +291,13 @@
         request.out += 1
         sink = _Sink(self, number, request, index)
 
-        def done(outcome: Outcome, answer: Answer | None) -> None:
+        def done(outcome: Outcome, answer: Response | None) -> None:
             self._ended(number, request, index, server, outcome, answer)
 
         def wanted() -> bool:
             # One that is sent on in the turn in which it came has not waited.
-            if not request.finished and not request.arriving and not request.client.is_there():
-                self.left(number)
+            if not request.finished and not request.arriving and not request.client.is_connected():
+                self.on_client_disconnected(number)
             return not request.finished
 
         if not wanted():  # nothing may be sent after the final answer
@@ -315,19 +320,19 @@
         if not attempt.is_over():
             request.attempts[index] = attempt
 
-    def begun(self, number: int, request: _Open, index: int, start: Start, flow: Flow) -> bool:
+    def begun(self, number: int, request: _Open, index: int, start: ResponseStart, flow: FlowControl) -> bool:
         """A long answer has begun; whether it is wanted. Its deadline no longer runs."""
         if request.finished or request.passing is not None:
             return False
         request.passing = request.attempts[index]
         if request.guard is not None:
             request.guard.cancel()
-        request.client.begin(start, flow)
+        request.client.begin_response(start, flow)
         self._post(face.AnswerStarted(number, index))
         return True
 
     def _ended(
-        self, number: int, request: _Open, index: int, server: str, outcome: Outcome, answer: Answer | None
+        self, number: int, request: _Open, index: int, server: str, outcome: Outcome, answer: Response | None
     ) -> None:
         passed = request.passing is not None and request.passing is request.attempts[index]
         request.attempts[index] = None
@@ -338,7 +343,7 @@
             if passed:
                 self._end_passing(number, request, outcome)
             elif outcome is Outcome.SERVED and answer is not None and self._finish(number, request):
-                request.client.serve(answer)
+                request.client.send_response(answer)
         finally:  # the module is owed the outcome, whatever became of the answer
             self._forget_if_over(number, request)
             report = self._reports.read(answer.headers) if answer is not None else None
@@ -352,7 +357,7 @@
             if outcome is Outcome.SERVED:
                 request.client.complete()
             else:
-                request.client.break_off()
+                request.client.abort()
 
     def _finish(self, number: int, request: _Open) -> bool:
         """Note the end of a request; True the first time, which is when its answer goes out."""
--- a/passpost/exchange.py
+++ b/passpost/exchange.py
@@ -6,32 +6,35 @@
 import time
 from typing import Protocol
 
-from passpost.answer_writer import AnswerWriter, is_framed
-from passpost.attempt import Outgoing
+from passpost.answer_writer import ResponseWriter, is_framed
+from passpost.attempt import UpstreamRequest
 from passpost.client_options import ClientOptions
 from passpost.client_transport import ClientTransport
-from passpost.counters import Final
+from passpost.counters import RequestResult
 from passpost.engine import Client
-from passpost.http1 import Answer, Flow, Headers, Start, end_to_end, write_headers
+from passpost.http1 import FlowControl, Headers, Response, ResponseStart, end_to_end_headers, write_headers
 from passpost.request_reader import Request, RequestReader
-from passpost.validation import Call
+from passpost.validation import RequestHead
 
 log = logging.getLogger(__name__)
 
-_FINALS = {200: Final.SERVED, 503: Final.REFUSED}  # what a status says of a call; all others: failed
+_FINALS = {
+    200: RequestResult.SERVED,
+    503: RequestResult.REFUSED,
+}  # what a status says of a call; all others: failed
 
 
 class RequestCounter(Protocol):
     """Counts the requests that were taken and how they ended."""
 
-    def taken(self) -> None:
+    def request_received(self) -> None:
         """A whole request has come; it ends exactly once."""
 
-    def ended(self, class_name: str, final: Final) -> None:
+    def request_ended(self, class_name: str, final: RequestResult) -> None:
         """A taken request has its final answer, or its client has gone."""
 
 
-class Host(Protocol):
+class RequestHandler(Protocol):
     """Whoever reads the heads of requests, takes them up and answers them."""
 
     @property
@@ -42,25 +45,30 @@
     def has_upstreams(self) -> bool:
         """Whether there is anything to send to."""
 
-    def read(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call | None:
+    def parse_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> RequestHead | None:
         """The call that a head stands for, None for the question whether we are ready; or BadRequestError."""
 
     def take_up(
-        self, call: Call, remaining: float, outgoing: Outgoing, client: Client, free_connections: float
+        self,
+        call: RequestHead,
+        remaining: float,
+        outgoing: UpstreamRequest,
+        client: Client,
+        free_connections: float,
     ) -> int:
         """A request is there, with so many seconds to answer it; the result is its number."""
 
-    def whole(self, number: int) -> None:
+    def on_request_complete(self, number: int) -> None:
         """The last byte of a request that was taken up unfinished is there."""
 
-    def left(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         """Its client has gone."""
 
 
 class ExchangeServer(Protocol):
     """The server that connections come in by, as the requests on them see it."""
 
-    engine: Host
+    engine: RequestHandler
     options: ClientOptions
     open_ids: set[bytes]  # of requests
     closing: bool  # each answer closes its connection
@@ -83,7 +91,7 @@
 
     reader: RequestReader
     transport: ClientTransport
-    answer: AnswerWriter
+    answer: ResponseWriter
     is_useful: bool  # a good request has come by it
 
     def resume(self) -> None:
@@ -123,18 +131,18 @@
             self._finish(200 if server.is_ready() else 503)
             return
         waited = time.monotonic() - request.came  # behind another
-        remaining = min(call.remaining - waited, server.time_left())
+        remaining = min(call.remaining_s - waited, server.time_left())
         if remaining <= 0:
             self.fail(504)
             return
-        if call.txn in server.open_ids:  # an upstream would take the second for a copy of the first
+        if call.request_id in server.open_ids:  # an upstream would take the second for a copy of the first
             self._refuse_copy(request)
             return
-        self._request_id, self._owner.is_useful = call.txn, True
-        server.open_ids.add(call.txn)
-        lines = write_headers(call.passed_on)
+        self._request_id, self._owner.is_useful = call.request_id, True
+        server.open_ids.add(call.request_id)
+        lines = write_headers(call.forwarded_headers)
         head = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (call.method, call.target, lines, request.framing())
-        outgoing = Outgoing(head, request.body, request.upload)
+        outgoing = UpstreamRequest(head, request.body, request.upload)
         if request.upload is not None and request.upload is self._owner.reader.upload:
             self._owner.resume()  # while it waited for its turn nothing was read
         number = server.engine.take_up(call, remaining, outgoing, self, server.free_connections())
@@ -144,7 +152,7 @@
     def _refuse_copy(self, request: Request) -> None:
         reader = self._owner.reader
         for dropped in (request, *reader.waiting):
-            self._count_end(dropped, Final.FAILED)
+            self._count_end(dropped, RequestResult.FAILED)
         reader.end_upload()
         reader.waiting.clear()
         self._request, reader.bad = None, 409
@@ -152,7 +160,7 @@
     def upload_is_whole(self, request: Request) -> None:
         """The last byte of a body that is passed on has come."""
         if self._request is request and self._number is not None:
-            self._server.engine.whole(self._number)
+            self._server.engine.on_request_complete(self._number)
 
     def cut_upload(self) -> None:
         """The body that is passed on has turned out bad, or too slow: its request ends here."""
@@ -164,20 +172,20 @@
             self._drop_number()
             if self._owner.answer.is_passing():  # its answer has begun: nothing else can be said
                 reader.end_upload()
-                self.break_off()
+                self.abort()
                 return
             self._request = None
             self._release()
         elif request in reader.waiting:
             reader.waiting.remove(request)
-        self._count_end(request, Final.FAILED)
+        self._count_end(request, RequestResult.FAILED)
         reader.end_upload()
 
     def client_left(self) -> None:
         """The connection has gone, and all requests on it with it."""
         reader = self._owner.reader
         for request in [*([self._request] if self._request else []), *reader.waiting]:
-            self._count_end(request, Final.FAILED)
+            self._count_end(request, RequestResult.FAILED)
         self._request = None
         reader.waiting.clear()
         self._release()
@@ -188,16 +196,16 @@
     def _drop_number(self) -> None:
         if self._number is not None:
             number, self._number = self._number, None
-            self._server.engine.left(number)
+            self._server.engine.on_client_disconnected(number)
 
-    def _count_end(self, request: Request, final: Final) -> None:
+    def _count_end(self, request: Request, final: RequestResult) -> None:
         if request.call is None:
             return
         counters = self._server.engine.counters
         if not request.is_counted:  # it has ended before its last byte came
             request.is_counted = True
-            counters.taken()
-        counters.ended(request.call.class_name, final)
+            counters.request_received()
+        counters.request_ended(request.call.class_name, final)
 
     def _release(self) -> None:
         """The id of the open request may be used again."""
@@ -207,7 +215,7 @@
 
     # ---- its answer
 
-    def begin(self, start: Start, flow: Flow) -> None:
+    def begin_response(self, start: ResponseStart, flow: FlowControl) -> None:
         """Pass on a long answer as it comes."""
         request = self._request
         if request is None:
@@ -216,7 +224,7 @@
             request.keep_alive = False
         self._owner.answer.begin(start, flow, request.version, self._persistence(request))
 
-    def more(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """A piece of it."""
         self._owner.answer.more(data)
 
@@ -225,18 +233,18 @@
         self._owner.answer.complete()
         self._finish(200, is_sent=True)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """It never will: a reset tells whoever reads it, whatever its framing."""
         request, self._request, self._number = self._request, None, None
         self._owner.answer.forget()
         if request is not None:
-            self._count_end(request, Final.FAILED)
+            self._count_end(request, RequestResult.FAILED)
             self._release()
-        self._owner.transport.break_off()
+        self._owner.transport.reset()
 
-    def serve(self, answer: Answer) -> None:
+    def send_response(self, answer: Response) -> None:
         """Pass on an upstream's answer."""
-        self._finish(answer.status, end_to_end(answer.headers), answer.body)
+        self._finish(answer.status, end_to_end_headers(answer.headers), answer.body)
 
     def refuse(self, retry_after_ms: float) -> None:
         """Say that trying again is harmless, and when it is best done."""
@@ -247,7 +255,7 @@
         """Say that it has failed."""
         self._finish(status)
 
-    def is_there(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether its client still waits: its end may lie unread."""
         return not self._owner.transport.is_left()
 
@@ -258,7 +266,7 @@
         if not request.keep_alive or (is_last and not self._owner.reader.waiting):
             request.keep_alive = False
             return b"Connection: close\r\n"
-        told = self._server.options.told_idle_s
+        told = self._server.options.keep_alive_timeout_s
         kept = b"Keep-Alive: timeout=%d\r\n" % told if told else b""
         return b"Connection: keep-alive\r\n%b" % kept if request.version == "1.0" else kept
 
@@ -270,7 +278,7 @@
         if request is None:
             return
         self._request, self._number = None, None
-        self._count_end(request, _FINALS.get(status, Final.FAILED))
+        self._count_end(request, _FINALS.get(status, RequestResult.FAILED))
         self._release()
         reader.let_go()
         is_unfinished = reader.sending is request
--- a/passpost/followed.py
+++ b/passpost/followed.py
@@ -17,8 +17,8 @@
 from fleet.registry import follower as core
 from fleet.registry.entries import Entry, Word
 from fleet.registry.history import Changes, Saved
-from passpost.discovery import CALL_TIMEOUT, PATH, Line, Listing, parse_address
-from passpost.http1 import Address, BadAnswerError
+from passpost.discovery import CALL_TIMEOUT, PATH, DiscoveryConnection, Listing, parse_address
+from passpost.http1 import Address, InvalidResponseError
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
 log = logging.getLogger(__name__)
@@ -113,7 +113,7 @@
         self._addresses = dict(self._known.addresses)
         tell(ListUpdate(ListKind.SAVED, self._known.members), self._addresses)
 
-    def knows(self, server: str) -> bool:
+    def contains(self, server: str) -> bool:
         """Whether the list holds it."""
         return server in self._addresses
 
@@ -148,7 +148,7 @@
             self._task.cancel()
 
     async def _follow(self) -> None:
-        lines = {name: Line(address) for name, address in self._places.items()}
+        lines = {name: DiscoveryConnection(address) for name, address in self._places.items()}
         event: core.Event = core.Begin()
         try:
             while True:
@@ -164,9 +164,11 @@
                 event = await self._carry_out(actions, lines)
         finally:
             for line in lines.values():
-                line.hang_up()
+                line.close()
 
-    async def _carry_out(self, actions: list[core.Action], lines: dict[str, Line]) -> core.Event:
+    async def _carry_out(
+        self, actions: list[core.Action], lines: dict[str, DiscoveryConnection]
+    ) -> core.Event:
         """Ask, or pause: one of the two is always due."""
         for action in actions:
             if isinstance(action, core.Pause):
@@ -176,7 +178,7 @@
                 return await self._ask(action, lines[action.replica])
         raise AssertionError("the follower neither asks nor pauses")
 
-    async def _ask(self, ask: core.Ask, line: Line) -> core.Event:
+    async def _ask(self, ask: core.Ask, line: DiscoveryConnection) -> core.Event:
         target = f"{PATH}?detail=1"
         if ask.after is not None:
             target += f"&after={ask.after}&wait_ms={ask.wait_ms:.0f}"
@@ -185,13 +187,13 @@
             async with asyncio.timeout(seconds):
                 answer = await line.get(target)
             if answer.status != 200:
-                raise BadAnswerError(f"status {answer.status}")
+                raise InvalidResponseError(f"status {answer.status}")
             return read_answer(json.loads(answer.body), ask.replica, ask.after)
         except TimeoutError:
-            line.hang_up()
+            line.close()
             return core.Failed(ask.replica, f"no answer within {seconds:g} s")
         except Exception as error:  # whatever is spoilt: the old list stands, and the next address is asked
-            line.hang_up()
+            line.close()
             return core.Failed(ask.replica, f"{type(error).__name__}: {error}")
 
     def _pass_on(self) -> None:
--- a/passpost/http1.py
+++ b/passpost/http1.py
@@ -15,10 +15,10 @@
 OWS = b" \t"  # may surround a header's value and is no part of it; the parser leaves what is behind it
 MAX_HEAD = 16 * 1024
 MAX_BODY = 32 * 1024 * 1024  # the bound for requests and answers alike
-HELD_BODY = (
+MAX_BUFFERED_BODY = (
     64 * 1024
 )  # a body up to this is held whole: it can be tried again, and its last byte is what counts
-HELD_UNKNOWN = (
+MAX_BUFFERED_UNSIZED = (
     16 * 1024
 )  # of a body whose length nobody knows yet, so much is held: its first bytes may count
 
@@ -28,7 +28,7 @@
 )
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """The headers that a proxy passes on; framing and connection headers are each hop's own."""
     named = {
         token.strip().lower()
@@ -44,12 +44,12 @@
     return b"".join([b"%b: %b\r\n" % pair for pair in headers])
 
 
-class BadAnswerError(Exception):
+class InvalidResponseError(Exception):
     """What came is no answer, or one beyond the bounds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """One whole answer; `reusable` says that its connection can carry another request."""
 
     status: int
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class ResponseStart:
     """The beginning of an answer that is passed on as it comes; `length` is None if nobody knows it yet."""
 
     headers: Headers
@@ -67,7 +67,7 @@
     status: int = 200
 
 
-class Flow(Protocol):
+class FlowControl(Protocol):
     """Where bytes come from; it can be told to wait."""
 
     def pause(self) -> None:
@@ -96,7 +96,7 @@
     INVALID = "invalid"  # what came is no answer
 
 
-class AnswerReader:
+class ResponseReader:
     """Reads the one answer that is due on a connection.
 
     With `held`, a good answer longer than that is passed on: `start` says so once, then `take` what has come.
@@ -108,44 +108,44 @@
         self,
         max_body: int = MAX_BODY,
         held: int | None = None,
-        at_once: Callable[[int, Headers], bool] | None = None,
-        is_due: Callable[[int, Headers], bool] | None = None,
+        is_streamed: Callable[[int, Headers], bool] | None = None,
+        response_matcher: Callable[[int, Headers], bool] | None = None,
     ) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._is_due, self._is_stale = is_due, False
+        self._is_due, self._is_stale = response_matcher, False
         self.stale = 0  # answers to earlier requests that were dropped
         self._max_body, self._held = max_body, held
-        self._is_at_once, self._at_once = at_once, False
+        self._is_at_once, self._at_once = is_streamed, False
         self._head_size, self._head_done, self._status = 0, False, 0
         self._headers: Headers = []
         self._body, self._size = bytearray(), 0
         self._length: int | None = None
         self._to_the_end = False  # its body ends with the connection
         self._started = False
-        self._whole: Answer | None = None
+        self._response: Response | None = None
         self._surplus, self._bad = False, ""
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> Response | None:
         """The answer once it is whole; raises BadAnswerError on anything that can't become one."""
         if not self._head_done:
             self._head_size += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if self._whole is None:
-                raise BadAnswerError(str(error)) from None
+            if self._response is None:
+                raise InvalidResponseError(str(error)) from None
             self._surplus = True
         if self._bad:
-            raise BadAnswerError(self._bad)
-        if self._whole is None:
+            raise InvalidResponseError(self._bad)
+        if self._response is None:
             if not self._head_done and self._head_size > MAX_HEAD:
-                raise BadAnswerError("the head is too long")
+                raise InvalidResponseError("the head is too long")
             return None
         if self.has_surplus():  # the answer is good, but what follows it belongs to no request
-            return replace(self._whole, reusable=False)
-        return self._whole
+            return replace(self._response, reusable=False)
+        return self._response
 
-    def end(self, kind: EndKind) -> Answer | None:
+    def end(self, kind: EndKind) -> Response | None:
         """The connection has ended: the answer if that is how it ends; None if it is cut short.
 
         A body without length and chunks ends with a close in order (RFC 9112, section 8); after a reset
@@ -153,36 +153,36 @@
         """
         if kind is not EndKind.FIN or not self.ends_with_connection():
             return None
-        self._whole = Answer(self._status, self._headers, self._rest(), False)
-        return self._whole
+        self._response = Response(self._status, self._headers, self._buffered_body(), False)
+        return self._response
 
     def ends_with_connection(self) -> bool:
         """Whether the answer that is coming would be whole if its connection ended in order now."""
-        is_coming = self._whole is None and not self._bad and not self._is_stale
+        is_coming = self._response is None and not self._bad and not self._is_stale
         return is_coming and self.framing() is Framing.CLOSE
 
-    def start(self, waited: bool = False) -> Start | None:
+    def start(self, waited: bool = False) -> ResponseStart | None:
         """The beginning, once, of an answer too long to be held, or too slow if we have `waited` for it."""
         if self._held is None or self._started or not self._head_done or self._is_stale:
             return None
         if self._at_once:
             self._started = True
-            return Start(self._headers, self._length, self._status)
+            return ResponseStart(self._headers, self._length, self._status)
         if self._status != 200:
             return None
         if self._length is None:
-            due = waited or self._whole is not None or self._size > min(self._held, HELD_UNKNOWN)
+            due = waited or self._response is not None or self._size > min(self._held, MAX_BUFFERED_UNSIZED)
         else:
             due = self._length > self._held
-        if not due or (self._whole is not None and self._size <= self._held):
+        if not due or (self._response is not None and self._size <= self._held):
             return None
         self._started = True
-        length = self._length if self._whole is None else self._size
-        return Start(self._headers, length)
+        length = self._length if self._response is None else self._size
+        return ResponseStart(self._headers, length)
 
     def is_open_ended(self) -> bool:
         """Whether a good answer is coming whose length nobody knows yet."""
-        is_coming = self._head_done and self._whole is None and not self._is_stale
+        is_coming = self._head_done and self._response is None and not self._is_stale
         return is_coming and self._status == 200 and self._length is None
 
     def framing(self) -> Framing:
@@ -211,14 +211,14 @@
         self._body.clear()
         return data
 
-    def _rest(self) -> bytes:
+    def _buffered_body(self) -> bytes:
         return b"" if self._started else bytes(self._body)
 
     # ---- httptools' callbacks
 
     def on_message_begin(self) -> None:
         """A second message behind the answer is surplus."""
-        self._surplus = self._whole is not None
+        self._surplus = self._response is not None
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """One header, or a trailer, which nobody needs."""
@@ -228,7 +228,7 @@
     def on_headers_complete(self) -> None:
         """The head is there; a length beyond the bound is not waited for."""
         self._head_done = True
-        if self._whole is not None:
+        if self._response is not None:
             return
         self._status = self._parser.get_status_code()
         fields = {n.lower(): v for n, v in self._headers}
@@ -247,17 +247,17 @@
 
     def on_body(self, data: bytes) -> None:
         """A piece of the body; a longer one than the bound, or one to hold of an error, is bad."""
-        if self._whole is not None or self._bad or self._is_stale:
+        if self._response is not None or self._bad or self._is_stale:
             return
         self._size += len(data)
-        if self._size > (self._max_body if self._status == 200 else min(self._max_body, HELD_BODY)):
+        if self._size > (self._max_body if self._status == 200 else min(self._max_body, MAX_BUFFERED_BODY)):
             self._bad = "the body is too long"
         else:
             self._body += data
 
     def on_message_complete(self) -> None:
         """The answer is whole, unless it is a 1xx, which only announces it."""
-        if self._whole is not None:
+        if self._response is not None:
             return
         if self._is_stale:
             self.stale += 1
@@ -269,6 +269,6 @@
             return
         # After an answer to an earlier request nobody knows how many more there are.
         keep = self._parser.should_keep_alive() and not self.stale
-        self._whole = Answer(self._status, self._headers, b"", keep)
+        self._response = Response(self._status, self._headers, b"", keep)
         if not self._started:
-            self._whole = replace(self._whole, body=bytes(self._body))
+            self._response = replace(self._response, body=bytes(self._body))
--- a/passpost/request_reader.py
+++ b/passpost/request_reader.py
@@ -12,8 +12,8 @@
 
 from passpost.attempt import Upload
 from passpost.client_options import ClientOptions
-from passpost.http1 import HELD_BODY, OWS, Headers
-from passpost.validation import BadRequestError, Call
+from passpost.http1 import MAX_BUFFERED_BODY, OWS, Headers
+from passpost.validation import BadRequestError, RequestHead
 
 # So much of what lies there is parsed at once: what many small requests take, in time and memory, is bounded.
 # Of a body more, and all of it where its head tells the length.
@@ -25,7 +25,7 @@
 class Request:
     """One request as it was read; with no call it asks whether we are ready."""
 
-    call: Call | None
+    call: RequestHead | None
     body: bytes
     keep_alive: bool
     came: float
@@ -47,7 +47,7 @@
 
     options: ClientOptions
 
-    def read_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call | None:
+    def read_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> RequestHead | None:
         """The call that a head stands for, None for the question whether we are ready; or BadRequestError."""
 
     def hold(self, size: int) -> bool:
@@ -84,7 +84,7 @@
         self._parser = httptools.HttpRequestParser(self)
         self._target, self._headers, self._body = b"", list[tuple[bytes, bytes]](), bytearray()
         self._head_size = 0
-        self._call: Call | None = None  # of the request that is being read
+        self._call: RequestHead | None = None  # of the request that is being read
         self._held = 0  # what is held of its body beyond the usual, in bytes
         self._length: int | None = None  # that its head tells
         self._continues = False  # its client waits for word to go on
@@ -132,7 +132,7 @@
                 self.waiting[-1].keep_alive = False
         except httptools.HttpParserError:
             self.bad = self.bad or 400
-        if self.is_in_head and self._head_size > self._server.options.max_head:
+        if self.is_in_head and self._head_size > self._server.options.max_head_bytes:
             self.bad = self.bad or 431
 
     def count_time(self, counts: bool) -> None:
@@ -193,15 +193,15 @@
         now = time.monotonic()
         self.body_size += len(data)
         if not self.is_held_back:
-            limit = max(self.body_until, now) + len(data) / self._server.options.body_rate
+            limit = max(self.body_until, now) + len(data) / self._server.options.min_body_rate
             self.body_until = min(limit, now + BODY_SPAN_S)
-        if self.body_size > self._server.options.max_body:
+        if self.body_size > self._server.options.max_body_bytes:
             self.bad = 413
         elif self.upload is not None:
             self.upload.feed(data)
         else:
             self._body += data
-            if len(self._body) > HELD_BODY + self._held and not self._hold_more():
+            if len(self._body) > MAX_BUFFERED_BODY + self._held and not self._hold_more():
                 self._begin_upload()
 
     def on_message_complete(self) -> None:
@@ -223,10 +223,10 @@
     def _hold_more(self) -> bool:
         """Whether this body may be held whole further on; one that is known to grow too long never is."""
         size = max(len(self._body), self._length or 0)
-        if size > self._server.options.held_each or not self._server.hold(HELD_BODY):
+        if size > self._server.options.max_buffered_body or not self._server.hold(MAX_BUFFERED_BODY):
             return False
-        self._held += HELD_BODY
-        return len(self._body) <= HELD_BODY + self._held or self._hold_more()
+        self._held += MAX_BUFFERED_BODY
+        return len(self._body) <= MAX_BUFFERED_BODY + self._held or self._hold_more()
 
     def let_go(self) -> None:
         """Give back what was held of the body of the request that has ended."""
@@ -235,7 +235,7 @@
 
     def _begin_upload(self) -> None:
         """The body is too long to be held: it goes on as it comes, and its request is taken up now."""
-        if not self._server.options.uploads:
+        if not self._server.options.streams_uploads:
             self.bad = 503  # no memory for it now
             return
         self.upload = Upload(self._length, bytes(self._body), self._owner)
--- a/passpost/server.py
+++ b/passpost/server.py
@@ -11,10 +11,10 @@
 from passpost.acceptor import Acceptor
 from passpost.client_connection import READ_BODY, ClientConnection, Give
 from passpost.client_options import ClientOptions
-from passpost.exchange import Host
+from passpost.exchange import RequestHandler
 from passpost.http1 import Address, Headers
 from passpost.listening import listen
-from passpost.validation import Call
+from passpost.validation import RequestHead
 
 KEEP_SHARE = 0.5  # clients are many past this share of the limit; then each answer closes its connection
 DEALT_AFTER_STOP_S = 0.2  # new connections come for so long at the least; later clients have what they hold
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        engine: Host,
+        engine: RequestHandler,
         address: Address,
         max_open: int,
         listener: socket.socket | None = None,
@@ -55,7 +55,7 @@
         self.acceptor = Acceptor(self, listener or listen(address, shared), max_open)
         self._sweeper: asyncio.TimerHandle | None = None
 
-    def treat(self, options: ClientOptions) -> None:
+    def apply_options(self, options: ClientOptions) -> None:
         """Treat clients so from now on."""
         self._given = self.options = options
 
@@ -80,13 +80,13 @@
         self.acceptor.start()
         self._sweep()
 
-    def read_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call | None:
+    def read_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> RequestHead | None:
         """The call that a head stands for, None for the question whether we are ready; or BadRequestError."""
-        return self.engine.read(method, target, version, headers)
+        return self.engine.parse_head(method, target, version, headers)
 
     def request_is_read(self) -> None:
         """A whole request has come."""
-        self.engine.counters.taken()
+        self.engine.counters.request_received()
 
     def hold(self, size: int) -> bool:
         """Take so much memory for long bodies, if there is so much, or give it back."""
@@ -176,7 +176,7 @@
         self.options = self._given or client_options.in_service()
         self.closing, step = self.closing or self.options.closes_at_stop, self.options.drain_step_s
         await asyncio.sleep(self.options.accept_after_stop_s)
-        while self.acceptor.connections and self.time_left() > self.options.last_call_s:
+        while self.acceptor.connections and self.time_left() > self.options.closing_phase_s:
             if self.closing:
                 self._send_off_idle()
             await asyncio.sleep(step)
--- a/passpost/upstream.py
+++ b/passpost/upstream.py
@@ -11,8 +11,8 @@
 import time
 from collections.abc import Callable
 
-from passpost.answer_end import AnswerEnd, Misuse
-from passpost.attempt import Attempt, Done, Outgoing, Sink
+from passpost.answer_end import Misuse, ResponseEnd
+from passpost.attempt import Attempt, AttemptCallback, ResponseSink, UpstreamRequest
 from passpost.http1 import Address
 from passpost.upstream_connection import IDLE_SHARE, Connection, Upstream, WatchAnswers, WatchMisuse
 from passpost.upstream_options import UpstreamOptions
@@ -27,7 +27,7 @@
 REST_S = 0.005  # an upstream that closes behind an answer, or sends more than it, does so within this
 
 
-def _unwatched(server: str, request: Outgoing, end: AnswerEnd) -> None:
+def _unwatched(server: str, request: UpstreamRequest, end: ResponseEnd) -> None:
     """Nobody wants to know how answers end."""
 
 
@@ -46,8 +46,8 @@
         options: UpstreamOptions | None = None,
     ) -> None:
         self.options = options or UpstreamOptions()
-        self.watch_answers: WatchAnswers = _unwatched
-        self.watch_misuse: WatchMisuse = _unwatched_misuse
+        self.on_response_end: WatchAnswers = _unwatched
+        self.on_misuse: WatchMisuse = _unwatched_misuse
         self._connect_timeout = connect_timeout
         self._idle_limit = idle_timeout * IDLE_SHARE
         self._max_open = self._allowed = max_open
@@ -69,9 +69,9 @@
             self._sweeper.cancel()
         for probe in self._probes:
             probe.cancel()
-        self.route({})
+        self.set_addresses({})
 
-    def route(self, addresses: dict[str, Address]) -> None:
+    def set_addresses(self, addresses: dict[str, Address]) -> None:
         """Take over a list; upstreams that left it or moved lose their idle connections."""
         for name, upstream in list(self._upstreams.items()):
             if addresses.get(name) != upstream.address:
@@ -85,21 +85,21 @@
     def send(
         self,
         server: str,
-        request: Outgoing,
+        request: UpstreamRequest,
         timeout: float,
-        done: Done,
+        done: AttemptCallback,
         written: Callable[[], None] = lambda: None,
-        sink: Sink | None = None,
-        wanted: Callable[[], bool] = lambda: True,
-        write_within: float = math.inf,
+        sink: ResponseSink | None = None,
+        is_wanted: Callable[[], bool] = lambda: True,
+        write_within_s: float = math.inf,
     ) -> Attempt:
         """Make one attempt; `done` is told its outcome once, later or at once.
 
         `wanted` is asked again where it has had to wait for its connection. What has not been written within
         so many seconds is not any more.
         """
-        bounded = self.options.bounds_answers
-        attempt = Attempt(request, timeout, done, written, sink, wanted, write_within, bounded)
+        bounded = self.options.applies_timeout_to_streams
+        attempt = Attempt(request, timeout, done, written, sink, is_wanted, write_within_s, bounded)
         upstream = self._upstreams.get(server)
         if upstream is None or not request.is_sendable():
             attempt.end(Outcome.NOT_SENT)
@@ -125,18 +125,18 @@
                 log.warning("no descriptor left for a connection to %s", upstream.name)
             attempt.end(Outcome.UNREACHED)
 
-    def _needs_unused(self, request: Outgoing, upstream: Upstream) -> bool:
+    def _needs_unused(self, request: UpstreamRequest, upstream: Upstream) -> bool:
         """Whether a request goes out on no connection that has carried another.
 
         What is sent while an upstream sends stray bytes and closes is never read. It may be tried again where
         a request may run twice: those that may not are careful after one misuse, and all after two.
         """
-        if not self.options.doubts_misused:
+        if not self.options.avoids_misused_connections:
             return False
         since = time.monotonic() - MISUSED_S
         if upstream.misused_before > since:
             return True
-        if not request.needs_unused:
+        if not request.needs_unused_connection:
             return False
         return upstream.misused_at > since or self._are_many_misused(since)
 
@@ -153,22 +153,22 @@
     def misused(self, upstream: Upstream, misuse: Misuse) -> None:
         """An upstream has sent what belongs to no request of ours that is out."""
         upstream.misused_before, upstream.misused_at = upstream.misused_at, time.monotonic()
-        self.watch_misuse(upstream.name, misuse)
+        self.on_misuse(upstream.name, misuse)
 
     def can_dispatch(self, upstream: Upstream) -> bool:
         """Whether an attempt would find a connection to this upstream, or could open one."""
         return bool(upstream.idle) or (len(upstream.open) < self._most_each and self._has_room())
 
-    def limit_each(self, most: float) -> None:
+    def limit_connections_each(self, most: float) -> None:
         """From now on at most so many connections are opened to one upstream; those that are open go on."""
         self._most_each = most
 
-    def has_place(self, server: str) -> bool:
+    def can_send(self, server: str) -> bool:
         """Whether an attempt would find a connection to this upstream, or could open one."""
         upstream = self._upstreams.get(server)
         return upstream is not None and (bool(upstream.idle) or len(upstream.open) < self._most_each)
 
-    def has_idle(self, server: str) -> bool:
+    def has_idle_connection(self, server: str) -> bool:
         """Whether an attempt on this upstream would most likely need no new connection."""
         upstream = self._upstreams.get(server)
         return upstream is not None and bool(upstream.idle)
@@ -207,7 +207,7 @@
             for connection in list(self._upstreams[name].idle):
                 connection.drop()
 
-    def drop_idle(self, server: str) -> None:
+    def close_idle_connections(self, server: str) -> None:
         """Close the idle connections to one upstream."""
         upstream = self._upstreams.get(server)
         for connection in list(upstream.idle) if upstream is not None else ():
@@ -271,7 +271,7 @@
         attempt.connecting = None
         if not reached:
             attempt.end(Outcome.UNREACHED)
-        elif attempt.is_over() or not attempt.wanted():
+        elif attempt.is_over() or not attempt.is_wanted():
             attempt.end(Outcome.NOT_SENT)  # where nobody has told it another end
         else:
             attempt.opening = None
@@ -302,12 +302,12 @@
         self._said_full = False
         now = time.monotonic()
         limit = now - self._idle_limit
-        stalled = now - (self.options.stall_s or STALL_S)
+        stalled = now - (self.options.stall_timeout_s or STALL_S)
         for upstream in self._upstreams.values():
             for connection in [c for c in upstream.open if c.stalls(stalled)]:
                 connection.give_up()
             while upstream.idle and upstream.idle[0].idle_since < limit:
                 upstream.idle[0].drop()
-            if self.options.heeds_keep_alive:
+            if self.options.honors_keep_alive:
                 for connection in [c for c in upstream.idle if now - c.idle_since >= c.kept]:
                     connection.drop()
--- a/passpost/upstream_connection.py
+++ b/passpost/upstream_connection.py
@@ -12,9 +12,17 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from passpost.answer_end import AnswerEnd, Misuse, answer_end, connection_end
-from passpost.attempt import Attempt, Done, Outgoing, Upload
-from passpost.http1 import HELD_BODY, Address, Answer, AnswerReader, BadAnswerError, EndKind, Headers
+from passpost.answer_end import Misuse, ResponseEnd, answer_end, connection_end
+from passpost.attempt import Attempt, AttemptCallback, Upload, UpstreamRequest
+from passpost.http1 import (
+    MAX_BUFFERED_BODY,
+    Address,
+    EndKind,
+    Headers,
+    InvalidResponseError,
+    Response,
+    ResponseReader,
+)
 from passpost.upstream_options import UpstreamOptions
 from umberworks.interface import Outcome
 
@@ -27,7 +35,9 @@
 MISDIRECTED = 421  # status: the address has another upstream by now
 
 WatchMisuse = Callable[[str, Misuse], None]  # told of an upstream and what it sent
-WatchAnswers = Callable[[str, Outgoing, AnswerEnd], None]  # of an upstream, a request and its answer's end
+WatchAnswers = Callable[
+    [str, UpstreamRequest, ResponseEnd], None
+]  # of an upstream, a request and its answer's end
 
 _KEPT = re.compile(rb"timeout\s*=\s*([0-9]{1,6})")
 
@@ -48,7 +58,7 @@
     """Who keeps the connections."""
 
     options: UpstreamOptions
-    watch_answers: WatchAnswers
+    on_response_end: WatchAnswers
 
     def misused(self, upstream: Upstream, misuse: Misuse) -> None:
         """An upstream has sent what belongs to no request that is out."""
@@ -95,7 +105,7 @@
     def __init__(self, upstream: Upstream, pool: Pool) -> None:
         self._upstream, self._pool = upstream, pool
         self._attempt: Attempt | None = None
-        self._reader: AnswerReader | None = None
+        self._reader: ResponseReader | None = None
         self._transport: asyncio.Transport | None = None
         self._poll = select.poll()
         self._upload: Upload | None = None
@@ -113,14 +123,16 @@
         """Write the attempt's request."""
         assert self._transport is not None
         self._attempt, self.is_used = attempt, True
-        held = HELD_BODY if attempt.is_holding() else None
-        is_due = attempt.request.is_due
-        self._reader = AnswerReader(held=held, at_once=self._pool.options.at_once, is_due=is_due)
+        held = MAX_BUFFERED_BODY if attempt.is_holding() else None
+        response_matcher = attempt.request.response_matcher
+        self._reader = ResponseReader(
+            held=held, is_streamed=self._pool.options.is_streamed, response_matcher=response_matcher
+        )
         attempt.connection = self
         self._moved = time.monotonic()
         # The transport says at once if it could not write it all: see pause_writing.
         self._upload, self._clogged, self.unwritten = attempt.request.upload, False, False
-        self._transport.write(attempt.request.write(attempt.remaining()))
+        self._transport.write(attempt.request.encode(attempt.remaining()))
         if self._upload is not None:
             self.unwritten = True
             self._upload.attach(self)
@@ -219,8 +231,8 @@
         self._transport.set_write_buffer_limits(high=0)
         peer = transport.get_extra_info("socket")
         self._poll.register(peer, select.POLLIN | select.POLLRDHUP)
-        if self._pool.options.dark_ms:
-            notice_darkness(peer, self._pool.options.dark_ms)
+        if self._pool.options.unacked_timeout_ms:
+            notice_darkness(peer, self._pool.options.unacked_timeout_ms)
 
     def pause_writing(self) -> None:
         """Part of the request is still with us: the upstream can't have begun it."""
@@ -247,7 +259,7 @@
         had_stale = reader.stale
         try:
             answer = reader.feed(data)
-        except BadAnswerError as error:
+        except InvalidResponseError as error:
             log.warning("upstream %s: bad answer: %s", self._upstream.name, error)
             self._tell_end(EndKind.INVALID)
             attempt.end(Outcome.BROKEN)
@@ -268,9 +280,9 @@
         """Whoever watches hears how the answer that was due has ended."""
         if self._attempt is not None and self._reader is not None:
             end = answer_end(kind, self._reader)
-            self._pool.watch_answers(self._upstream.name, self._attempt.request, end)
+            self._pool.on_response_end(self._upstream.name, self._attempt.request, end)
 
-    def _pass_on(self, attempt: Attempt, reader: AnswerReader, waited: bool = False) -> None:
+    def _pass_on(self, attempt: Attempt, reader: ResponseReader, waited: bool = False) -> None:
         """Begin or go on with an answer that is too long to be held."""
         if not attempt.started and (start := reader.start(waited)) is not None:
             self._length_timer.stop()
@@ -284,7 +296,7 @@
         if self._attempt is not None and self._reader is not None:
             self._pass_on(self._attempt, self._reader, waited=True)
 
-    def _answered(self, attempt: Attempt, answer: Answer) -> None:
+    def _answered(self, attempt: Attempt, answer: Response) -> None:
         """The answer is whole; its connection goes on if both sides are through with their messages."""
         if attempt.is_over():
             return
@@ -293,7 +305,7 @@
             if self._waiting:
                 self.resume()
             self._attempt, self._reader, self._upload, attempt.connection = None, None, None, None
-            if self._pool.options.heeds_keep_alive and (told := told_idle_s(answer.headers)) is not None:
+            if self._pool.options.honors_keep_alive and (told := told_idle_s(answer.headers)) is not None:
                 self.kept = max(told - KEEP_MARGIN_S, told * IDLE_SHARE)
             self._pool.rest(self, self._upstream)
         attempt.end(self._pool.options.outcome(answer), answer)
@@ -350,19 +362,19 @@
     listener a little later: only an answer shows that it lives. It is asked on a connection that has carried
     nothing, as it may not read one whose last answer it has not done with; if none comes up, on an idle one.
     """
-    question = pool.options.question
+    question = pool.options.liveness_request
     if question is None or not pool.can_dispatch(upstream):
         asyncio.get_running_loop().call_soon(found, True)  # nothing can be known against it
         return
 
-    def ask(done: Done, unused: bool) -> None:
+    def ask(done: AttemptCallback, unused: bool) -> None:
         request = question(upstream.name, upstream.address)
         pool.dispatch(Attempt(request, ASK_S, done), upstream, unused=unused)
 
-    def answered(outcome: Outcome, answer: Answer | None) -> None:
+    def answered(outcome: Outcome, answer: Response | None) -> None:
         found(answer is not None and answer.status != MISDIRECTED)
 
-    def answered_first(outcome: Outcome, answer: Answer | None) -> None:
+    def answered_first(outcome: Outcome, answer: Response | None) -> None:
         if outcome is Outcome.UNREACHED and upstream.idle:  # it takes no new connection, and may live
             ask(answered, unused=False)
         else:
--- a/passpost/upstream_options.py
+++ b/passpost/upstream_options.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from passpost.attempt import Outgoing
-from passpost.http1 import Address, Answer, Headers
+from passpost.attempt import UpstreamRequest
+from passpost.http1 import Address, Headers, Response
 from umberworks.interface import Outcome
 
 
-def outcome_of(answer: Answer) -> Outcome:
+def outcome_of(answer: Response) -> Outcome:
     """What an answer means, by the protocol's table."""
     if answer.status == 200:
         return Outcome.SERVED
@@ -24,11 +24,19 @@
 class UpstreamOptions:
     """How upstreams are spoken to; spans in seconds. What stands here is the program in service."""
 
-    outcome: Callable[[Answer], Outcome] = outcome_of
-    at_once: Callable[[int, Headers], bool] | None = None  # answers passed on from their heads on
-    stall_s: float | None = None  # STALL_S
-    heeds_keep_alive: bool = False  # idle connections live as long as the upstream's Keep-Alive tells
-    bounds_answers: bool = False  # an answer that is passed on as it comes has to end in its attempt's time
-    question: Callable[[str, Address], Outgoing] | None = None  # that a live upstream of that name answers
-    doubts_misused: bool = False  # upstreams that send stray bytes get requests on unused connections
-    dark_ms: int = 0  # TCP_USER_TIMEOUT and keep-alive probes: a peer that says nothing so long is gone
+    outcome: Callable[[Response], Outcome] = outcome_of
+    is_streamed: Callable[[int, Headers], bool] | None = None  # answers passed on from their heads on
+    stall_timeout_s: float | None = None  # STALL_S
+    honors_keep_alive: bool = False  # idle connections live as long as the upstream's Keep-Alive tells
+    applies_timeout_to_streams: bool = (
+        False  # an answer that is passed on as it comes has to end in its attempt's time
+    )
+    liveness_request: Callable[[str, Address], UpstreamRequest] | None = (
+        None  # that a live upstream of that name answers
+    )
+    avoids_misused_connections: bool = (
+        False  # upstreams that send stray bytes get requests on unused connections
+    )
+    unacked_timeout_ms: int = (
+        0  # TCP_USER_TIMEOUT and keep-alive probes: a peer that says nothing so long is gone
+    )
--- a/passpost/validation.py
+++ b/passpost/validation.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from passpost.http1 import MAX_BODY, MAX_HEAD, Headers, end_to_end
+from passpost.http1 import MAX_BODY, MAX_HEAD, Headers, end_to_end_headers
 from umberworks.interface import Effect, RequestClass
 
 READY = b"/health/ready"
@@ -38,21 +38,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class RequestHead:
     """What the head of a good request says; `remaining` is in seconds from its last byte on."""
 
     class_name: str
-    txn: bytes
+    request_id: bytes
     tenant: str | None
-    remaining: float
+    remaining_s: float
     method: bytes
     target: bytes
-    passed_on: Headers
+    forwarded_headers: Headers
 
 
 def check(
     method: bytes, target: bytes, version: str, headers: Headers, classes: Mapping[str, RequestClass]
-) -> Call | None:
+) -> RequestHead | None:
     """The call that a head stands for, None for the question whether we are ready; or BadRequestError.
 
     Whatever could be read in two ways is refused, so that no upstream can read it in the other.
@@ -97,5 +97,5 @@
             raise BadRequestError(400)
         remaining = min(float(told), remaining)
     tenant = fields[b"x-org"].decode("latin-1") if b"x-org" in fields else None
-    passed_on = [(n, v) for n, v in end_to_end(headers) if n.lower() != b"x-remaining"]
-    return Call(cls.name, txn, tenant, remaining, method, target, passed_on)
+    forwarded_headers = [(n, v) for n, v in end_to_end_headers(headers) if n.lower() != b"x-remaining"]
+    return RequestHead(cls.name, txn, tenant, remaining, method, target, forwarded_headers)
--- a/tests/balancer_stage.py
+++ b/tests/balancer_stage.py
@@ -13,13 +13,13 @@
 from config.configuration import Backend, ClientLimits, Configuration, Route, Service, Upstream
 from config.settings import Bounds, CloudApi, Limits, Listen, Settings
 from mastturn.standins.ports import free_port
-from tests.loopback import CuttingServer, Got, Reader, Writer, read_request
+from tests.loopback import CuttingServer, Reader, ReceivedRequest, Writer, read_request
 
 HOST, PATH = "shop.example", "/run/1"
-Act = Callable[["Stage", Got, Writer], Awaitable[None]]
+Act = Callable[["Stage", ReceivedRequest, Writer], Awaitable[None]]
 
 
-def head(got: Got, extra: str = "", status: str = "200 OK", sealed: bool = True) -> str:
+def head(got: ReceivedRequest, extra: str = "", status: str = "200 OK", sealed: bool = True) -> str:
     seal = "Mastturn-Server-Seal: s.1\r\n" if sealed else ""
     return f"HTTP/1.1 {status}\r\nMastturn-Request-Id: {got.headers['mastturn-request-id']}\r\n{seal}{extra}"
 
@@ -32,18 +32,18 @@
     return f"id: {number}\ndata: {text}\n\n"
 
 
-def stream_head(got: Got) -> bytes:
+def stream_head(got: ReceivedRequest) -> bytes:
     kind = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     return head(got, kind).encode()
 
 
-async def prefill(stage: Stage, got: Got, writer: Writer) -> None:
+async def prefill(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     body = json.dumps({"kv_ref": f"kv-{got.headers['mastturn-request-id']}", "ntokens": 10, "ver": 1})
     extra = f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write((head(got, extra, sealed=False) + body).encode())
 
 
-async def decode(stage: Stage, got: Got, writer: Writer, events: int = 3) -> None:
+async def decode(stage: Stage, got: ReceivedRequest, writer: Writer, events: int = 3) -> None:
     after = int(got.headers.get("last-event-id", 0))
     writer.write(stream_head(got))
     for number in range(after + 1, events + 1):
@@ -51,7 +51,7 @@
     writer.write(b"0\r\n\r\n")
 
 
-async def reject(stage: Stage, got: Got, writer: Writer) -> None:
+async def reject(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     writer.write(
         (
             head(got, status="503 Full", sealed=False) + "Mastturn-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -59,7 +59,7 @@
     )
 
 
-async def misplaced(stage: Stage, got: Got, writer: Writer) -> None:
+async def misplaced(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     lines = "HTTP/1.1 421 Misdirected Request\r\nMastturn-Upstream-Id: i-9\r\nContent-Length: 0\r\n\r\n"
     writer.write(lines.encode())
 
@@ -67,7 +67,7 @@
 def answer(status: str, extra: str = "", body: str = "", sealed: bool = True) -> Act:
     """Answers so, with the id of the request."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def act(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         lines = f"{extra}Content-Length: {len(body)}\r\n\r\n{body}"
         writer.write(head(got, lines, status, sealed).encode())
 
@@ -77,7 +77,7 @@
 def cut_after(events: int, then: str = "", ended: bool = False) -> Act:
     """A stream of so many events and then some bytes, cut off or `ended` in order."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def act(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         after = int(got.headers.get("last-event-id", 0))
         writer.write(stream_head(got))
         for number in range(after + 1, after + events + 1):
@@ -96,18 +96,18 @@
 def gated(gate: asyncio.Event, act: Act) -> Act:
     """Does nothing before the gate opens."""
 
-    async def waits(stage: Stage, got: Got, writer: Writer) -> None:
+    async def waits(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         await gate.wait()
         await act(stage, got, writer)
 
     return waits
 
 
-async def whole(stage: Stage, got: Got, writer: Writer) -> None:
+async def whole(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     writer.write((head(got, f"Content-Length: {len(stage.name)}\r\n\r\n") + stage.name).encode())
 
 
-async def reset(stage: Stage, got: Got, writer: Writer) -> None:
+async def reset(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     writer.transport.abort()
 
 
@@ -117,7 +117,7 @@
     def __init__(self, name: str, phase: str = "", *acts: Act, zone: str = "a") -> None:
         self.name, self.phase, self.zone = name, phase, zone
         self.acts = list(acts) or [prefill if phase == "prefill" else decode if phase else whole]
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self.freed: list[str] = []
         self.reports: list[str] = []  # for whom each was asked
         self.report = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,7 +19,7 @@
 
 from passpost import config
 from passpost.__main__ import Node
-from passpost.http1 import Answer, AnswerReader
+from passpost.http1 import Response, ResponseReader
 
 PATIENCE = 20.0  # a hanging test fails in the end; no test depends on the figure
 
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Got:
+class ReceivedRequest:
     """A request as an upstream sees it."""
 
     line: str
@@ -49,14 +49,14 @@
     body: bytes
 
 
-async def read_request(reader: Reader) -> Got | None:
+async def read_request(reader: Reader) -> ReceivedRequest | None:
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
     line, *rest = head.strip().split("\r\n")
     headers = {k.lower(): v for k, v in (item.split(": ", 1) for item in rest)}
-    return Got(line, headers, await reader.readexactly(int(headers.get("content-length", 0))))
+    return ReceivedRequest(line, headers, await reader.readexactly(int(headers.get("content-length", 0))))
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -66,9 +66,9 @@
 class FakeServer:
     """Listens on an ephemeral port and answers by a script: `reply(request, writer)`."""
 
-    def __init__(self, reply: Callable[[Got, Writer], Awaitable[None]] | bytes = OK) -> None:
+    def __init__(self, reply: Callable[[ReceivedRequest, Writer], Awaitable[None]] | bytes = OK) -> None:
         self.reply = reply
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self.connections = 0
         self.closed = 0
         self.writers: list[Writer] = []
@@ -107,9 +107,9 @@
     With transports the end would come a turn later: whoever reads in between sees one after the other.
     """
 
-    def __init__(self, answer: Callable[[Got], bytes], by_reset: bool) -> None:
+    def __init__(self, answer: Callable[[ReceivedRequest], bytes], by_reset: bool) -> None:
         self._answer, self._by_reset = answer, by_reset
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
@@ -155,7 +155,7 @@
         self._listener.close()
 
 
-async def silent(request: Got, writer: Writer) -> None:
+async def silent(request: ReceivedRequest, writer: Writer) -> None:
     """Take a request and answer nothing."""
 
 
@@ -224,15 +224,15 @@
         data = f"{method} {target} HTTP/1.1\r\nHost: b\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode()
         self.writer.write(data + body)
 
-    async def answer(self) -> Answer | None:
+    async def answer(self) -> Response | None:
         """The next answer; None if the connection ended instead."""
-        parser = AnswerReader()
+        parser = ResponseReader()
         while (data := await self.reader.read(65536)) != b"":
             if (answer := parser.feed(data)) is not None:
                 return answer
         return None
 
-    async def ask(self, target: str = "/read", **more: Any) -> Answer | None:
+    async def ask(self, target: str = "/read", **more: Any) -> Response | None:
         self.send(target, **more)
         return await self.answer()
 
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -7,7 +7,7 @@
 
 from balancer.wire import is_ours
 from passpost.answer_end import Misuse
-from passpost.http1 import AnswerReader, EndKind, Framing, Headers
+from passpost.http1 import EndKind, Framing, Headers, ResponseReader
 from tests.balancer_stage import (
     Act,
     CuttingStage,
@@ -21,12 +21,12 @@
     reset,
     route,
 )
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
 
 
-async def _garbage(stage: Stage, got: Got, writer: Writer) -> None:
+async def _garbage(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     writer.write(b"noise\r\n\r\n")
 
 
@@ -108,7 +108,7 @@
 def says(*answers: str) -> Act:
     """Sends all of these at once."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def act(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         writer.write("".join(answers).encode())
 
     return act
@@ -154,7 +154,7 @@
 def test_a_stale_answer_is_skipped_wherever_its_bytes_are_split(stale: str) -> None:
     data = (stale + text("r2", "own")).encode()
     for cut in range(1, len(data)):
-        reader = AnswerReader(held=0, is_due=is_due_to_r2)
+        reader = ResponseReader(held=0, response_matcher=is_due_to_r2)
         found = [reader.feed(data[:cut]), reader.feed(data[cut:])] if cut < len(data) else []
         whole = found[-1]
         assert whole is not None and whole.body == b"own" and not whole.reusable
@@ -162,7 +162,7 @@
 
 def test_a_stale_answer_that_ends_with_its_connection_is_no_answer() -> None:
     for owner, is_taken in (("r2", True), ("r1", False)):
-        reader = AnswerReader(is_due=is_due_to_r2)
+        reader = ResponseReader(response_matcher=is_due_to_r2)
         assert reader.feed(f"HTTP/1.1 200 OK\r\nMastturn-Request-Id: {owner}\r\n\r\nx".encode()) is None
         assert (reader.end(EndKind.FIN) is not None) == is_taken
 
--- a/tests/test_answer_log.py
+++ b/tests/test_answer_log.py
@@ -8,11 +8,11 @@
 from balancer import answer_log
 from balancer.answer_log import AnswerLog
 from balancer.wire import Staged
-from passpost.answer_end import AnswerEnd
+from passpost.answer_end import ResponseEnd
 from passpost.http1 import EndKind, Framing
 
 REQUEST = Staged(b"GET / HTTP/1.1\r\n", b"", request_id=b"r1")
-UNFRAMED = AnswerEnd(EndKind.FIN, Framing.CLOSE, 200, 10)
+UNFRAMED = ResponseEnd(EndKind.FIN, Framing.CLOSE, 200, 10)
 
 
 def test_an_upstream_without_length_and_chunks_is_named_once() -> None:
@@ -22,8 +22,8 @@
         watched = AnswerLog()
         for name in ("u1", "u1", "u2"):
             watched.ended(name, REQUEST, UNFRAMED)
-        watched.ended("u3", REQUEST, AnswerEnd(EndKind.WHOLE, Framing.LENGTH, 200, 10))
-        watched.ended("u4", REQUEST, AnswerEnd(EndKind.RESET, Framing.UNKNOWN, 0, 0))
+        watched.ended("u3", REQUEST, ResponseEnd(EndKind.WHOLE, Framing.LENGTH, 200, 10))
+        watched.ended("u4", REQUEST, ResponseEnd(EndKind.RESET, Framing.UNKNOWN, 0, 0))
     finally:
         logger.remove(sink)
     named = [line.strip() for line in lines if "answers_unframed" in line]
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -34,7 +34,7 @@
     stream_head,
     whole,
 )
-from tests.loopback import Got, Writer, run, until
+from tests.loopback import ReceivedRequest, Writer, run, until
 
 PROMPT = "Mastturn-Token-Count: 1460,80\r\nMastturn-Prompt-Prefix: 5c1e07a2:800,e4402b7d:660\r\n"
 OURS = ("mastturn-stage", "kv-from", "mastturn-target-upstream", "last-event-id", "priority")
@@ -44,7 +44,7 @@
     return [int(line[4:]) for line in reply.body.decode().split("\n") if line.startswith("id: ")]
 
 
-def said(got: Got) -> dict[str, str]:
+def said(got: ReceivedRequest) -> dict[str, str]:
     return {name: got.headers[name] for name in OURS if name in got.headers}
 
 
@@ -127,7 +127,7 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def slow(stage: Stage, got: Got, writer: Writer) -> None:
+        async def slow(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(stream_head(got))
             text = event(1) + event(2)
             writer.write(chunk(text[:9]))  # half an event is nothing yet
@@ -311,10 +311,10 @@
     """Nothing else comes here: the request ends with its deadline, without a promise."""
 
     async def test() -> None:
-        async def stray(stage: Stage, got: Got, writer: Writer) -> None:
+        async def stray(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(head(got, "Content-Length: 2\r\n\r\nno").replace("-Id: r1", "-Id: r0").encode())
 
-        async def stray_stream(stage: Stage, got: Got, writer: Writer) -> None:
+        async def stray_stream(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(stream_head(got).replace(b"-Id: r1", b"-Id: r0") + chunk(event(1)) + b"0\r\n\r\n")
 
         for act in (stray, stray_stream):
@@ -329,7 +329,7 @@
 
 def test_a_success_without_seal_is_none() -> None:
     async def test() -> None:
-        async def unsealed(stage: Stage, got: Got, writer: Writer) -> None:
+        async def unsealed(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             extra = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
             writer.write(head(got, extra, sealed=False).encode() + chunk(event(1)) + b"0\r\n\r\n")
 
@@ -357,7 +357,7 @@
     """Whichever is asked first does the first act, and the other goes on."""
     acts = [act]
 
-    async def first(stage: Stage, got: Got, writer: Writer) -> None:
+    async def first(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         await (acts.pop() if acts else then)(stage, got, writer)
 
     return Stage("x", phase, first), Stage("y", phase, first)
@@ -452,7 +452,7 @@
 
 def test_a_handle_that_can_not_be_had_is_done_without_and_freed() -> None:
     async def test() -> None:
-        async def lost(stage: Stage, got: Got, writer: Writer) -> None:
+        async def lost(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             await (reject if "kv-from" in got.headers else decode)(stage, got, writer)
 
         p, x, y = Stage("p", "prefill"), Stage("x", "decode", lost), Stage("y", "decode", lost)
@@ -601,7 +601,7 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def half(stage: Stage, got: Got, writer: Writer) -> None:
+        async def half(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(stream_head(got) + chunk(event(1)))
             await gate.wait()
             writer.write(chunk(event(2)) + b"0\r\n\r\n")
--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -21,7 +21,7 @@
     route,
     stream_head,
 )
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 READ_S = 0.1  # in which a request that was sent is read
 SLACK_S = 0.15  # of the machine that plays this
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("resumable", [False, True])
 def test_a_stream_that_falls_silent_is_broken_off_at_its_deadline(resumable: bool) -> None:
-    async def silent_after_one(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent_after_one(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         writer.write(stream_head(got) + chunk(event(1)))
         await asyncio.sleep(30)
 
@@ -47,7 +47,7 @@
 def test_time_counts_for_a_request_that_waits_behind_others_of_its_connection() -> None:
     """Two are open or next; the third lies unparsed until the first has its answer."""
 
-    async def silent(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
@@ -75,7 +75,7 @@
     Proof: an upstream that is silent; the third ends 0.85 s, the first's whole time, too late.
     """
 
-    async def silent(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
@@ -100,7 +100,7 @@
 def test_a_stop_leaves_time_to_end_though_an_upstream_is_silent(after_s: float) -> None:
     """An upstream's own word is awaited for a moment beyond the deadline: that is no time to end in."""
 
-    async def silent(stage: Stage, got: Got, writer: Writer) -> None:
+    async def silent(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
@@ -120,7 +120,7 @@
 
 
 def test_a_stream_that_is_still_coming_at_its_deadline_is_broken_off() -> None:
-    async def without_end(stage: Stage, got: Got, writer: Writer) -> None:
+    async def without_end(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         writer.write(stream_head(got))
         for number in range(1, 1_000):
             writer.write(chunk(event(number)))
--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -99,15 +99,20 @@
         (b"X-Kept", b"2"),
         (b"Mastturn-Model", b"m"),
     )
-    assert [n for n, _ in call.passed_on] == [b"Host", b"Mastturn-Request-Id", b"X-Kept", b"Mastturn-Model"]
-    assert (call.remaining, call.after, call.target) == (0.5, b"12", b"/run/1?q=2")
+    assert [n for n, _ in call.forwarded_headers] == [
+        b"Host",
+        b"Mastturn-Request-Id",
+        b"X-Kept",
+        b"Mastturn-Model",
+    ]
+    assert (call.remaining_s, call.after, call.target) == (0.5, b"12", b"/run/1?q=2")
 
 
 def test_the_deadline_is_the_lesser_of_the_clients_and_the_routes() -> None:
-    assert read().remaining == 8.0
-    assert read((b"Mastturn-Deadline-Ms", b"90000")).remaining == 8.0
-    assert read((b"Mastturn-Deadline-Ms", b"1500.5")).remaining == 1.5005
-    assert read((b"Mastturn-Deadline-Ms", b"-1")).remaining == 8.0
+    assert read().remaining_s == 8.0
+    assert read((b"Mastturn-Deadline-Ms", b"90000")).remaining_s == 8.0
+    assert read((b"Mastturn-Deadline-Ms", b"1500.5")).remaining_s == 1.5005
+    assert read((b"Mastturn-Deadline-Ms", b"-1")).remaining_s == 8.0
 
 
 @pytest.mark.parametrize(
@@ -259,4 +264,4 @@
     """Found by hand: with 1.5 s to end, a balancer went on accepting for 3.2 s."""
     chosen = options.client_options(ClientLimits(), grace_s)
     assert chosen.accept_after_stop_s == pytest.approx(accepts_s)
-    assert chosen.last_call_s == pytest.approx(last_call_s)
+    assert chosen.closing_phase_s == pytest.approx(last_call_s)
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -15,7 +15,7 @@
 from config.configuration import Upstream
 from dissemination.doubts import DoubtSum, pack, unpack
 from dissemination.messages import Doubt, DoubtReport
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from tests.balancer_stage import Stage as Stand
 from tests.balancer_stage import answer, configuration, playing, route
 from tests.fabric_scenes import begun
@@ -79,7 +79,7 @@
 def test_errors_breaks_and_spoilt_answers_are_failures_and_rejections_are_not(
     outcome: Outcome, status: int, good: bool, failed: bool
 ) -> None:
-    told = Answer(status, [], b"", True) if status else None
+    told = Response(status, [], b"", True) if status else None
     assert is_failure(outcome, told, good) is failed
 
 
--- a/tests/test_balancer_whole_answers.py
+++ b/tests/test_balancer_whole_answers.py
@@ -16,7 +16,7 @@
     playing,
     route,
 )
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 LONG = "0123456789abcdef" * 8_192  # twice of what is held of a body whose length is known
 PLAIN = configuration(1, route(route_type="safe", tries=2))
@@ -25,7 +25,7 @@
 def slow(body: str, pieces: int = 4, pause_s: float = 0.15, last: bool = True) -> Act:
     """In chunks with pauses, so that nobody knows its length when it begins to be passed on."""
 
-    async def act(stage: Stage, got: Got, writer: Writer) -> None:
+    async def act(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         writer.write(head(got, "Transfer-Encoding: chunked\r\n\r\n").encode())
         size = -(-len(body) // pieces)
         for i in range(0, len(body), size):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
     AWAY,
     OK,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     balancer,
     config_data,
@@ -195,7 +195,7 @@
     async def test() -> None:
         answers = {"served": OK, "broken": b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", "away": AWAY}
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             writer.write(answers[request.headers["x-what"]])
 
         upstream = FakeServer(reply)
@@ -367,7 +367,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             if request.headers["x-txn"] == "slow":
                 await release.wait()
             writer.write(OK)
--- a/tests/test_cut_answer_orders.py
+++ b/tests/test_cut_answer_orders.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.balancer_stage import HOST, PATH, Stage, chunk, configuration, event, head, playing, route
-from tests.loopback import OK, Got, Reader, read_request, run
+from tests.loopback import OK, Reader, ReceivedRequest, read_request, run
 
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
 LINGER = struct.pack("ii", 1, 0)
@@ -94,7 +94,7 @@
             if "reset" not in self.cut.order:
                 await asyncio.get_running_loop().sock_recv(peer, 1)  # until the balancer closes
 
-    async def _take(self, step: str, peer: socket.socket, got: Got) -> None:
+    async def _take(self, step: str, peer: socket.socket, got: ReceivedRequest) -> None:
         loop = asyncio.get_running_loop()
         match step:
             case "head":
@@ -108,7 +108,7 @@
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
                 peer.close()
 
-    def _head(self, got: Got) -> bytes:
+    def _head(self, got: ReceivedRequest) -> bytes:
         kind = "Content-Type: text/event-stream\r\n" if self.cut.is_stream else ""
         framing = {
             "length": f"Content-Length: {2 * len(self.cut.body)}\r\n",
@@ -118,7 +118,7 @@
         return (head(got, kind + framing) + "\r\n").encode()
 
 
-async def _read(peer: socket.socket) -> Got | None:
+async def _read(peer: socket.socket) -> ReceivedRequest | None:
     loop, reader = asyncio.get_running_loop(), Reader()
     reading = loop.create_task(read_request(reader))
     while not reading.done():
--- a/tests/test_days_found_late.py
+++ b/tests/test_days_found_late.py
@@ -8,7 +8,7 @@
 
 import balancer.active_request
 from tests.balancer_stage import Stage, configuration, playing, reject, route
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 
 class Clock:
@@ -28,7 +28,7 @@
     clock = Clock()
     monkeypatch.setattr(balancer.active_request, "time", clock)
 
-    async def too_late(stage: Stage, got: Got, writer: Writer) -> None:
+    async def too_late(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
         clock.ahead = 10.0
         await reject(stage, got, writer)
 
--- a/tests/test_dead_upstreams.py
+++ b/tests/test_dead_upstreams.py
@@ -25,7 +25,7 @@
 
 from passpost.http1 import EndKind, Framing
 from tests.balancer_stage import Stage, answer, configuration, decode, head, playing, route
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 SAFE = configuration(1, route(route_type="safe", tries=2))
 RESUMABLE = configuration(1, route(route_type="stream", resumable=True, tries=2))
@@ -114,7 +114,7 @@
     run(test())
 
 
-async def unframed(stage: Stage, got: Got, writer: Writer) -> None:
+async def unframed(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
     writer.write((head(got, "\r\n") + "whole").encode())
     writer.close()
 
@@ -149,11 +149,11 @@
     async def test() -> None:
         told, over = asyncio.Event(), asyncio.Event()
 
-        async def whole_then_deaf(stage: Stage, got: Got, writer: Writer) -> None:
+        async def whole_then_deaf(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             await answer("200 OK", body="first")(stage, got, writer)
             await over.wait()  # nothing more is read from this connection
 
-        async def unframed_later(stage: Stage, got: Got, writer: Writer) -> None:
+        async def unframed_later(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             await told.wait()
             await unframed(stage, got, writer)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,17 @@
 from passpost import discovery as module
 from passpost.discovery import Discovery, parse_address, parse_listing
 from passpost.http1 import Address
-from tests.loopback import FakeServer, Got, Writer, answer_json, balancer, listing, member, run, until
+from tests.loopback import (
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    answer_json,
+    balancer,
+    listing,
+    member,
+    run,
+    until,
+)
 from umberworks.interface import ListKind, ListUpdate, Readiness
 
 SAVED = listing(1, member("a", "127.0.0.1:1001"), member("b", "127.0.0.1:1002"))
@@ -24,7 +34,7 @@
     def __init__(self, *replies: bytes) -> None:
         self.replies = list(replies)
 
-    async def __call__(self, request: Got, writer: Writer) -> None:
+    async def __call__(self, request: ReceivedRequest, writer: Writer) -> None:
         if self.replies:
             writer.write(self.replies.pop(0))
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -42,7 +42,7 @@
 from dissemination import messages as news
 from mastturnd import asking, dashboard, draining, fleet_status
 from mastturnd.tracing import pairs_of
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from passpost.validation import BadRequestError
 from tests import fuzz_inputs
 from tests.fabric_callers import configuration
@@ -320,14 +320,14 @@
     count("platform")
     platform = PlatformList(("127.0.0.1", 1))
 
-    class Line:
-        async def get(self, target: str) -> Answer:
-            return Answer(200, [], body, True)
+    class DiscoveryConnection:
+        async def get(self, target: str) -> Response:
+            return Response(200, [], body, True)
 
-        def hang_up(self) -> None:
+        def close(self) -> None:
             return None
 
-    platform._line = Line()  # type: ignore[assignment]
+    platform._line = DiscoveryConnection()  # type: ignore[assignment]
     try:
         entries = asyncio.run(platform.read())
     except PlatformError:
@@ -430,7 +430,7 @@
     except BadRequestError as error:
         assert error.status in (400, 404, 405, 413, 431)
         return
-    assert call.remaining >= 0 and b"\n" not in call.txn
+    assert call.remaining_s >= 0 and b"\n" not in call.request_id
 
 
 @LIMITS
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -17,7 +17,7 @@
 from mastturnd import asking, draining, fleet_status
 from mastturnd.answers import is_status
 from mastturnd.wrong import UnansweredError
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from tests.test_mastturnd_cli_commands import PRESENT, _balancer, _control
 from transport.wire import FrameReader
 
@@ -32,8 +32,8 @@
 
 def test_a_list_that_is_nested_without_end() -> None:
     class Line:
-        async def get(self, target: str) -> Answer:
-            return Answer(200, [], DEEP, True)
+        async def get(self, target: str) -> Response:
+            return Response(200, [], DEEP, True)
 
     platform: Any = PlatformList(("127.0.0.1", 1))
     platform._line = Line()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,7 +26,7 @@
     Balancer,
     Client,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     config_data,
     member,
@@ -88,7 +88,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             if request.headers["x-txn"] == "slow":
                 await release.wait()
             writer.write(OK)
@@ -150,7 +150,7 @@
     async def test() -> None:
         release, body = asyncio.Event(), bytes(200_000)
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + body[:100_000])
             await release.wait()
             writer.write(body[100_000:])
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -15,7 +15,7 @@
 from passpost import client_options, connection_bounds, request_reader, server
 from passpost import upstream as upstream_module
 from passpost.discovery import Discovery
-from passpost.http1 import HELD_BODY, AnswerReader, BadAnswerError
+from passpost.http1 import MAX_BUFFERED_BODY, InvalidResponseError, ResponseReader
 from tests.loopback import (
     AWAY,
     OK,
@@ -23,8 +23,8 @@
     Balancer,
     Client,
     FakeServer,
-    Got,
     Reader,
+    ReceivedRequest,
     Writer,
     balancer,
     operated,
@@ -59,7 +59,7 @@
 )
 @pytest.mark.parametrize("size", [7_001, 1 << 20])
 def test_a_long_answer_comes_unchanged_and_both_connections_live_on(raw: bytes, size: int) -> None:
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         for i in range(0, len(raw), size):
             writer.write(raw[i : i + size])
             await writer.drain()
@@ -86,7 +86,7 @@
 def test_an_answer_that_ends_with_its_connection_is_whole_at_an_orderly_end_only(
     body: bytes, orderly: bool
 ) -> None:
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + b"\r\n" + body)
         await writer.drain()
         await asyncio.sleep(0.05)  # a reset overtakes what has not been read
@@ -117,7 +117,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             length = b"" if request.headers["x-txn"] == "unknown" else b"Content-Length: %d\r\n" % len(LONG)
             writer.write(HEAD + length + b"\r\n" + LONG[:100])
             await release.wait()
@@ -145,7 +145,7 @@
     "framing", [b"Content-Length: %d\r\n" % len(LONG), b"Transfer-Encoding: chunked\r\n"]
 )
 def test_an_answer_broken_off_can_be_told_and_is_not_tried_again(framing: bytes) -> None:
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         body = LONG[:100_000]
         writer.write(HEAD + framing + b"\r\n" + (b"186a0\r\n" if b"chunked" in framing else b"") + body)
         writer.close()
@@ -185,7 +185,7 @@
     """An old caller takes the end of its connection for the end of its answer: any sooner one is a reset."""
     monkeypatch.setattr(connection_bounds, "STUCK_S", 0.0)
 
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
         while end == "stuck":  # more than all buffers between hold
             writer.write(b"10000\r\n%b\r\n" % bytes(65536))
@@ -229,7 +229,7 @@
         sent = 0
         total = 32 * 1024 * 1024
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             nonlocal sent
             writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % total)
             while sent < total:
@@ -264,7 +264,7 @@
 ) -> None:
     monkeypatch.setattr(connection_bounds, "STUCK_S", PATIENCE if how == "leaves" else 0.0)
 
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + b"Content-Length: 33000000\r\n\r\n" + bytes(33_000_000))
 
     async def test() -> None:
@@ -288,7 +288,7 @@
     monkeypatch.setattr(upstream_module, "STALL_S", 0.05)
     monkeypatch.setattr(upstream_module, "SWEEP_S", 0.02)
 
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         if request.headers["x-txn"] == "stalls":
             writer.write(HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG[:70_000])
         else:
@@ -313,8 +313,8 @@
         HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
         HEAD + b"Content-Length: 40000000\r\n\r\n",
     ):
-        with pytest.raises(BadAnswerError):
-            AnswerReader(held=HELD_BODY).feed(raw)
+        with pytest.raises(InvalidResponseError):
+            ResponseReader(held=MAX_BUFFERED_BODY).feed(raw)
 
 
 def test_a_stop_does_not_cut_off_a_long_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -325,7 +325,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             writer.write(HEAD + SIZED + b"\r\n" + LONG[:70_000])
             await release.wait()
             writer.write(LONG[70_000:])
@@ -508,12 +508,12 @@
                 addresses = {"s0": unused.getsockname()}
                 assert isinstance(b.node.discovery, Discovery)
                 good = dict(b.node.discovery._addresses)
-                b.node.upstreams.route(addresses)
+                b.node.upstreams.set_addresses(addresses)
                 sends = b.node.upstreams.send
 
                 def send(*args: Any) -> Any:
                     attempt = sends(*args)
-                    b.node.upstreams.route(good)  # the next one finds it
+                    b.node.upstreams.set_addresses(good)  # the next one finds it
                     return attempt
 
                 b.node.upstreams.send = send  # type: ignore[method-assign, assignment]
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -20,7 +20,7 @@
 from mastturnd import balancer_figures, control_calls, control_figures
 from mastturnd.exposition import render
 from mastturnd.pace import Pace
-from passpost.counters import Final
+from passpost.counters import RequestResult
 from tests.balancer_stage import Play, Stage, cut_after, decode, playing, prefill, reject, reset
 from tests.fabric_callers import configuration
 from tests.fabric_world import World, play
@@ -161,9 +161,9 @@
     for seconds in (0.0, FIRST_EVENT_S[0], FIRST_EVENT_S[0] + 1e-9, FIRST_EVENT_S[-1] + 1):
         tally.first_event(seconds)
     assert tally.first_events == [2, 1, *[0] * (len(FIRST_EVENT_S) - 2), 1]
-    tally.taken()
-    tally.ended("r", Final.SERVED)
-    assert (tally.in_flight, tally.ends[Final.SERVED]) == (0, 1)
+    tally.request_received()
+    tally.request_ended("r", RequestResult.SERVED)
+    assert (tally.in_flight, tally.ends[RequestResult.SERVED]) == (0, 1)
 
 
 def test_a_control_process_counts_its_take_overs_syncs_and_list_calls(
--- a/tests/test_misused_connections.py
+++ b/tests/test_misused_connections.py
@@ -13,7 +13,7 @@
 import pytest
 
 from passpost import upstream as pools
-from passpost.attempt import Outgoing
+from passpost.attempt import UpstreamRequest
 from passpost.discovery import parse_address
 from passpost.upstream import Upstreams
 from passpost.upstream_options import UpstreamOptions
@@ -22,25 +22,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Careful(Outgoing):
+class Careful(UpstreamRequest):
     """A request that may run once."""
 
     @property
-    def needs_unused(self) -> bool:
+    def needs_unused_connection(self) -> bool:
         return True
 
 
 HEAD = b"GET / HTTP/1.1\r\nHost: s0\r\n"
-REPEATABLE, ONCE = Outgoing(HEAD, b""), Careful(HEAD, b"")
+REPEATABLE, ONCE = UpstreamRequest(HEAD, b""), Careful(HEAD, b"")
 
 
 @asynccontextmanager
 async def sending(*servers: FakeServer, most_each: int = 10, doubts: bool = True) -> AsyncIterator[Upstreams]:
-    upstreams = Upstreams(5.0, 30.0, 10, UpstreamOptions(doubts_misused=doubts))
+    upstreams = Upstreams(5.0, 30.0, 10, UpstreamOptions(avoids_misused_connections=doubts))
     for server in servers:
         await server.start()
-    upstreams.route({f"s{n}": parse_address(server.host_port) for n, server in enumerate(servers)})
-    upstreams.limit_each(most_each)
+    upstreams.set_addresses({f"s{n}": parse_address(server.host_port) for n, server in enumerate(servers)})
+    upstreams.limit_connections_each(most_each)
     try:
         yield upstreams
     finally:
@@ -49,7 +49,7 @@
             server.stop()
 
 
-async def sent(upstreams: Upstreams, request: Outgoing, server: str = "s0") -> Outcome:
+async def sent(upstreams: Upstreams, request: UpstreamRequest, server: str = "s0") -> Outcome:
     """The outcome of a request."""
     outcomes: list[Outcome] = []
     upstreams.send(server, request, 5.0, lambda outcome, answer: outcomes.append(outcome))
--- a/tests/test_orders_clients.py
+++ b/tests/test_orders_clients.py
@@ -16,7 +16,18 @@
 
 from passpost import client_connection, client_options, exchange, request_reader, server, upstream
 from passpost.__main__ import Node
-from tests.loopback import AWAY, OK, Balancer, FakeServer, Got, Writer, balancer, run, silent, until
+from tests.loopback import (
+    AWAY,
+    OK,
+    Balancer,
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    balancer,
+    run,
+    silent,
+    until,
+)
 from umberworks.interface import CallsBeside
 
 ONE = b"GET /read HTTP/1.1\r\nX-Txn: %b\r\nX-Remaining: 9\r\n\r\n"
@@ -310,7 +321,7 @@
     async def test() -> None:
         raws: list[Raw] = []
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             raws[0].go(how)
             writer.write(AWAY)
 
@@ -330,7 +341,7 @@
     async def test() -> None:
         raws: list[Raw] = []
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             raws[0].go(how)
             writer.write(OK)
 
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -9,7 +9,17 @@
 
 from passpost import discovery as module
 from passpost.discovery import Discovery, parse_address, parse_listing
-from tests.loopback import PATIENCE, FakeServer, Got, Writer, answer_json, listing, member, run, until
+from tests.loopback import (
+    PATIENCE,
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    answer_json,
+    listing,
+    member,
+    run,
+    until,
+)
 from tests.test_discovery import SAVED, Heard, following
 from umberworks.interface import ListKind, Readiness
 
@@ -44,7 +54,7 @@
         super().__init__(self._step)
         self.steps = list(steps)
 
-    async def _step(self, request: Got, writer: Writer) -> None:
+    async def _step(self, request: ReceivedRequest, writer: Writer) -> None:
         if self.steps:
             await self.steps.pop(0)(writer)
 
--- a/tests/test_orders_upstreams.py
+++ b/tests/test_orders_upstreams.py
@@ -9,22 +9,22 @@
 import pytest
 
 from passpost import upstream as module
-from passpost.attempt import Attempt, Outgoing
+from passpost.attempt import Attempt, UpstreamRequest
 from passpost.http1 import Address
 from passpost.upstream import Upstreams
 from passpost.upstream_connection import Connection
-from tests.loopback import OK, FakeServer, Got, Writer, balancer, run, silent, until
+from tests.loopback import OK, FakeServer, ReceivedRequest, Writer, balancer, run, silent, until
 from umberworks.interface import Outcome
 
-ASK = Outgoing(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
-PAY = Outgoing(b"POST /pay HTTP/1.1\r\nX-Txn: b\r\nContent-Length: 300000\r\n", bytes(300_000))
+ASK = UpstreamRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
+PAY = UpstreamRequest(b"POST /pay HTTP/1.1\r\nX-Txn: b\r\nContent-Length: 300000\r\n", bytes(300_000))
 
 
 def pool(server: FakeServer) -> Upstreams:
     host, port = server.host_port.split(":")
     made = Upstreams(5.0, 30.0, 10)
     address: Address = (host, int(port))
-    made.route({"s0": address})
+    made.set_addresses({"s0": address})
     return made
 
 
@@ -80,7 +80,7 @@
 def test_an_idle_connection_that_has_spoken_carries_nothing(spoken: bytes) -> None:
     # It lies unread: the loop has had no turn since.
     async def test() -> None:
-        async def speaks(request: Got, writer: Writer) -> None:
+        async def speaks(request: ReceivedRequest, writer: Writer) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright")
 
         server = FakeServer(speaks)
@@ -111,7 +111,7 @@
         async with balancer(taken, stuck) as b:
             runs = 0
 
-            async def takes(request: Got, writer: Writer) -> None:
+            async def takes(request: ReceivedRequest, writer: Writer) -> None:
                 nonlocal runs
                 runs += 1
                 writer.write(OK)
@@ -158,7 +158,7 @@
                 await over.wait()
             return await reach(*args)
 
-        async def breaks(request: Got, writer: Writer) -> None:
+        async def breaks(request: ReceivedRequest, writer: Writer) -> None:
             writer.transport.abort()  # it may have run
             for server in servers:
                 server.reply = OK
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -657,7 +657,7 @@
                 assert (await b.figures())["list"]["source"] in ("", *places)
                 async with put(client, places[0], "new", host_port=joined.host_port):
                     pass
-                while (await b.figures())["upstreams_known"] != 1 or not b.node.discovery.knows("new"):
+                while (await b.figures())["upstreams_known"] != 1 or not b.node.discovery.contains("new"):
                     await asyncio.sleep(0.01)
                 source = (await b.figures())["list"]["source"]
                 name = next(n for n, a in fleet.addresses.items() if a == source)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -21,7 +21,7 @@
     OK,
     PATIENCE,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     balancer,
     config_data,
@@ -112,10 +112,10 @@
     run(test())
 
 
-def held(release: asyncio.Event) -> Callable[[Got, Writer], Awaitable[None]]:
+def held(release: asyncio.Event) -> Callable[[ReceivedRequest, Writer], Awaitable[None]]:
     """An upstream's script: the request named slow is answered once released, others at once."""
 
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         if request.headers["x-txn"] == "slow":
             await release.wait()
         writer.write(OK)
@@ -493,7 +493,7 @@
     monkeypatch.setattr(server, "KEEP_SHARE", 1.0)
 
     async def test() -> None:
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             if request.headers["x-txn"] == "quick":
                 writer.write(OK)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,15 +10,26 @@
 import pytest
 
 from passpost import upstream as module
-from passpost.attempt import Attempt, Outgoing
+from passpost.attempt import Attempt, UpstreamRequest
 from passpost.discovery import parse_address
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from passpost.upstream import Upstreams
 from passpost.upstream_connection import Connection
-from tests.loopback import AWAY, OK, CuttingServer, FakeServer, Got, Writer, balancer, run, silent, until
+from tests.loopback import (
+    AWAY,
+    OK,
+    CuttingServer,
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    balancer,
+    run,
+    silent,
+    until,
+)
 from umberworks.interface import Outcome
 
-REQUEST = Outgoing(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
+REQUEST = UpstreamRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
 
 
 class Calls:
@@ -28,8 +39,8 @@
         self.upstreams = upstreams
         self.outcomes: list[Outcome] = []
 
-    def send(self, server: str = "s0", request: Outgoing = REQUEST, timeout: float = 10.0) -> Attempt:
-        def done(outcome: Outcome, answer: Answer | None) -> None:
+    def send(self, server: str = "s0", request: UpstreamRequest = REQUEST, timeout: float = 10.0) -> Attempt:
+        def done(outcome: Outcome, answer: Response | None) -> None:
             assert (answer is not None) or outcome is not Outcome.SERVED
             self.outcomes.append(outcome)
 
@@ -50,7 +61,7 @@
         await server.start()
     upstreams = Upstreams(5.0, idle, max_open)
     upstreams.start()
-    upstreams.route({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
+    upstreams.set_addresses({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
     try:
         yield Calls(upstreams)
     finally:
@@ -101,7 +112,7 @@
     [b"", OK[:-1], OK[:20], OK[:30], b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"],
 )
 def test_an_answer_cut_short_is_a_reset(raw: bytes) -> None:
-    async def cut(request: Got, writer: Writer) -> None:
+    async def cut(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(raw)
         writer.close()
 
@@ -127,7 +138,7 @@
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))  # bound, but it does not listen
             async with calls() as c:
-                c.upstreams.route({"s0": unused.getsockname()})
+                c.upstreams.set_addresses({"s0": unused.getsockname()})
                 assert await c.outcome() is Outcome.UNREACHED
                 assert await c.outcome("unknown") is Outcome.NOT_SENT
 
@@ -140,8 +151,8 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             async with calls() as c:
-                c.upstreams.route({"s0": listener.getsockname()})
-                attempt = c.send(request=Outgoing(REQUEST.head, b"x" * 64 * 1024 * 1024))
+                c.upstreams.set_addresses({"s0": listener.getsockname()})
+                attempt = c.send(request=UpstreamRequest(REQUEST.head, b"x" * 64 * 1024 * 1024))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
                 await until(lambda: attempt.connection is not None)
                 assert not attempt.is_written()
@@ -177,7 +188,7 @@
         order: list[Writer] = []
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             order.append(writer)
             await release.wait()
             writer.write(OK)
@@ -231,7 +242,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             async with calls() as c:
-                c.upstreams.route({"s0": listener.getsockname()})
+                c.upstreams.set_addresses({"s0": listener.getsockname()})
                 c.send()
                 peer, _ = await loop.sock_accept(listener)
                 with peer:
@@ -266,7 +277,7 @@
         old, new = FakeServer(), FakeServer()
         async with calls(old, new) as c:
             await c.outcome("s0")
-            c.upstreams.route({"s0": parse_address(new.host_port)})
+            c.upstreams.set_addresses({"s0": parse_address(new.host_port)})
             await until(lambda: old.closed == 1)
             assert await c.outcome("s0") is Outcome.SERVED
             assert len(new.got) == 1
@@ -303,7 +314,7 @@
 
 def test_only_the_module_sends_again() -> None:
     async def test() -> None:
-        async def reset(request: Got, writer: Writer) -> None:
+        async def reset(request: ReceivedRequest, writer: Writer) -> None:
             writer.close()
 
         broken, away, good = FakeServer(reset), FakeServer(AWAY), FakeServer()
--- a/tests/test_upstream_closes.py
+++ b/tests/test_upstream_closes.py
@@ -13,27 +13,27 @@
 import uvloop
 
 from passpost.answer_end import connection_end
-from passpost.attempt import Attempt, Outgoing
+from passpost.attempt import Attempt, UpstreamRequest
 from passpost.discovery import parse_address
 from passpost.http1 import Address, EndKind
 from passpost.upstream import Upstreams
 from passpost.upstream_options import UpstreamOptions
-from tests.loopback import OK, FakeServer, Got, Writer, run, silent, until
+from tests.loopback import OK, FakeServer, ReceivedRequest, Writer, run, silent, until
 from tests.test_upstream import Calls
 from umberworks.interface import Outcome
 
 QUESTION = "GET /alive HTTP/1.1"
 
 
-def question(name: str, address: Address) -> Outgoing:
-    return Outgoing(f"{QUESTION}\r\nHost: {name}\r\n".encode(), b"")
+def question(name: str, address: Address) -> UpstreamRequest:
+    return UpstreamRequest(f"{QUESTION}\r\nHost: {name}\r\n".encode(), b"")
 
 
 @asynccontextmanager
 async def asking(server: FakeServer, max_open: int = 10) -> AsyncIterator[Calls]:
     await server.start()
-    upstreams = Upstreams(5.0, 30.0, max_open, UpstreamOptions(question=question))
-    upstreams.route({"s0": parse_address(server.host_port)})
+    upstreams = Upstreams(5.0, 30.0, max_open, UpstreamOptions(liveness_request=question))
+    upstreams.set_addresses({"s0": parse_address(server.host_port)})
     try:
         yield Calls(upstreams)
     finally:
@@ -41,7 +41,7 @@
         server.stop()
 
 
-async def half_close(request: Got, writer: Writer) -> None:
+async def half_close(request: ReceivedRequest, writer: Writer) -> None:
     """An answer that ends with a FIN; the other direction stays open."""
     writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf")
     writer.write_eof()
@@ -50,7 +50,7 @@
 def answering(answer: bytes) -> FakeServer:
     """Half-closes behind each request's answer, and answers the question so."""
 
-    async def reply(request: Got, writer: Writer) -> None:
+    async def reply(request: ReceivedRequest, writer: Writer) -> None:
         if request.line == QUESTION:
             writer.write(answer)
         else:
@@ -157,7 +157,7 @@
             attempt = await ask(server, made)
             attempt.cancel()
             server.writers[1].write(OK)
-            await until(lambda: made.upstreams.has_idle("s0"))
+            await until(lambda: made.upstreams.has_idle_connection("s0"))
             assert made.outcomes == [Outcome.CANCELLED]
 
     run(test())
@@ -169,7 +169,7 @@
         async with asking(server) as made:
             made.send()
             await until(lambda: len(server.got) == 1)
-            made.upstreams.route({})
+            made.upstreams.set_addresses({})
             await half_close(server.got[0], server.writers[0])
             await until(lambda: len(server.got) == 2)
             server.writers[1].write(OK)
