--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -138,7 +138,7 @@
                 address,
                 self._max_open,
                 listener=self._listener,
-                held=HELD_BODIES,
+                buffer_bytes=HELD_BODIES,
                 options=self._client_options(),
             )
             asyncio.get_running_loop().call_later(DOOR_S, self._open_door)
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -63,20 +63,20 @@
 
 def _kept_after_surplus() -> None:
     from passpost.http1 import ResponseReader
-    from passpost.upstream_connection import Connection
+    from passpost.upstream_connection import UpstreamConnection
 
-    taken = Connection.data_received
+    taken = UpstreamConnection.data_received
 
-    def data_received(self: Connection, data: bytes) -> None:
+    def data_received(self: UpstreamConnection, data: bytes) -> None:
         if self._attempt is not None:
             taken(self, data)
 
-    def is_spent(self: Connection) -> bool:
+    def is_spent(self: UpstreamConnection) -> bool:
         return self._transport is None or self._transport.is_closing()
 
     _replace(ResponseReader, "has_surplus", lambda self: False)
-    _replace(Connection, "data_received", data_received)
-    _replace(Connection, "is_spent", is_spent)
+    _replace(UpstreamConnection, "data_received", data_received)
+    _replace(UpstreamConnection, "is_spent", is_spent)
 
 
 def _repeated_after_reset() -> None:
--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -70,7 +70,7 @@
         """`meeting`: the path where a new process finds us; `old`: what the old one has handed over."""
         self._config, self._meeting = config, meeting
         self.upstreams = Upstreams(
-            config.connect_timeout, config.idle_timeout, max_open=int(config.sockets * UPSTREAMS_SHARE)
+            config.connect_timeout, config.idle_timeout, max_connections=int(config.sockets * UPSTREAMS_SHARE)
         )
         self.discovery = _source(config)
         self.engine = Engine(
@@ -85,10 +85,10 @@
         self.server = Server(
             self.engine,
             config.listen,
-            max_open=clients,
+            max_connections=clients,
             listener=old.listener if old else None,
             shared=config.control is not None,
-            held=int(config.memory * HELD_SHARE),
+            buffer_bytes=int(config.memory * HELD_SHARE),
         )
         self._post: handover.Post | None = None
         self._old: handover.Channel | None = None
--- a/passpost/http1.py
+++ b/passpost/http1.py
@@ -107,14 +107,14 @@
     def __init__(
         self,
         max_body: int = MAX_BODY,
-        held: int | None = None,
+        max_buffered: int | None = None,
         is_streamed: Callable[[int, Headers], bool] | None = None,
         response_matcher: Callable[[int, Headers], bool] | None = None,
     ) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._is_due, self._is_stale = response_matcher, False
         self.stale = 0  # answers to earlier requests that were dropped
-        self._max_body, self._held = max_body, held
+        self._max_body, self._max_buffered = max_body, max_buffered
         self._is_at_once, self._at_once = is_streamed, False
         self._head_size, self._head_done, self._status = 0, False, 0
         self._headers: Headers = []
@@ -163,7 +163,7 @@
 
     def start(self, waited: bool = False) -> ResponseStart | None:
         """The beginning, once, of an answer too long to be held, or too slow if we have `waited` for it."""
-        if self._held is None or self._started or not self._head_done or self._is_stale:
+        if self._max_buffered is None or self._started or not self._head_done or self._is_stale:
             return None
         if self._at_once:
             self._started = True
@@ -171,10 +171,14 @@
         if self._status != 200:
             return None
         if self._length is None:
-            due = waited or self._response is not None or self._size > min(self._held, MAX_BUFFERED_UNSIZED)
+            due = (
+                waited
+                or self._response is not None
+                or self._size > min(self._max_buffered, MAX_BUFFERED_UNSIZED)
+            )
         else:
-            due = self._length > self._held
-        if not due or (self._response is not None and self._size <= self._held):
+            due = self._length > self._max_buffered
+        if not due or (self._response is not None and self._size <= self._max_buffered):
             return None
         self._started = True
         length = self._length if self._response is None else self._size
@@ -238,7 +242,7 @@
         length = fields.get(b"content-length")
         self._length = int(length) if length is not None and coding is None else None
         self._to_the_end = length is None and coding is None
-        if self._is_at_once is not None and self._held is not None:
+        if self._is_at_once is not None and self._max_buffered is not None:
             self._at_once = self._status >= 200 and self._is_at_once(self._status, self._headers)
         if self._length is not None and self._length > self._max_body:
             self._bad = "the body is too long"
--- a/passpost/request_reader.py
+++ b/passpost/request_reader.py
@@ -17,7 +17,7 @@
 
 # So much of what lies there is parsed at once: what many small requests take, in time and memory, is bounded.
 # Of a body more, and all of it where its head tells the length.
-HEAD_AT_ONCE, BODY_AT_ONCE = 1024, 32 * 1024
+HEAD_PARSE_BYTES, BODY_PARSE_BYTES = 1024, 32 * 1024
 BODY_SPAN_S = 1.5  # the rate of a body is reckoned over so long
 
 
@@ -109,9 +109,9 @@
     def parse(self) -> None:
         """Take what has come up to the next whole request; with one that waits, others have their turn."""
         while self.unparsed and self.may_parse() and not self.bad:
-            size = HEAD_AT_ONCE if self.is_in_head else BODY_AT_ONCE
+            size = HEAD_PARSE_BYTES if self.is_in_head else BODY_PARSE_BYTES
             if not self.is_in_head and self._length is not None:
-                size = max(HEAD_AT_ONCE, self._length - self.body_size)
+                size = max(HEAD_PARSE_BYTES, self._length - self.body_size)
             piece, self.unparsed = self.unparsed[:size], self.unparsed[size:]
             self._parse_piece(piece)
         if self.bad:
--- a/passpost/server.py
+++ b/passpost/server.py
@@ -22,7 +22,7 @@
 # as what is asked then is still open after 4. Kept so long, a short drain disturbs nobody.
 QUIESCE_KEPT_S = 1.2
 CLOSE_AT_S = 0.5  # before the end of an upgrade, answers close what could not be handed over
-LAST_LOOK_S = 0.2  # for the requests on connections taken at the very end
+FINAL_READ_S = 0.2  # for the requests on connections taken at the very end
 
 
 class Server:
@@ -32,10 +32,10 @@
         self,
         engine: RequestHandler,
         address: Address,
-        max_open: int,
+        max_connections: int,
         listener: socket.socket | None = None,
         shared: bool = False,
-        held: int = 0,
+        buffer_bytes: int = 0,
         options: ClientOptions | None = None,
     ) -> None:
         """With a `listener` of the old process that one is used; `shared`: another process may listen too.
@@ -49,10 +49,10 @@
         self._stopping = False
         self._give: Give | None = None  # hands a connection to the new process
         self._quiesce: asyncio.TimerHandle | None = None  # runs while told to drain by hand
-        self._may_hold = held
+        self._may_hold = buffer_bytes
         self.buffer = memoryview(bytearray(READ_BODY))
         self.open_ids: set[bytes] = set()
-        self.acceptor = Acceptor(self, listener or listen(address, shared), max_open)
+        self.acceptor = Acceptor(self, listener or listen(address, shared), max_connections)
         self._sweeper: asyncio.TimerHandle | None = None
 
     def apply_options(self, options: ClientOptions) -> None:
@@ -184,7 +184,7 @@
         while not self.acceptor.accept():
             await asyncio.sleep(step)  # all connections are busy: each one that ends lets one in
         self.acceptor.close()
-        await asyncio.sleep(LAST_LOOK_S)
+        await asyncio.sleep(FINAL_READ_S)
         while self.acceptor.connections and (self.time_left() > 0 or self._is_due()):
             now = time.monotonic()
             for connection in list(self.acceptor.connections):
--- a/passpost/upstream.py
+++ b/passpost/upstream.py
@@ -14,7 +14,7 @@
 from passpost.answer_end import Misuse, ResponseEnd
 from passpost.attempt import Attempt, AttemptCallback, ResponseSink, UpstreamRequest
 from passpost.http1 import Address
-from passpost.upstream_connection import IDLE_SHARE, Connection, Upstream, WatchAnswers, WatchMisuse
+from passpost.upstream_connection import IDLE_SHARE, UpstreamConnection, Upstream, WatchAnswers, WatchMisuse
 from passpost.upstream_options import UpstreamOptions
 from umberworks.interface import Outcome
 
@@ -42,7 +42,7 @@
         self,
         connect_timeout: float,
         idle_timeout: float,
-        max_open: int,
+        max_connections: int,
         options: UpstreamOptions | None = None,
     ) -> None:
         self.options = options or UpstreamOptions()
@@ -50,7 +50,7 @@
         self.on_misuse: WatchMisuse = _unwatched_misuse
         self._connect_timeout = connect_timeout
         self._idle_limit = idle_timeout * IDLE_SHARE
-        self._max_open = self._allowed = max_open
+        self._max_connections = self._allowed = max_connections
         self._most_each = math.inf
         self._upstreams: dict[str, Upstream] = {}
         self._open = 0
@@ -186,7 +186,9 @@
         self._probes.add(probe)
         probe.add_done_callback(self._probes.discard)
 
-    async def _probe(self, connection: Connection, upstream: Upstream, found: Callable[[bool], None]) -> None:
+    async def _probe(
+        self, connection: UpstreamConnection, upstream: Upstream, found: Callable[[bool], None]
+    ) -> None:
         reached = await self._reach(connection, upstream)
         if reached:
             self.rest(connection, upstream)
@@ -194,8 +196,8 @@
             connection.drop()
         found(reached)
 
-    def _new(self, upstream: Upstream) -> Connection:
-        connection = Connection(upstream, self)
+    def _new(self, upstream: Upstream) -> UpstreamConnection:
+        connection = UpstreamConnection(upstream, self)
         upstream.open.add(connection)
         self._open += 1
         return connection
@@ -215,11 +217,11 @@
 
     def share(self, shared: bool) -> None:
         """While two processes are one balancer each has half of the connections; idle ones go for that."""
-        self._allowed = self._max_open // 2 if shared else self._max_open
+        self._allowed = self._max_connections // 2 if shared else self._max_connections
         while self._open > self._allowed and self._drop_oldest():
             pass
 
-    def _idle(self, upstream: Upstream, unused: bool = False) -> Connection | None:
+    def _idle(self, upstream: Upstream, unused: bool = False) -> UpstreamConnection | None:
         """The idle connection to use: the latest that has rested, else the one idle for longest.
 
         `unused`: only one that has carried nothing yet.
@@ -236,7 +238,7 @@
             connection.drop()
         return None
 
-    def rest(self, connection: Connection, upstream: Upstream) -> None:
+    def rest(self, connection: UpstreamConnection, upstream: Upstream) -> None:
         """Keep a connection for the next attempt, unless its upstream has left, moved or is held out."""
         if self._upstreams.get(upstream.name) is not upstream or upstream.name in self._kept_none:
             connection.drop()
@@ -244,7 +246,7 @@
         connection.idle_since = time.monotonic()
         upstream.idle.append(connection)
 
-    def forget(self, connection: Connection, upstream: Upstream) -> None:
+    def forget(self, connection: UpstreamConnection, upstream: Upstream) -> None:
         """A connection is over."""
         if connection in upstream.open:
             upstream.open.remove(connection)
@@ -252,7 +254,7 @@
             if connection in upstream.idle:
                 upstream.idle.remove(connection)
 
-    async def _reach(self, connection: Connection, upstream: Upstream) -> bool:
+    async def _reach(self, connection: UpstreamConnection, upstream: Upstream) -> bool:
         """Whether a connection comes up in time."""
         try:
             async with asyncio.timeout(self._connect_timeout):
@@ -263,7 +265,7 @@
             return False
         return True
 
-    async def _connect(self, connection: Connection, upstream: Upstream, attempt: Attempt) -> None:
+    async def _connect(self, connection: UpstreamConnection, upstream: Upstream, attempt: Attempt) -> None:
         try:
             reached = await self._reach(connection, upstream)
         except asyncio.CancelledError:
@@ -277,7 +279,7 @@
             attempt.opening = None
             self._carry(connection, attempt)
 
-    def _carry(self, connection: Connection, attempt: Attempt) -> None:
+    def _carry(self, connection: UpstreamConnection, attempt: Attempt) -> None:
         try:
             connection.carry(attempt)
         except Exception:  # the attempt still owes its outcome, and some of it may have gone out
--- a/passpost/upstream_connection.py
+++ b/passpost/upstream_connection.py
@@ -47,8 +47,8 @@
 
     def __init__(self, name: str, address: Address) -> None:
         self.name, self.address = name, address
-        self.idle: list[Connection] = []  # the most recently used last
-        self.open: set[Connection] = set()
+        self.idle: list[UpstreamConnection] = []  # the most recently used last
+        self.open: set[UpstreamConnection] = set()
         self.misused_at = (
             self.misused_before
         ) = -math.inf  # when it last sent what belongs to no request, twice
@@ -63,10 +63,10 @@
     def misused(self, upstream: Upstream, misuse: Misuse) -> None:
         """An upstream has sent what belongs to no request that is out."""
 
-    def rest(self, connection: Connection, upstream: Upstream) -> None:
+    def rest(self, connection: UpstreamConnection, upstream: Upstream) -> None:
         """Keep a connection for the next attempt."""
 
-    def forget(self, connection: Connection, upstream: Upstream) -> None:
+    def forget(self, connection: UpstreamConnection, upstream: Upstream) -> None:
         """A connection is over."""
 
     def can_dispatch(self, upstream: Upstream) -> bool:
@@ -99,7 +99,7 @@
         self._due()
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """One connection to an upstream; carries one attempt at a time."""
 
     def __init__(self, upstream: Upstream, pool: Pool) -> None:
@@ -126,7 +126,7 @@
         held = MAX_BUFFERED_BODY if attempt.is_holding() else None
         response_matcher = attempt.request.response_matcher
         self._reader = ResponseReader(
-            held=held, is_streamed=self._pool.options.is_streamed, response_matcher=response_matcher
+            max_buffered=held, is_streamed=self._pool.options.is_streamed, response_matcher=response_matcher
         )
         attempt.connection = self
         self._moved = time.monotonic()
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -154,7 +154,7 @@
 def test_a_stale_answer_is_skipped_wherever_its_bytes_are_split(stale: str) -> None:
     data = (stale + text("r2", "own")).encode()
     for cut in range(1, len(data)):
-        reader = ResponseReader(held=0, response_matcher=is_due_to_r2)
+        reader = ResponseReader(max_buffered=0, response_matcher=is_due_to_r2)
         found = [reader.feed(data[:cut]), reader.feed(data[cut:])] if cut < len(data) else []
         whole = found[-1]
         assert whole is not None and whole.body == b"own" and not whole.reusable
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -581,7 +581,7 @@
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(options, "ACCEPT_AFTER_STOP_S", 0.1)
     monkeypatch.setattr(options, "DRAIN_STEP_S", 0.005)
-    monkeypatch.setattr(server, "LAST_LOOK_S", 0.02)
+    monkeypatch.setattr(server, "FINAL_READ_S", 0.02)
 
 
 def test_readiness_follows_the_control_side() -> None:
--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -8,7 +8,7 @@
 
 from balancer.balancer import end_margin
 from balancer.upstream_call import ANSWER_GRACE_S
-from passpost.request_reader import HEAD_AT_ONCE
+from passpost.request_reader import HEAD_PARSE_BYTES
 from tests.balancer_stage import (
     HOST,
     PATH,
@@ -58,7 +58,7 @@
             for number in range(3):
                 lines = f"Host: {HOST}\r\nMastturn-Request-Id: r{number}\r\nMastturn-Deadline-Ms: 600\r\n"
                 head = f"POST {PATH} HTTP/1.1\r\n{lines}Content-Length: {2 * HEAD_AT_ONCE}\r\n\r\n"
-                writer.write(head.encode() + bytes(2 * HEAD_AT_ONCE))
+                writer.write(head.encode() + bytes(2 * HEAD_PARSE_BYTES))
             replies = [await read_reply(reader) for _ in range(3)]
             assert [reply.status for reply in replies] == [504, 504, 504]
             assert loop.time() - begun < 0.6 + ANSWER_GRACE_S + SLACK_S
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -118,7 +118,7 @@
             await answered(busy)  # its connection has been handed over too
             assert (
                 new.node.server.acceptor._lent == 0
-                and new.node.upstreams._allowed == new.node.upstreams._max_open
+                and new.node.upstreams._allowed == new.node.upstreams._max_connections
             )
 
     run(test())
@@ -329,7 +329,7 @@
             new.node.close()
             await until(lambda: old.node.server.acceptor._is_accepting)
             await answered(await old.connect())
-            assert old.node.upstreams._allowed == old.node.upstreams._max_open
+            assert old.node.upstreams._allowed == old.node.upstreams._max_connections
 
     run(test())
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -314,13 +314,13 @@
         HEAD + b"Content-Length: 40000000\r\n\r\n",
     ):
         with pytest.raises(InvalidResponseError):
-            ResponseReader(held=MAX_BUFFERED_BODY).feed(raw)
+            ResponseReader(max_buffered=MAX_BUFFERED_BODY).feed(raw)
 
 
 def test_a_stop_does_not_cut_off_a_long_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     # Cut off by us it is lost; whoever has no time left kills us.
     monkeypatch.setattr(client_options, "ACCEPT_AFTER_STOP_S", 0.0)
-    monkeypatch.setattr(server, "LAST_LOOK_S", 0.0)
+    monkeypatch.setattr(server, "FINAL_READ_S", 0.0)
 
     async def test() -> None:
         release = asyncio.Event()
--- a/tests/test_orders_clients.py
+++ b/tests/test_orders_clients.py
@@ -144,7 +144,7 @@
 @pytest.fixture
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_options, "ACCEPT_AFTER_STOP_S", 0.0)
-    monkeypatch.setattr(server, "LAST_LOOK_S", 0.0)
+    monkeypatch.setattr(server, "FINAL_READ_S", 0.0)
     monkeypatch.setattr(client_options, "LAST_CALL_S", 1000.0)
 
 
@@ -407,7 +407,7 @@
                 while answered.count(b"\r\n\r\nok") < 1_500:
                     answered += await asyncio.get_running_loop().sock_recv(raw.socket, 65536)
                 raw.go()
-            assert most * len(ONE) <= request_reader.HEAD_AT_ONCE
+            assert most * len(ONE) <= request_reader.HEAD_PARSE_BYTES
             assert (await asyncio.get_running_loop().sock_recv(other.socket, 65536)).endswith(b"ok")
             other.go()
 
--- a/tests/test_orders_upstreams.py
+++ b/tests/test_orders_upstreams.py
@@ -12,7 +12,7 @@
 from passpost.attempt import Attempt, UpstreamRequest
 from passpost.http1 import Address
 from passpost.upstream import Upstreams
-from passpost.upstream_connection import Connection
+from passpost.upstream_connection import UpstreamConnection
 from tests.loopback import OK, FakeServer, ReceivedRequest, Writer, balancer, run, silent, until
 from umberworks.interface import Outcome
 
@@ -61,13 +61,13 @@
         server = FakeServer()
         await server.start()
         made, ended, attempts = pool(server), list[Outcome](), list[Attempt]()
-        come_up = Connection.connection_made
+        come_up = UpstreamConnection.connection_made
 
         def called_off(connection: Any, transport: Any) -> None:
             attempts[0].cancel()
             come_up(connection, transport)
 
-        monkeypatch.setattr(Connection, "connection_made", called_off)
+        monkeypatch.setattr(UpstreamConnection, "connection_made", called_off)
         attempts.append(made.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome)))
         await until(lambda: server.connections == 1 and server.closed == 1 and made._open == 0)
         assert ended == [Outcome.CANCELLED] and server.got == []
@@ -117,7 +117,7 @@
                 writer.write(OK)
 
             taken.reply = stuck.reply = takes
-            carry = Connection.carry
+            carry = UpstreamConnection.carry
             broken: list[Any] = []
 
             def breaks(connection: Any, attempt: Attempt) -> None:
@@ -128,7 +128,7 @@
                     connection._transport.abort()
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(Connection, "carry", breaks)
+                patch.setattr(UpstreamConnection, "carry", breaks)
                 client = await b.connect()
                 client.send("/pay", "POST", bytes(8_000_000))
                 answer = await client.answer()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 from passpost.discovery import parse_address
 from passpost.http1 import Response
 from passpost.upstream import Upstreams
-from passpost.upstream_connection import Connection
+from passpost.upstream_connection import UpstreamConnection
 from tests.loopback import (
     AWAY,
     OK,
@@ -305,7 +305,7 @@
 
     async def test() -> None:
         async with calls(FakeServer()) as c:
-            monkeypatch.setattr(Connection, "carry", fail)
+            monkeypatch.setattr(UpstreamConnection, "carry", fail)
             assert await c.outcome() is Outcome.BROKEN
             assert c.upstreams._open == 0
 
