--- a/passpost/upstream.py
+++ b/passpost/upstream.py
@@ -14,7 +14,7 @@
 from passpost.answer_end import Misuse, ResponseEnd
 from passpost.attempt import Attempt, AttemptCallback, ResponseSink, UpstreamRequest
 from passpost.http1 import Address
-from passpost.upstream_connection import IDLE_SHARE, UpstreamConnection, Upstream, WatchAnswers, WatchMisuse
+from passpost.upstream_connection import IDLE_SHARE, Upstream, UpstreamConnection, WatchAnswers, WatchMisuse
 from passpost.upstream_options import UpstreamOptions
 from umberworks.interface import Outcome
 
--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -57,7 +57,7 @@
             begun = loop.time()
             for number in range(3):
                 lines = f"Host: {HOST}\r\nMastturn-Request-Id: r{number}\r\nMastturn-Deadline-Ms: 600\r\n"
-                head = f"POST {PATH} HTTP/1.1\r\n{lines}Content-Length: {2 * HEAD_AT_ONCE}\r\n\r\n"
+                head = f"POST {PATH} HTTP/1.1\r\n{lines}Content-Length: {2 * HEAD_PARSE_BYTES}\r\n\r\n"
                 writer.write(head.encode() + bytes(2 * HEAD_PARSE_BYTES))
             replies = [await read_reply(reader) for _ in range(3)]
             assert [reply.status for reply in replies] == [504, 504, 504]
