--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The operators' door, the figures and the drain by hand, over loopback sockets."""
+"""The operators' interface, the counters and quiescing, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from passpost import client_options, config, connection_bounds, control, server
 from passpost.discovery import Discovery, Listing
 from tests.loopback import (
-    AWAY,
     OK,
+    TURNED_AWAY,
     FakeServer,
     ReceivedRequest,
     Writer,
     balancer,
     config_data,
-    operated,
+    enable_control,
     run,
     silent,
     until,
@@ -34,7 +34,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-# ---- the door
+# ---- the interface
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
 )
 def test_a_line_gets_one_answer_and_the_next_is_answered_too(line: bytes, answer: bytes) -> None:
     async def test() -> None:
-        async with balancer(change=operated) as b:
+        async with balancer(change=enable_control) as b:
             assert await b.call(line) == answer
             assert await b.call(b"health") == b"OK serving\n"
 
@@ -64,7 +64,7 @@
 
 def test_an_unknown_call_is_told_those_that_are_known() -> None:
     async def test() -> None:
-        async with balancer(change=operated) as b:
+        async with balancer(change=enable_control) as b:
             answer = await b.call(b"HEALTH")
             assert answer.startswith(b"ERR unknown call 'HEALTH'; known are health, ")
 
@@ -73,10 +73,10 @@
 
 def test_a_line_may_come_in_pieces_or_end_with_the_sending() -> None:
     async def test() -> None:
-        async with balancer(change=operated) as b:
-            assert b.node.door is not None
+        async with balancer(change=enable_control) as b:
+            assert b.node.control_server is not None
             for end in (True, False):
-                reader, writer = await asyncio.open_connection("127.0.0.1", b.node.door.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", b.node.control_server.port)
                 for byte in b"health\n" if end else b"health":
                     writer.write(bytes([byte]))
                     await asyncio.sleep(0)
@@ -90,36 +90,38 @@
 
 def test_silent_callers_give_way_to_one_that_speaks() -> None:
     async def test() -> None:
-        async with balancer(change=operated) as b:
-            assert b.node.door is not None
-            held = [
-                await asyncio.open_connection("127.0.0.1", b.node.door.port)
-                for _ in range(control.MAX_CALLS * 3)
+        async with balancer(change=enable_control) as b:
+            assert b.node.control_server is not None
+            connections = [
+                await asyncio.open_connection("127.0.0.1", b.node.control_server.port)
+                for _ in range(control.MAX_CONNECTIONS * 3)
             ]
-            held[-1][1].write(b"heal")
+            connections[-1][1].write(b"heal")
             assert await b.call(b"health") == b"OK serving\n"
-            assert len(b.node.door._calls) <= control.MAX_CALLS
-            assert await held[0][0].read() == b""  # the oldest has gone
-            held[-1][1].write(b"th\n")  # the youngest has not
-            assert await held[-1][0].read() == b"OK serving\n"
-            for _, writer in held:
+            assert len(b.node.control_server._connections) <= control.MAX_CONNECTIONS
+            assert await connections[0][0].read() == b""  # the oldest is closed
+            connections[-1][1].write(b"th\n")  # the newest is not
+            assert await connections[-1][0].read() == b"OK serving\n"
+            for _, writer in connections:
                 writer.close()
 
     run(test())
 
 
 def test_who_never_ends_the_line_or_never_leaves_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "LINE_S", 0.02)
-    monkeypatch.setattr(control, "LINGER_S", 0.02)
+    monkeypatch.setattr(control, "LINE_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(control, "LINGER_TIMEOUT_S", 0.02)
 
     async def test() -> None:
-        async with balancer(change=operated) as b:
-            assert b.node.door is not None
+        async with balancer(change=enable_control) as b:
+            assert b.node.control_server is not None
             for line, answer in ((b"heal", b""), (b"nothing\n", b"ERR")):
-                reader, writer = await asyncio.open_connection("127.0.0.1", b.node.door.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", b.node.control_server.port)
                 writer.write(line)
                 assert (await reader.read()).startswith(answer)
-                await until(lambda: b.node.door is not None and not b.node.door._calls)
+                await until(
+                    lambda: b.node.control_server is not None and not b.node.control_server._connections
+                )
                 writer.close()
 
     run(test())
@@ -127,8 +129,8 @@
 
 def test_a_fault_in_a_call_is_answered_and_the_door_stays_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with balancer(change=operated) as b:
-            monkeypatch.setattr(type(b.node), "figures", lambda node: 1 / 0)
+        async with balancer(change=enable_control) as b:
+            monkeypatch.setattr(type(b.node), "read_counters", lambda node: 1 / 0)
             assert (await b.call(b"counters")).startswith(b"ERR ")
             assert await b.call(b"health") == b"OK serving\n"
 
@@ -138,9 +140,9 @@
 def test_without_an_address_there_is_no_door(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
-            assert b.node.door is None
+            assert b.node.control_server is None
             with_door = config_data([])
-            operated(with_door)
+            enable_control(with_door)
             assert config.read(with_door).control == ("127.0.0.1", 0)
             assert config.read(config_data([]) | {"control": None}).control is None
 
@@ -169,7 +171,7 @@
     assert done.stderr.startswith("passpost: ") and done.stderr.count("\n") == 1
 
 
-# ---- the figures
+# ---- the counters
 
 
 def rows(**changes: Any) -> dict[str, dict[str, int]]:
@@ -179,7 +181,7 @@
 
 def test_the_figures_begin_with_zeros_for_every_class() -> None:
     async def test() -> None:
-        async with balancer(FakeServer(), change=operated) as b:
+        async with balancer(FakeServer(), change=enable_control) as b:
             assert await b.figures() == {
                 "requests": rows(),
                 "attempts": 0,
@@ -193,21 +195,25 @@
 
 def test_each_request_counts_once_by_what_its_caller_saw() -> None:
     async def test() -> None:
-        answers = {"served": OK, "broken": b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", "away": AWAY}
+        answers = {
+            "served": OK,
+            "broken": b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
+            "away": TURNED_AWAY,
+        }
 
         async def reply(request: ReceivedRequest, writer: Writer) -> None:
             writer.write(answers[request.headers["x-what"]])
 
         upstream = FakeServer(reply)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             client = await b.connect()
-            for what, status in (("served", 200), ("broken", 502), ("away", 503)):
-                answer = await client.ask("/pay", method="POST", X_What=what)
+            for kind, status in (("served", 200), ("broken", 502), ("away", 503)):
+                answer = await client.ask("/pay", method="POST", X_What=kind)
                 assert answer is not None and answer.status == status
             late = await client.ask(X_Remaining="0")
             assert late is not None and late.status == 504
             ready = await client.ask("/health/ready")
-            assert ready is not None and ready.status == 200  # no call: counts for nothing
+            assert ready is not None and ready.status == 200  # a readiness check is not counted
             bad = await (await b.connect()).ask("/nowhere")
             assert bad is not None and bad.status == 404
             figures = await b.figures()
@@ -223,12 +229,12 @@
 def test_what_is_open_is_in_flight_until_it_ends_or_its_caller_goes() -> None:
     async def test() -> None:
         upstream = FakeServer(silent)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             clients = [await b.connect() for _ in range(3)]
             for client in clients:
                 client.send()
             await until(lambda: len(upstream.got) == 3)
-            clients[0].send()  # sent ahead
+            clients[0].send()  # pipelined
             await until(lambda: b.node.engine.counters.in_flight == 4)
             assert (await b.figures())["in_flight"] == 4
             for client in clients[1:]:
@@ -253,7 +259,7 @@
 def test_an_id_that_is_open_counts_as_failed_for_the_second() -> None:
     async def test() -> None:
         upstream = FakeServer(silent)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             first, second = await b.connect(), await b.connect()
             first.send(X_Txn="same")
             await until(lambda: len(upstream.got) == 1)
@@ -268,8 +274,8 @@
 
 def test_an_attempt_that_did_not_go_out_whole_is_none() -> None:
     async def test() -> None:
-        async with balancer(change=operated) as b:  # nobody listens at port 1
-            b.node.engine.listed(*_one_listed("s0", ("127.0.0.1", 1)))
+        async with balancer(change=enable_control) as b:  # nothing listens on port 1
+            b.node.engine.on_list_update(*_one_listed("s0", ("127.0.0.1", 1)))
             answer = await (await b.connect()).ask("/pay", method="POST")
             assert answer is not None and answer.status == 503
             assert (await b.figures())["attempts"] == 0
@@ -281,29 +287,29 @@
     return ListUpdate(ListKind.WHOLE, (Member(name),)), {name: address}
 
 
-# ---- upstreams out by hand
+# ---- cordons
 
 
 def test_a_cordoned_upstream_gets_nothing_until_it_is_put_back() -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
-        async with balancer(first, second, change=operated) as b:
+        async with balancer(first, second, change=enable_control) as b:
             client = await b.connect()
             while not first.got or not second.got:
                 assert await client.ask() is not None
-            for _ in range(2):  # twice is once
+            for _ in range(2):  # repeating it has no further effect
                 assert await b.call(b"cordon s0") == b"OK cordon s0\n"
-            await until(lambda: first.closed == first.connections)  # idle connections go
-            had = len(first.got)
+            await until(lambda: first.closed == first.connections)  # idle connections are closed
+            previous_count = len(first.got)
             figures = await b.figures()
             assert (figures["upstreams_known"], figures["upstreams_excluded"]) == (2, 1)
             for _ in range(30):
                 answer = await client.ask()
                 assert answer is not None and answer.status == 200
-            assert len(first.got) == had
+            assert len(first.got) == previous_count
             assert await b.call(b"uncordon s0") == b"OK uncordon s0\n"
             assert (await b.figures())["upstreams_excluded"] == 0
-            while len(first.got) == had:
+            while len(first.got) == previous_count:
                 assert await client.ask() is not None
 
     run(test())
@@ -312,7 +318,7 @@
 def test_what_is_out_at_a_cordoned_upstream_finishes_and_its_connection_goes() -> None:
     async def test() -> None:
         upstream = FakeServer(silent)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             client = await b.connect()
             client.send()
             await until(lambda: len(upstream.got) == 1)
@@ -321,7 +327,7 @@
             answer = await client.answer()
             assert answer is not None and answer.status == 200
             await until(lambda: upstream.closed == 1)
-            refused = await client.ask(X_Remaining="9.0")  # nothing else is there: no waiting for it
+            refused = await client.ask(X_Remaining="9.0")  # without another upstream it does not wait
             assert refused is not None and refused.status == 503
             assert len(upstream.got) == 1
 
@@ -331,7 +337,7 @@
 @pytest.mark.parametrize("line", [b"cordon", b"uncordon", b"cordon a b", b"cordon s9", b"uncordon s9"])
 def test_a_cordon_of_nothing_known_is_refused(line: bytes) -> None:
     async def test() -> None:
-        async with balancer(FakeServer(), change=operated) as b:
+        async with balancer(FakeServer(), change=enable_control) as b:
             assert (await b.call(line)).startswith(b"ERR ")
             assert (await b.figures())["upstreams_excluded"] == 0
 
@@ -340,12 +346,12 @@
 
 def test_a_cordon_outlasts_the_list_that_drops_its_upstream() -> None:
     async def test() -> None:
-        async with balancer(FakeServer(), change=operated) as b:
+        async with balancer(FakeServer(), change=enable_control) as b:
             await b.call(b"cordon s0")
             assert isinstance(b.node.discovery, Discovery)
             b.node.discovery._apply(Listing(2, True, (), {}), ListKind.WHOLE)
             assert (await b.figures())["upstreams_known"] == 0
-            assert (await b.figures())["upstreams_excluded"] == 0  # only what is listed counts
+            assert (await b.figures())["upstreams_excluded"] == 0  # only listed upstreams count
             assert (await b.call(b"cordon s0")).startswith(b"OK ")
             assert (await b.call(b"uncordon s0")).startswith(b"OK ")
             assert (await b.call(b"uncordon s0")).startswith(b"ERR ")
@@ -353,7 +359,7 @@
     run(test())
 
 
-# ---- the drain by hand
+# ---- quiescing
 
 
 async def ready(b: Any) -> int:
@@ -362,7 +368,7 @@
 
 
 def test_quiesce_ends_readiness_at_once_and_callers_a_little_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_bounds, "FRESH_S", 0.0)
+    monkeypatch.setattr(connection_bounds, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def test() -> None:
         release = asyncio.Event()
@@ -373,19 +379,19 @@
             writer.write(OK)
 
         upstream = FakeServer(reply)
-        async with balancer(upstream, change=operated) as b:
-            idle, silent_one, busy = await b.connect(), await b.connect(), await b.connect()
+        async with balancer(upstream, change=enable_control) as b:
+            idle, silent_client, busy = await b.connect(), await b.connect(), await b.connect()
             assert await idle.ask() is not None
             busy.send(X_Txn="slow")
             await until(lambda: len(upstream.got) == 2)
-            monkeypatch.setattr(server, "QUIESCE_KEPT_S", 0.2)
-            for _ in range(2):  # twice is once
+            monkeypatch.setattr(server, "QUIESCE_KEEP_S", 0.2)
+            for _ in range(2):  # repeating it has no further effect
                 assert await b.call(b"quiesce") == b"OK draining\n"
-            assert await b.call(b"health") == b"OK serving\n"  # the process is well
+            assert await b.call(b"health") == b"OK serving\n"  # the process itself is healthy
             assert await ready(b) == 503
             answer = await idle.ask()
             assert answer is not None and answer.status == 200
-            assert await idle.answer() is None and await silent_one.answer() is None  # closed in good order
+            assert await idle.answer() is None and await silent_client.answer() is None  # closed in order
             release.set()
             answer = await busy.answer()
             assert answer is not None and answer.status == 200 and not answer.reusable
@@ -401,13 +407,13 @@
 
 def test_resume_in_the_middle_leaves_connections_alone() -> None:
     async def test() -> None:
-        async with balancer(FakeServer(), change=operated) as b:
+        async with balancer(FakeServer(), change=enable_control) as b:
             client = await b.connect()
             assert await client.ask() is not None
             await b.call(b"quiesce")
             for _ in range(2):
                 assert await b.call(b"resume") == b"OK back to work\n"
-            assert await ready(b) == 200 and b.node.server._quiesce is None
+            assert await ready(b) == 200 and b.node.server._quiesce_timer is None
             answer = await client.ask()
             assert answer is not None and answer.status == 200 and answer.reusable
 
@@ -416,27 +422,29 @@
 
 def test_a_request_that_lies_unread_is_not_closed_upon() -> None:
     async def test() -> None:
-        async with balancer(FakeServer(), change=operated) as b:
+        async with balancer(FakeServer(), change=enable_control) as b:
             with socket.create_connection(("127.0.0.1", b.node.server.port)) as client:
                 await until(lambda: bool(b.node.server.acceptor.connections))
                 (connection,) = b.node.server.acceptor.connections
                 await until(lambda: connection.transport._transport is not None)
-                assert connection_bounds.is_spare(connection, math.inf)
+                assert connection_bounds.is_closable(connection, math.inf)
                 client.sendall(b"GET /read HTTP/1.1\r\nX-Txn: a\r\n\r\n")  # the loop has had no turn since
-                assert not connection_bounds.is_spare(connection, math.inf)
-                await until(lambda: connection.is_useful and connection_bounds.is_spare(connection, math.inf))
+                assert not connection_bounds.is_closable(connection, math.inf)
+                await until(
+                    lambda: connection.has_had_request and connection_bounds.is_closable(connection, math.inf)
+                )
                 assert client.recv(65536).startswith(b"HTTP/1.1 200 ")
 
     run(test())
 
 
 def test_a_stop_in_a_drain_ends_in_order_and_can_not_be_taken_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "QUIESCE_KEPT_S", 0.0)
+    monkeypatch.setattr(server, "QUIESCE_KEEP_S", 0.0)
     monkeypatch.setattr(client_options, "ACCEPT_AFTER_STOP_S", 0.05)
 
     async def test() -> None:
         upstream = FakeServer(silent)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             client = await b.connect()
             client.send()
             await until(lambda: len(upstream.got) == 1)
--- a/tests/test_cut_answer_orders.py
+++ b/tests/test_cut_answer_orders.py
@@ -1,7 +1,7 @@
-"""Answers that are cut, in each order in which head, body, FIN and reset can lie in the socket.
+"""Cut responses, in each order in which head, body, FIN and reset can arrive.
 
-Whatever the framing on either side, a client never reads a cut answer as complete. The one exception: an
-answer without length and chunks that a FIN cuts at an upstream that lives on is not to be told from a whole.
+Guards against a client that reads a cut response as complete, whatever the framing on either side. The one
+exception: a response without length and chunks, cut by a FIN of a live upstream, looks complete.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
 LINGER = struct.pack("ii", 1, 0)
-LONG = 70_000  # bytes: too long to be held, so that it is passed on as it comes
+LONG = 70_000  # bytes: too long to buffer, so that it is streamed
 PATIENCE_S = 5.0
 ORDERS = [
     (*answer, *ends)
@@ -29,12 +29,12 @@
         (("head",), ("head", "body")), (("reset",), ("FIN",), ("FIN", "reset"))
     )
 ]
-TURNS = (0, 1, 3)  # of the event loop between two of these
+TURNS = (0, 1, 3)  # turns of the event loop between two steps
 
 
 @dataclass(frozen=True)
 class Cut:
-    """How an answer is cut. `turns`: with none the balancer finds all of it in one look."""
+    """How a response is cut; with `turns` 0 the balancer receives everything at once."""
 
     framing: str
     body: str
@@ -42,15 +42,15 @@
     order: tuple[str, ...]
     turns: int
 
-    def can_be_told(self) -> bool:
-        """Whether anything shows that it is cut, before a reset that may come too late to be seen."""
+    def is_detectable(self) -> bool:
+        """Whether anything shows the cut, apart from a reset that may arrive too late to be seen."""
         return (
             self.framing != "close" or "FIN" not in self.order or (self.turns == 0 and "reset" in self.order)
         )
 
 
 class OrderedStage(Stage):
-    """An upstream that cuts each answer as `cut` says."""
+    """An upstream that cuts each response as `cut` says."""
 
     def __init__(self) -> None:
         super().__init__("u1")
@@ -90,11 +90,11 @@
             for step in self.cut.order:
                 for _ in range(self.cut.turns):
                     await asyncio.sleep(0)
-                await self._take(step, peer, got)
+                await self._perform(step, peer, got)
             if "reset" not in self.cut.order:
                 await asyncio.get_running_loop().sock_recv(peer, 1)  # until the balancer closes
 
-    async def _take(self, step: str, peer: socket.socket, got: ReceivedRequest) -> None:
+    async def _perform(self, step: str, peer: socket.socket, got: ReceivedRequest) -> None:
         loop = asyncio.get_running_loop()
         match step:
             case "head":
@@ -133,14 +133,14 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """A client, on a plain socket: an event loop may take a reset for an end of file."""
+    """A client on a plain socket: an event loop may take a reset for an end of file."""
 
     version: str = "1.1"
     closes: bool = False
-    ahead: int = 0  # requests that it sends behind the first
+    ahead: int = 0  # requests pipelined after the first
 
     async def is_served(self, port: int) -> bool:
-        """Whether it reads a complete 200."""
+        """Whether it reads a complete 200 response."""
         loop = asyncio.get_running_loop()
         with socket.socket() as peer:
             peer.setblocking(False)
@@ -165,9 +165,9 @@
 
 
 def is_complete(data: bytes, ended: bool) -> bool:
-    """Whether an answer is complete by its framing; `ended`: its connection has ended in order."""
-    lines, found, body = data.partition(b"\r\n\r\n")
-    if not found:
+    """Whether a response is complete by its framing; `ended`: its connection was closed in order."""
+    lines, has_head, body = data.partition(b"\r\n\r\n")
+    if not has_head:
         return False
     fields = dict(line.lower().split(b": ", 1) for line in lines.split(b"\r\n")[1:])
     if b"content-length" in fields:
@@ -205,9 +205,9 @@
         stage = OrderedStage()
         async with playing(stage, config=UNSAFE) as play:
             for cut in answers(framing):
-                stage.cut, had = cut, len(stage.got)
+                stage.cut, previous_count = cut, len(stage.got)
                 is_served = await caller.is_served(play.port)
-                assert len(stage.got) > had
-                assert not (is_served and cut.can_be_told()), cut
+                assert len(stage.got) > previous_count
+                assert not (is_served and cut.is_detectable()), cut
 
     run(test())
--- a/tests/test_dead_upstreams.py
+++ b/tests/test_dead_upstreams.py
@@ -1,13 +1,10 @@
-"""Incident MIXED, second report: an upstream that dies in the middle of an answer (docs/incidents/mixed.md).
-
-Seen: two requests got a 200 with the upstream's seal, framed as complete, with a part of the upstream's body.
-How: the upstream broke off an answer with neither length nor chunks, 1 ms after it had begun. A reset there
-is no end since the first report; a FIN still was one, whoever had sent it.
-Cause: a FIN was taken for the word of a program that had finished. The kernel sends one for each socket of a
-process that dies as well, if nothing unread lies in it.
-Proof: upstreams that kill themselves in such an answer: 20 of 20 reached the client as complete, of 40 with
-a length or chunks none. A new connection is no sign of life: in 2 of 20 trials it still came up, as the
-kernel closes the listener of a dead process last. An answer is one.
+"""Incident MIXED, second report: an upstream that dies during a response (docs/incidents/mixed.md).
+
+A response with neither length nor chunks, cut 1 ms after it began, reached two clients as a complete 200: the
+FIN was taken for the end of the response, but the kernel also sends a FIN for each socket of a dying process
+that has no unread data. With upstreams that kill themselves there, 20 of 20 such responses looked complete,
+and none of 40 with a length or chunks. A new connection does not prove life, as the kernel closes the
+listener of a dead process last (2 of 20 trials still connected); a response does.
 """
 
 from __future__ import annotations
@@ -33,7 +30,7 @@
 
 
 class DyingStage(Stage):
-    """An upstream of a process of its own (`dying_upstream.py`)."""
+    """An upstream in its own process (`dying_upstream.py`)."""
 
     def __init__(self, framing: str = "close", is_stream: bool = False, name: str = "dying") -> None:
         super().__init__(name)
@@ -68,7 +65,7 @@
         async with playing(DyingStage(), Stage("standing"), config=SAFE) as play:
             ends = play.balancer.answers.ends
             number = 0
-            while not ends[Framing.CLOSE, EndKind.GONE]:  # until it is drawn
+            while not ends[Framing.CLOSE, EndKind.GONE]:  # until the dying upstream is selected
                 number += 1
                 reply = await play.ask(f"r{number}")
                 assert (reply.status, reply.whole, reply.body) == (200, True, b"standing")
@@ -82,7 +79,7 @@
         async with playing(*stages, config=RESUMABLE) as play:
             ends = play.balancer.answers.ends
             number = 0
-            while not ends[Framing.CLOSE, EndKind.GONE]:  # until it is drawn
+            while not ends[Framing.CLOSE, EndKind.GONE]:  # until the dying upstream is selected
                 number += 1
                 reply = await play.ask(f"r{number}")
                 lines = reply.body.decode().splitlines()
@@ -144,7 +141,7 @@
 
 
 def test_an_answer_is_whole_though_the_connection_that_is_asked_by_is_not_read() -> None:
-    """A soak's finding (seed 52100): an upstream that lives, while one of its idle connections is deaf."""
+    """Found by a soak (seed 52100): a live upstream that does not read one of its idle connections."""
 
     async def test() -> None:
         told, over = asyncio.Event(), asyncio.Event()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets, and what the module is told of it."""
+"""Discovery over loopback sockets, and the updates that the policy gets."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 SAVED = listing(1, member("a", "127.0.0.1:1001"), member("b", "127.0.0.1:1002"))
 
 
-class Script:
-    """Answers call by call; the last watch waits for good."""
+class ScriptedReplies:
+    """Answers call by call; the last watch is never answered."""
 
     def __init__(self, *replies: bytes) -> None:
         self.replies = list(replies)
@@ -39,8 +39,8 @@
             writer.write(self.replies.pop(0))
 
 
-class Heard:
-    """What a discovery has told."""
+class RecordedUpdates:
+    """The updates that a discovery has reported."""
 
     def __init__(self) -> None:
         self.kinds: list[ListKind] = []
@@ -54,14 +54,14 @@
 
 
 @asynccontextmanager
-async def following(*replies: bytes) -> AsyncIterator[tuple[FakeServer, Discovery, Heard]]:
-    server, heard = FakeServer(Script(*replies)), Heard()
+async def following(*replies: bytes) -> AsyncIterator[tuple[FakeServer, Discovery, RecordedUpdates]]:
+    server, recorded = FakeServer(ScriptedReplies(*replies)), RecordedUpdates()
     await server.start()
     discovery = Discovery(parse_address(server.host_port), parse_listing(SAVED))
-    discovery.start(heard)
+    discovery.start(recorded)
     discovery.subscribe()
     try:
-        yield server, discovery, heard
+        yield server, discovery, recorded
     finally:
         discovery.stop()
         server.stop()
@@ -75,26 +75,26 @@
             listing(5, member("a", "", "left"), member("c", "127.0.0.1:1003", "leaving"), complete=False),
             listing(9, member("d", "127.0.0.1:1004")),
         )
-        async with following(*map(answer_json, replies)) as (server, _, heard):
+        async with following(*map(answer_json, replies)) as (server, _, recorded):
             await until(lambda: len(server.got) == 5)
-            assert heard.kinds == [
+            assert recorded.kinds == [
                 ListKind.SAVED,
                 ListKind.CHANGES,
                 ListKind.CHANGES,
                 ListKind.CHANGES,
                 ListKind.WHOLE,
             ]
-            assert [m.readiness for m in heard.updates[3].members] == [Readiness.GONE, Readiness.DRAINING]
-            assert heard.addresses == {"d": ("127.0.0.1", 1004)}
-            # Each call follows on what the last one told, on one connection, and only watches wait.
+            assert [m.readiness for m in recorded.updates[3].members] == [Readiness.GONE, Readiness.DRAINING]
+            assert recorded.addresses == {"d": ("127.0.0.1", 1004)}
+            # Each call follows the previous revision, on one connection, and only watches wait.
             watches = [
                 f"GET /registry/instances?after={n}&wait_ms={w} HTTP/1.1"
                 for n, w in (
                     (1, 0),
-                    (1, module.WATCH_MS),
-                    (4, module.WATCH_MS),
-                    (5, module.WATCH_MS),
-                    (9, module.WATCH_MS),
+                    (1, module.WATCH_WAIT_MS),
+                    (4, module.WATCH_WAIT_MS),
+                    (5, module.WATCH_WAIT_MS),
+                    (9, module.WATCH_WAIT_MS),
                 )
             ]
             assert [got.line for got in server.got] == watches
@@ -106,9 +106,9 @@
 def test_an_address_may_change_under_the_same_id() -> None:
     async def test() -> None:
         moved = listing(2, member("a", "127.0.0.1:3001"), complete=False)
-        async with following(answer_json(moved)) as (server, _, heard):
+        async with following(answer_json(moved)) as (server, _, recorded):
             await until(lambda: len(server.got) == 2)
-            assert heard.addresses == {"a": ("127.0.0.1", 3001), "b": ("127.0.0.1", 1002)}
+            assert recorded.addresses == {"a": ("127.0.0.1", 3001), "b": ("127.0.0.1", 1002)}
 
     run(test())
 
@@ -131,39 +131,39 @@
 )
 def test_a_bad_answer_counts_as_failed_and_leaves_the_list(reply: bytes) -> None:
     async def test() -> None:
-        async with following(reply, answer_json(SAVED)) as (_, discovery, heard):
-            await until(lambda: len(heard.kinds) == 2)
-            assert heard.kinds == [ListKind.SAVED, ListKind.FAILED]
-            assert set(heard.addresses) == {"a", "b"}
-            discovery.subscribe()  # when the module asks again, it works again
-            await until(lambda: len(heard.kinds) == 3)
-            assert heard.kinds[2] is ListKind.WHOLE
+        async with following(reply, answer_json(SAVED)) as (_, discovery, recorded):
+            await until(lambda: len(recorded.kinds) == 2)
+            assert recorded.kinds == [ListKind.SAVED, ListKind.FAILED]
+            assert set(recorded.addresses) == {"a", "b"}
+            discovery.subscribe()  # when the policy subscribes again, it works again
+            await until(lambda: len(recorded.kinds) == 3)
+            assert recorded.kinds[2] is ListKind.WHOLE
 
     run(test())
 
 
 def test_silence_ends_in_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "CALL_TIMEOUT", 0.05)
+    monkeypatch.setattr(module, "CALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        async with following() as (server, _, heard):
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
+        async with following() as (server, _, recorded):
+            await until(lambda: recorded.kinds == [ListKind.SAVED, ListKind.FAILED])
             await until(lambda: server.closed == server.connections)
 
     run(test())
 
 
 def test_a_watch_that_is_lost_is_given_up_before_a_drain_and_its_grace_are_over() -> None:
-    # Told of 6 s late at the most, a drain is no news any more 2 s later.
+    # A drain reported more than 6 s late is outdated 2 s later.
     async def test() -> None:
         async with following(answer_json(listing(1, complete=False))) as (server, _, _heard):
             await until(lambda: len(server.got) == 2)
             wait_ms = int(server.got[1].line.split("wait_ms=")[1].split()[0])
-            assert 0 < wait_ms / 1000 + module.CALL_TIMEOUT <= 6
-            # Also if the next one falls silent as well, with all pauses in between.
-            assert wait_ms / 1000 + 2 * module.CALL_TIMEOUT + module.AGAIN_S <= 6
-            # What the agent gets when it is back is told at once: asked for within the shortest grace, 2 s.
-            assert module.CALL_TIMEOUT + module.AGAIN_S < 2
+            assert 0 < wait_ms / 1000 + module.CALL_TIMEOUT_S <= 6
+            # Also if the next watch is lost as well, with all pauses in between.
+            assert wait_ms / 1000 + 2 * module.CALL_TIMEOUT_S + module.RETRY_DELAY_S <= 6
+            # What the agent learns when it is back is fetched within the shortest grace, 2 s.
+            assert module.CALL_TIMEOUT_S + module.RETRY_DELAY_S < 2
 
     run(test())
 
@@ -172,22 +172,22 @@
     async def test() -> None:
         skipped, new = (
             FakeServer(),
-            FakeServer(Script(answer_json(listing(1, member("c", "127.0.0.1:4001"))))),
+            FakeServer(ScriptedReplies(answer_json(listing(1, member("c", "127.0.0.1:4001"))))),
         )
         await skipped.start()
         await new.start()
-        async with following(answer_json(listing(7, complete=False))) as (old, discovery, heard):
-            await until(lambda: len(old.got) == 2)  # the watch is on
-            discovery.move((parse_address(skipped.host_port),))
-            discovery.move((parse_address(new.host_port),))
-            assert set(heard.addresses) == {"a", "b"}  # they serve until the new list is there
+        async with following(answer_json(listing(7, complete=False))) as (old, discovery, recorded):
+            await until(lambda: len(old.got) == 2)  # the watch has started
+            discovery.change_addresses((parse_address(skipped.host_port),))
+            discovery.change_addresses((parse_address(new.host_port),))
+            assert set(recorded.addresses) == {"a", "b"}  # they are used until the new list has arrived
             await until(lambda: len(new.got) == 2 and old.closed == 1)
-            discovery.move((parse_address(new.host_port),))  # nothing to do
-            assert heard.kinds == [ListKind.SAVED, ListKind.CHANGES, ListKind.WHOLE]
-            assert set(heard.addresses) == {"c"}
+            discovery.change_addresses((parse_address(new.host_port),))  # no effect
+            assert recorded.kinds == [ListKind.SAVED, ListKind.CHANGES, ListKind.WHOLE]
+            assert set(recorded.addresses) == {"c"}
             assert [got.line for got in new.got] == [
                 "GET /registry/instances HTTP/1.1",
-                f"GET /registry/instances?after=1&wait_ms={module.WATCH_MS} HTTP/1.1",
+                f"GET /registry/instances?after=1&wait_ms={module.WATCH_WAIT_MS} HTTP/1.1",
             ]
             assert skipped.got == [] and new.connections == 1
         skipped.stop()
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_the_list_is_followed_whatever_the_settings_call_it(mode: str) -> None:
-    # On sockets nothing is told unasked: where a list is pushed, the watch is what it comes by.
+    # On sockets nothing is pushed: where the settings say so, the list arrives by a watch.
     def change(data: dict[str, Any]) -> None:
         data["settings"]["discovery"] = mode
 
@@ -206,10 +206,10 @@
         left, joined = FakeServer(), FakeServer()
         await joined.start()
         news = listing(2, member("s0", "", "left"), member("s1", joined.host_port), complete=False)
-        agent = FakeServer(Script(answer_json(news)))
+        agent = FakeServer(ScriptedReplies(answer_json(news)))
         await agent.start()
         async with balancer(left, discovery=agent.host_port, change=change) as b:
-            await until(lambda: len(agent.got) == 2)  # the news are there, and the watch is on
+            await until(lambda: len(agent.got) == 2)  # the update has arrived, and the watch has started
             answer = await (await b.connect()).ask()
             assert answer is not None and answer.status == 200
             assert (len(left.got), len(joined.got)) == (0, 1)
@@ -224,7 +224,7 @@
         data["settings"]["discovery"] = "ask"
 
     async def test() -> None:
-        async with balancer(FakeServer(), change=ask) as b:  # nobody listens where discovery should be
+        async with balancer(FakeServer(), change=ask) as b:  # nothing listens at the discovery address
             await asyncio.sleep(0)
             client = await b.connect()
             for target in ("/health/ready", "/read"):
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: the module's clock, and the configuration that reaches it."""
+"""The engine: the policy's clock, and the settings that reach it."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 def test_the_clock_is_unix_time_and_never_goes_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Against any other base, an upstream that started a second ago would look like one of long ago.
+    # With any other base, an upstream started a second ago would look as if started long ago.
     started = engine()
     first = started.now()
     assert first == pytest.approx(time.time() * 1000, abs=600_000)
-    monkeypatch.setattr(time, "time", lambda: 5.0)  # the system's clock is set back
+    monkeypatch.setattr(time, "time", lambda: 5.0)  # the system clock is set back
     monkeypatch.setattr(time, "monotonic", lambda: 0.0)
     assert started.now() >= first
 
@@ -48,7 +48,7 @@
     assert [c.name for c in read.settings.classes] == ["read", "order", "pay"]
     assert (read.settings.may_cancel, read.settings.may_duplicate) == (True, False)
     assert read.settings.max_retry_after_ms == 1_500.0
-    # They allow no probes, which are requests; a connection that comes up or not is none.
+    # They forbid probe requests; a probe by a connection attempt is allowed.
     assert read.settings.may_probe
     assert (read.connect_timeout, read.idle_timeout, read.answer_grace) == (5.0, 30.0, 0.016)
     assert read.seed == 0x8C1F30D2
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,8 +29,8 @@
     ReceivedRequest,
     Writer,
     config_data,
+    enable_control,
     member,
-    operated,
     run,
     silent,
     until,
@@ -44,26 +44,26 @@
 async def processes(
     tmp_path: Path, *upstreams: FakeServer
 ) -> AsyncIterator[Callable[[], Awaitable[Balancer]]]:
-    """Starts one process of the balancer after the other, all of which meet in one directory."""
+    """Starts processes of one balancer, one after the other, with handovers in one directory."""
     for upstream in upstreams:
         await upstream.start()
     data = config_data([member(f"s{i}", u.host_port) for i, u in enumerate(upstreams)])
-    operated(data)
+    enable_control(data)
     started: list[Balancer] = []
 
     async def start() -> Balancer:
         read = config.read(data)
-        path = program.meeting_path(read, str(tmp_path))
+        path = program.handover_socket_path(read, str(tmp_path))
         assert path is not None
-        # A process that starts asks before it has anything else to do: here the old one shares its loop.
-        started.append(Balancer(Node(read, path, await asyncio.to_thread(handover.ask, path))))
+        # A starting process requests the handover synchronously; here the old one shares its event loop.
+        started.append(Balancer(Node(read, path, await asyncio.to_thread(handover.request_handover, path))))
         return started[-1]
 
     try:
         yield start
     finally:
         for b in started:
-            b.hang_up()
+            b.close_connections()
             b.node.close()
         for upstream in upstreams:
             upstream.stop()
@@ -75,13 +75,13 @@
 
 
 async def answered(client: Client, **more: Any) -> None:
-    answer = await client.ask(**more)
+    answer = await client.request_handover(**more)
     assert answer is not None and answer.status == 200
 
 
 @pytest.fixture(autouse=True)
 def no_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(program, "LIST_S", 0.05)  # nobody is there to ask for one
+    monkeypatch.setattr(program, "LIST_WAIT_S", 0.05)  # no discovery service responds
 
 
 def test_an_upgrade_loses_no_connection_and_no_request(tmp_path: Path) -> None:
@@ -106,7 +106,7 @@
             await until(lambda: old.node.server.acceptor._is_yielding)
             assert new.node.server.port == old.node.server.port
             stopped = asyncio.get_running_loop().create_task(old.node.stop())
-            await until(lambda: new.node.server.count() == 2)
+            await until(lambda: new.node.server.connection_count() == 2)
             await answered(idle)
             await answered(fresh)
             await answered(await new.connect())
@@ -114,11 +114,11 @@
             release.set()
             answer = await busy.answer()
             assert answer is not None and answer.status == 200 and answer.reusable
-            await stopped  # with nothing left to answer it ends early
+            await stopped  # ends early, as nothing is left to answer
             await answered(busy)  # its connection has been handed over too
             assert (
-                new.node.server.acceptor._lent == 0
-                and new.node.upstreams._allowed == new.node.upstreams._max_connections
+                new.node.server.acceptor._peer_connections == 0
+                and new.node.upstreams._open_limit == new.node.upstreams._max_connections
             )
 
     run(test())
@@ -130,16 +130,18 @@
         async with processes(tmp_path, upstream) as start:
             old = await start()
             with socket.create_connection(("127.0.0.1", old.node.server.port)) as client:
-                await until(lambda: old.node.server.count() == 1)
+                await until(lambda: old.node.server.connection_count() == 1)
                 (connection,) = old.node.server.acceptor.connections
-                await until(connection.is_whole)
+                await until(connection.can_hand_over)
                 new = await start()
                 await serving(new)
-                heir = old.node._heir
-                assert heir is not None
+                successor = old.node._successor
+                assert successor is not None
                 client.sendall(b"GET /read HTTP/1.1\r\nX-Txn: a\r\n\r\n")
-                assert connection.hand_over(heir.give)  # the loop has had no turn since
-                await until(lambda: new.node.engine.counters.figures(0, 0)["requests"]["read"]["served"] == 1)
+                assert connection.hand_over(successor.send_descriptor)  # the event loop has had no turn since
+                await until(
+                    lambda: new.node.engine.counters.snapshot(0, 0)["requests"]["read"]["served"] == 1
+                )
                 assert client.recv(65536).startswith(b"HTTP/1.1 200 ")
                 assert len(upstream.got) == 1
 
@@ -164,7 +166,7 @@
             await serving(new)
             stopped = asyncio.get_running_loop().create_task(old.node.stop())
             await until(old.node.server.is_handing_over)
-            old.node.server._ends = 0.0  # all the time there was has passed
+            old.node.server._deadline = 0.0  # the deadline has passed
             await until(lambda: not old.node.server.acceptor._is_accepting)
             release.set()
             assert len(await client.reader.readexactly(200_000)) == 200_000
@@ -214,10 +216,10 @@
     async def test() -> None:
         async with processes(tmp_path, FakeServer()) as start:
             old = await start()
-            old.node.server.send_off()
+            old.node.server.quiesce_at_once()
             new = await start()
             await serving(new)
-            answer = await (await new.connect()).ask()
+            answer = await (await new.connect()).request_handover()
             assert answer is not None and answer.status == 200 and not answer.reusable
 
     run(test())
@@ -254,19 +256,19 @@
             await answered(client)
             new = await start()
             await serving(new)
-            send, tries = socket.send_fds, 0
+            send, attempts = socket.send_fds, 0
 
-            def full(*args: Any) -> int:
-                nonlocal tries
-                tries += 1
-                if tries < 4:
+            def fail_then_send(*args: Any) -> int:
+                nonlocal attempts
+                attempts += 1
+                if attempts < 4:
                     raise OSError(number, os.strerror(number))
                 return send(*args)
 
-            monkeypatch.setattr(socket, "send_fds", full)
+            monkeypatch.setattr(socket, "send_fds", fail_then_send)
             await old.node.stop()
             await answered(client)
-            assert tries == 4
+            assert attempts == 4
 
     run(test())
 
@@ -291,9 +293,9 @@
 def test_long_lists_of_evidence_go_in_parts() -> None:
     evidence = tuple(face.Evidence(f"s{i}", 0.0, 1.0, 2.0, 3.0) for i in range(500))
     learned = face.Learned(0.3, 10.0, 5.0, evidence)
-    parts = [json.dumps(part) for part in handover.write_learned(learned)]
-    assert len(parts) == 3 and max(map(len, parts)) < handover.MAX_MESSAGE
-    back = [handover.read_learned(json.loads(part)) for part in parts]
+    parts = [json.dumps(part) for part in handover.encode_learned(learned)]
+    assert len(parts) == 3 and max(map(len, parts)) < handover.MAX_MESSAGE_BYTES
+    back = [handover.decode_learned(json.loads(part)) for part in parts]
     assert tuple(item for part in back for item in part.evidence) == evidence
     assert {part.lowest for part in back} == {0.3}
 
@@ -329,7 +331,7 @@
             new.node.close()
             await until(lambda: old.node.server.acceptor._is_accepting)
             await answered(await old.connect())
-            assert old.node.upstreams._allowed == old.node.upstreams._max_connections
+            assert old.node.upstreams._open_limit == old.node.upstreams._max_connections
 
     run(test())
 
@@ -342,29 +344,29 @@
             new = await start()
             old.node.server.acceptor.pause()
             old.node.server.acceptor.listener.close()
-            old.node.close()  # with no word, before the new one serves
+            old.node.close()  # without a message, before the new one serves
             await serving(new)
             await answered(await new.connect())
-            assert new.node.server.acceptor._lent == 0
+            assert new.node.server.acceptor._peer_connections == 0
 
     run(test())
 
 
-@pytest.mark.parametrize("left", ["file", "stale", "mute", "noise", "empty"])
+@pytest.mark.parametrize("old_process", ["file", "stale", "mute", "noise", "empty"])
 def test_without_a_word_from_the_old_process_the_new_one_starts_by_itself(
-    tmp_path: Path, left: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, old_process: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "handover.n0"
 
     async def test() -> None:
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as old:
-            if left == "file":
+            if old_process == "file":
                 path.write_text("spoilt")
             else:
                 old.bind(str(path))
-            if left in ("mute", "noise", "empty"):
+            if old_process in ("mute", "noise", "empty"):
                 old.listen(1)
-            answering = asyncio.get_running_loop().run_in_executor(None, _say, old, left)
+            answering = asyncio.get_running_loop().run_in_executor(None, _respond, old, old_process)
             async with processes(tmp_path, FakeServer()) as start:
                 new = await start()
                 await serving(new)
@@ -372,14 +374,14 @@
             await answering
 
     run(test())
-    lines = [r for r in caplog.records if "starting by ourselves" in r.getMessage()]
+    lines = [r for r in caplog.records if "starting without it" in r.getMessage()]
     assert len(lines) == 1 and "\n" not in lines[0].getMessage()
 
 
-def _say(old: socket.socket, what: str) -> None:
-    if what in ("noise", "empty"):
+def _respond(old: socket.socket, behavior: str) -> None:
+    if behavior in ("noise", "empty"):
         line, _ = old.accept()
-        line.send({"noise": b"\xff{", "empty": b"{}"}[what])
+        line.send({"noise": b"\xff{", "empty": b"{}"}[behavior])
         line.close()
 
 
@@ -389,26 +391,26 @@
     async def test() -> None:
         async with processes(tmp_path, FakeServer()) as start:
             old = await start()
-            taken = await asyncio.to_thread(handover.ask, str(tmp_path / "handover.n0"))
-            assert taken is not None
+            state = await asyncio.to_thread(handover.request_handover, str(tmp_path / "handover.n0"))
+            assert state is not None
             for message in (b"{", b"[]", b'{"cordon": "s0"}', b'{"strange": 1}'):
-                taken.line.send(message)
-            await until(lambda: sum("could not be used" in r.getMessage() for r in caplog.records) == 3)
+                state.connection.send(message)
+            await until(lambda: sum("invalid message" in r.getMessage() for r in caplog.records) == 3)
             await answered(await old.connect())
-            taken.line.close()
-            taken.listener.close()
+            state.connection.close()
+            state.listener.close()
 
     run(test())
 
 
 def test_without_a_control_address_nothing_is_left_for_a_successor(tmp_path: Path) -> None:
     plain = config.read(config_data([]))
-    assert program.meeting_path(plain, str(tmp_path)) is None
+    assert program.handover_socket_path(plain, str(tmp_path)) is None
 
     async def test() -> None:
         node = Node(plain)
-        assert node.door is None and node._post is None
-        # Nobody else can listen on the same address beside it.
+        assert node.control_server is None and node._handover_listener is None
+        # No other process can listen on the same address.
         assert not node.server.acceptor.listener.getsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT)
         node.close()
         assert os.listdir(tmp_path) == []
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Long answers and bodies, passed on as they come, and the forms of messages, over loopback sockets."""
+"""Streamed responses and bodies, and the forms of messages, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from passpost.discovery import Discovery
 from passpost.http1 import MAX_BUFFERED_BODY, InvalidResponseError, ResponseReader
 from tests.loopback import (
-    AWAY,
     OK,
-    PATIENCE,
+    TEST_TIMEOUT_S,
+    TURNED_AWAY,
     Balancer,
     Client,
     FakeServer,
@@ -27,7 +27,7 @@
     ReceivedRequest,
     Writer,
     balancer,
-    operated,
+    enable_control,
     run,
     silent,
     until,
@@ -44,7 +44,7 @@
     return b"".join(b"%x;x=y\r\n%b\r\n" % (len(p), p) for p in parts) + b"0\r\nX-Sum: 1\r\n\r\n"
 
 
-# ---- answers
+# ---- responses
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
 
     async def test() -> None:
         upstream = FakeServer(reply)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             client = await b.connect()
             for _ in range(2):
                 answer = await client.ask()
@@ -82,18 +82,18 @@
 
 
 @pytest.mark.parametrize("body", [b"to the end", LONG])
-@pytest.mark.parametrize("orderly", [True, False])
+@pytest.mark.parametrize("is_orderly", [True, False])
 def test_an_answer_that_ends_with_its_connection_is_whole_at_an_orderly_end_only(
-    body: bytes, orderly: bool
+    body: bytes, is_orderly: bool
 ) -> None:
     async def reply(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + b"\r\n" + body)
         await writer.drain()
-        await asyncio.sleep(0.05)  # a reset overtakes what has not been read
-        if not orderly:
+        await asyncio.sleep(0.05)  # a reset discards what has not been read
+        if not is_orderly:
             client = writer.get_extra_info("socket")
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        writer.transport.abort() if not orderly else writer.close()
+        writer.transport.abort() if not is_orderly else writer.close()
 
     async def test() -> None:
         upstream = FakeServer(reply)
@@ -104,7 +104,7 @@
                 answer = await client.answer()
             except ConnectionResetError:
                 answer = None
-            if orderly:
+            if is_orderly:
                 assert answer is not None and answer.status == 200 and answer.body == body
             else:
                 assert answer is None or answer.status == 502
@@ -131,7 +131,9 @@
                 raw = b""
                 while LONG[:100] not in raw:
                     raw += await client.reader.read(65536)
-                await until(lambda: not any(r.guard and not r.guard.cancelled() for r in _open(b)))
+                await until(
+                    lambda: not any(r.deadline_timer and not r.deadline_timer.cancelled() for r in _open(b))
+                )
             release.set()
 
     run(test())
@@ -152,12 +154,12 @@
 
     async def test() -> None:
         upstream = FakeServer(reply)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             client = await b.connect()
             client.send()
             with pytest.raises(ConnectionResetError):
                 assert await client.answer() is None
-                raise ConnectionResetError  # an end in the middle tells it as well
+                raise ConnectionResetError  # a close in the middle shows it as well
             await until(lambda: not _open(b))
             figures = await b.figures()
             assert figures["requests"]["read"]["failed"] == 1 and figures["in_flight"] == 0
@@ -178,16 +180,16 @@
     run(test())
 
 
-@pytest.mark.parametrize("end", ["process", "stuck"])
+@pytest.mark.parametrize("ended_by", ["process", "stuck"])
 def test_an_answer_without_length_and_chunks_never_ends_in_order_before_it_is_whole(
-    end: str, monkeypatch: pytest.MonkeyPatch
+    ended_by: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An old caller takes the end of its connection for the end of its answer: any sooner one is a reset."""
-    monkeypatch.setattr(connection_bounds, "STUCK_S", 0.0)
+    """An HTTP/1.0 client takes an orderly close for the end of the response: an earlier end is a reset."""
+    monkeypatch.setattr(connection_bounds, "BLOCKED_STREAM_TIMEOUT_S", 0.0)
 
     async def reply(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
-        while end == "stuck":  # more than all buffers between hold
+        while ended_by == "stuck":  # more than all buffers on the way hold
             writer.write(b"10000\r\n%b\r\n" % bytes(65536))
             await writer.drain()
         writer.write(b"5\r\nfirst\r\n")
@@ -198,9 +200,9 @@
                 client.setblocking(False)
                 client.sendall(b"GET /read HTTP/1.0\r\nX-Txn: old\r\n\r\n")
                 loop, got = asyncio.get_running_loop(), b""
-                while b"\r\n\r\n" not in got or (end == "process" and not got.endswith(b"first")):
+                while b"\r\n\r\n" not in got or (ended_by == "process" and not got.endswith(b"first")):
                     got += await loop.sock_recv(client, 65536)
-                if end == "process":
+                if ended_by == "process":
                     b.node.server.stop()
                 else:  # nothing is read meanwhile
                     await until(lambda: not _open(b))
@@ -242,11 +244,11 @@
             client = await b.connect()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send()
-            await until(lambda: any(c.answer.is_clogged for c in b.node.server.acceptor.connections))
+            await until(lambda: any(c.response_writer.is_blocked for c in b.node.server.acceptor.connections))
             (connection,) = b.node.server.acceptor.connections
             assert connection.transport._transport is not None
             before = -1
-            while before != sent:  # until nothing moves any more
+            while before != sent:  # until nothing is sent any more
                 before = sent
                 await asyncio.sleep(0.05)
             assert sent < total
@@ -258,23 +260,25 @@
     run(test())
 
 
-@pytest.mark.parametrize("how", ["leaves", "stops"])
+@pytest.mark.parametrize("client_action", ["leaves", "stops"])
 def test_a_caller_that_goes_or_stops_reading_frees_the_upstream(
-    monkeypatch: pytest.MonkeyPatch, how: str
+    monkeypatch: pytest.MonkeyPatch, client_action: str
 ) -> None:
-    monkeypatch.setattr(connection_bounds, "STUCK_S", PATIENCE if how == "leaves" else 0.0)
+    monkeypatch.setattr(
+        connection_bounds, "BLOCKED_STREAM_TIMEOUT_S", TEST_TIMEOUT_S if client_action == "leaves" else 0.0
+    )
 
     async def reply(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + b"Content-Length: 33000000\r\n\r\n" + bytes(33_000_000))
 
     async def test() -> None:
         upstream = FakeServer(reply)
-        async with balancer(upstream, change=operated) as b:
+        async with balancer(upstream, change=enable_control) as b:
             client = await b.connect()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send()
-            await until(lambda: any(c.answer.is_clogged for c in b.node.server.acceptor.connections))
-            if how == "leaves":
+            await until(lambda: any(c.response_writer.is_blocked for c in b.node.server.acceptor.connections))
+            if client_action == "leaves":
                 client.writer.transport.abort()
             await until(lambda: not _open(b) and not b.node.server.acceptor.connections)
             await until(lambda: b.node.upstreams._open == 0)
@@ -285,8 +289,8 @@
 
 
 def test_an_upstream_that_stalls_midway_costs_its_own_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_module, "STALL_S", 0.05)
-    monkeypatch.setattr(upstream_module, "SWEEP_S", 0.02)
+    monkeypatch.setattr(upstream_module, "STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(upstream_module, "SWEEP_INTERVAL_S", 0.02)
 
     async def reply(request: ReceivedRequest, writer: Writer) -> None:
         if request.headers["x-txn"] == "stalls":
@@ -318,7 +322,7 @@
 
 
 def test_a_stop_does_not_cut_off_a_long_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Cut off by us it is lost; whoever has no time left kills us.
+    # Closed by the balancer it would be lost; an operator without time kills the process.
     monkeypatch.setattr(client_options, "ACCEPT_AFTER_STOP_S", 0.0)
     monkeypatch.setattr(server, "FINAL_READ_S", 0.0)
 
@@ -341,7 +345,7 @@
             release.set()
             seen += await client.reader.readexactly(len(LONG))
             assert seen.endswith(LONG)
-            await stopped  # a body that still comes is not waited for
+            await stopped  # a body that is still arriving is not waited for
 
     run(test())
 
@@ -349,11 +353,11 @@
 # ---- bodies
 
 
-class Sized:
-    """An upstream that reads requests of any framing and can be slow about it."""
+class FramedServer:
+    """An upstream that reads requests of any framing and can delay reading."""
 
     def __init__(self, reply: bytes = OK) -> None:
-        self.reply, self.early, self.reads = reply, False, asyncio.Event()
+        self.reply, self.responds_early, self.reads = reply, False, asyncio.Event()
         self.reads.set()
         self.heads: list[str] = []
         self.bodies: list[bytes] = []
@@ -369,11 +373,11 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 self.heads.append(head)
-                if self.early:
+                if self.responds_early:
                     writer.write(self.reply)
                 await self.reads.wait()
                 self.bodies.append(await self._body(reader, head.lower()))
-                if not self.early:
+                if not self.responds_early:
                     writer.write(self.reply)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.lost += 1
@@ -396,10 +400,10 @@
 
 
 @asynccontextmanager
-async def one(upstream: Sized, held: int = 0) -> AsyncIterator[Balancer]:
-    """A balancer with that upstream, which holds so many bytes of long bodies."""
-    async with balancer(upstream, change=operated) as b:  # type: ignore[arg-type]
-        b.node.server._may_hold = held
+async def balancer_with(upstream: FramedServer, held: int = 0) -> AsyncIterator[Balancer]:
+    """A balancer with this upstream that buffers so many bytes of long bodies."""
+    async with balancer(upstream, change=enable_control) as b:  # type: ignore[arg-type]
+        b.node.server._free_buffer_bytes = held
         yield b
 
 
@@ -416,8 +420,8 @@
 @pytest.mark.parametrize("held", [0, 8 * 1024 * 1024])
 def test_a_long_body_comes_unchanged_and_is_answered(framing: str, held: int) -> None:
     async def test() -> None:
-        upstream = Sized()
-        async with one(upstream, held) as b:
+        upstream = FramedServer()
+        async with balancer_with(upstream, held) as b:
             client = await b.connect()
             for _ in range(2):
                 await post(client, LONG, framing)
@@ -425,7 +429,7 @@
                 assert answer is not None and answer.status == 200 and answer.reusable
             assert upstream.bodies == [LONG, LONG]
             assert upstream.connections == 1
-            assert b.node.server._may_hold == held
+            assert b.node.server._free_buffer_bytes == held
             figures = await b.figures()
             assert figures["requests"]["pay"] == {"served": 2, "refused": 0, "failed": 0, "attempts": 2}
             assert figures["in_flight"] == 0
@@ -435,14 +439,14 @@
 
 def test_a_body_goes_on_before_it_is_whole_and_its_time_runs_from_its_end() -> None:
     async def test() -> None:
-        upstream = Sized()
+        upstream = FramedServer()
         upstream.reads.clear()
-        async with one(upstream) as b:
+        async with balancer_with(upstream) as b:
             client = await b.connect()
             client.writer.write(PAY + b"X-Remaining: 0.2\r\nContent-Length: 200000\r\n\r\n")
             client.writer.write(bytes(100_000))
             await until(lambda: len(upstream.heads) == 1)
-            await asyncio.sleep(0.4)  # longer than the time that it has from its last byte on
+            await asyncio.sleep(0.4)  # longer than its deadline, which counts from the last byte
             upstream.reads.set()
             client.writer.write(bytes(100_000))
             answer = await client.answer()
@@ -454,34 +458,38 @@
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 def test_what_a_body_has_taken_of_the_memory_is_given_back_at_its_end(framing: str) -> None:
     async def test() -> None:
-        upstream = Sized()
+        upstream = FramedServer()
         upstream.reads.clear()
-        budget = 2 * client_options.HELD_EACH
-        async with one(upstream, budget) as b:
+        budget = 2 * client_options.MAX_BUFFERED_EACH
+        async with balancer_with(upstream, budget) as b:
             client = await b.connect()
             sending = asyncio.get_running_loop().create_task(post(client, bytes(3_000_000), framing))
             await until(lambda: len(upstream.heads) == 1)
-            taken = budget - b.node.server._may_hold  # for a length that is known nothing is held in vain
-            assert taken == 0 if framing == "length" else 0 < taken <= client_options.HELD_EACH
+            taken = (
+                budget - b.node.server._free_buffer_bytes
+            )  # with a declared length that is too long nothing is buffered
+            assert taken == 0 if framing == "length" else 0 < taken <= client_options.MAX_BUFFERED_EACH
             upstream.reads.set()
             await sending
             answer = await client.answer()
             assert answer is not None and answer.status == 200
-            assert b.node.server._may_hold == budget
+            assert b.node.server._free_buffer_bytes == budget
 
     run(test())
 
 
 def test_an_upstream_that_does_not_take_a_body_holds_back_its_caller() -> None:
     async def test() -> None:
-        upstream = Sized()
+        upstream = FramedServer()
         upstream.reads.clear()
-        async with one(upstream) as b:
+        async with balancer_with(upstream) as b:
             client = await b.connect()
             total = 32 * 1024 * 1024
             sending = asyncio.get_running_loop().create_task(post(client, bytes(total)))
             await until(
-                lambda: any(c.reader.body_until == float("inf") for c in b.node.server.acceptor.connections)
+                lambda: any(
+                    c.reader.body_deadline == float("inf") for c in b.node.server.acceptor.connections
+                )
             )
             before = -1
             (connection,) = b.node.server.acceptor.connections
@@ -501,10 +509,10 @@
 
 def test_a_body_of_which_nothing_is_gone_can_be_tried_again() -> None:
     async def test() -> None:
-        upstream = Sized()
-        async with one(upstream) as b:
+        upstream = FramedServer()
+        async with balancer_with(upstream) as b:
             with socket.socket() as unused:
-                unused.bind(("127.0.0.1", 0))  # bound, but it does not listen
+                unused.bind(("127.0.0.1", 0))  # bound, but not listening
                 addresses = {"s0": unused.getsockname()}
                 assert isinstance(b.node.discovery, Discovery)
                 good = dict(b.node.discovery._addresses)
@@ -513,7 +521,7 @@
 
                 def send(*args: Any) -> Any:
                     attempt = sends(*args)
-                    b.node.upstreams.set_addresses(good)  # the next one finds it
+                    b.node.upstreams.set_addresses(good)  # the next attempt finds the upstream
                     return attempt
 
                 b.node.upstreams.send = send  # type: ignore[method-assign, assignment]
@@ -528,15 +536,15 @@
 
 def test_a_body_that_is_gone_is_refused_if_its_attempt_never_ran() -> None:
     async def test() -> None:
-        upstream = Sized(AWAY)
-        upstream.early = True
+        upstream = FramedServer(TURNED_AWAY)
+        upstream.responds_early = True
         upstream.reads.clear()
-        async with one(upstream) as b:
+        async with balancer_with(upstream) as b:
             client = await b.connect()
             client.writer.write(PAY + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
-            raw = await client.reader.read()  # to the end: nobody wants the rest
+            raw = await client.reader.read()  # to the end: the rest of the body is not wanted
             assert raw.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in raw
-            assert len(upstream.heads) == 1  # not tried again without its first part
+            assert len(upstream.heads) == 1  # not retried, as its first part is gone
             figures = await b.figures()
             assert figures["requests"]["pay"] == {"served": 0, "refused": 1, "failed": 0, "attempts": 0}
             assert figures["in_flight"] == 0
@@ -557,12 +565,12 @@
     monkeypatch: pytest.MonkeyPatch, raw: bytes, status: int, held: int
 ) -> None:
     async def test() -> None:
-        upstream = Sized()
-        async with one(upstream, held) as b:
+        upstream = FramedServer()
+        async with balancer_with(upstream, held) as b:
             client = await b.connect()
             if status == 408:
-                monkeypatch.setattr(request_reader, "BODY_SPAN_S", 0.1)
-                monkeypatch.setattr(client_options, "READ_S", 0.1)
+                monkeypatch.setattr(request_reader, "BODY_RATE_WINDOW_S", 0.1)
+                monkeypatch.setattr(client_options, "HEAD_TIMEOUT_S", 0.1)
             client.writer.write(b"POST /pay HTTP/1.1\r\nX-Txn: a\r\n" + raw)
             answer = await client.answer()
             assert answer is not None and answer.status == status
@@ -570,7 +578,7 @@
             await until(lambda: not _open(b) and not b.node.engine._balancer._requests)
             await until(lambda: upstream.lost == upstream.connections)
             client.writer.close()
-            await until(lambda: b.node.server._may_hold == held)
+            await until(lambda: b.node.server._free_buffer_bytes == held)
             assert (await b.figures())["in_flight"] == 0
 
     run(test())
@@ -578,8 +586,8 @@
 
 def test_a_caller_that_leaves_in_the_middle_of_a_body_runs_nothing() -> None:
     async def test() -> None:
-        upstream = Sized()
-        async with one(upstream) as b:
+        upstream = FramedServer()
+        async with balancer_with(upstream) as b:
             client = await b.connect()
             client.writer.write(PAY + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
             await until(lambda: len(upstream.heads) == 1)
@@ -592,16 +600,16 @@
 
 
 def test_a_slow_but_proper_body_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_options, "READ_S", 0.05)
-    monkeypatch.setattr(client_options, "SWEEP_S", 0.01)
+    monkeypatch.setattr(client_options, "HEAD_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_options, "SWEEP_INTERVAL_S", 0.01)
 
     async def test() -> None:
-        upstream = Sized()
-        async with one(upstream) as b:
+        upstream = FramedServer()
+        async with balancer_with(upstream) as b:
             client = await b.connect()
             await post(client, bytes(30_000), size=1_500)
             client.writer.write(b"POST /pay HTTP/1.1\r\nX-Txn: b\r\nContent-Length: 3000\r\n\r\n")
-            for _ in range(30):  # far longer than READ_S, and far slower than a caller at full speed
+            for _ in range(30):  # far longer than HEAD_TIMEOUT_S, and far slower than a client at full speed
                 await asyncio.sleep(0.01)
                 client.writer.write(bytes(100))
             for _ in range(2):
@@ -615,13 +623,13 @@
     async def test() -> None:
         upstream = FakeServer(silent)
         async with balancer(upstream) as b:
-            b.node.server._may_hold = 0
+            b.node.server._free_buffer_bytes = 0
             client = await b.connect()
             client.send()
             await until(lambda: len(upstream.got) == 1)
             sending = asyncio.get_running_loop().create_task(post(client, LONG * 8))
             (connection,) = b.node.server.acceptor.connections
-            await until(lambda: bool(connection.reader.waiting))
+            await until(lambda: bool(connection.reader.pending))
             assert len(upstream.got) == 1 and connection.reader.body_size < len(LONG) * 8
             upstream.reply = OK
             upstream.writers[0].write(OK)
@@ -634,7 +642,7 @@
     run(test())
 
 
-# ---- forms
+# ---- forms of messages
 
 
 @pytest.mark.parametrize(
@@ -672,7 +680,7 @@
             await until(lambda: len(upstream.got) == 1)
             client.writer.write(PAY + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
             (connection,) = b.node.server.acceptor.connections
-            await until(lambda: connection.reader._continues)
+            await until(lambda: connection.reader._expects_continue)
             upstream.reply = OK
             upstream.writers[0].write(OK)
             assert await client.reader.readexactly(len(OK)) == OK
--- a/tests/test_orders_list.py
+++ b/tests/test_orders_list.py
@@ -1,4 +1,4 @@
-"""Rare orders of events on the list: watches that fall silent, break, or are left at a bad moment."""
+"""Rare orders of events on the list: watches that lose their connection, break, or are moved."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from passpost import discovery as module
 from passpost.discovery import Discovery, parse_address, parse_listing
 from tests.loopback import (
-    PATIENCE,
+    TEST_TIMEOUT_S,
     FakeServer,
     ReceivedRequest,
     Writer,
@@ -20,7 +20,7 @@
     run,
     until,
 )
-from tests.test_discovery import SAVED, Heard, following
+from tests.test_discovery import SAVED, RecordedUpdates, following
 from umberworks.interface import ListKind, Readiness
 
 Step = Callable[[Writer], Awaitable[None]]
@@ -28,27 +28,27 @@
 NOTHING = answer_json(listing(1, complete=False))
 
 
-def says(data: bytes) -> Step:
+def responds(data: bytes) -> Step:
     async def step(writer: Writer) -> None:
         writer.write(data)
 
     return step
 
 
-async def falls_silent(writer: Writer) -> None:
-    """Whatever is asked on this connection, and what is on its way, is never answered."""
+async def ignores(writer: Writer) -> None:
+    """Neither this request nor a later one on the connection is answered."""
 
 
 async def resets(writer: Writer) -> None:
     writer.transport.abort()
 
 
-async def begins(writer: Writer) -> None:
+async def sends_half(writer: Writer) -> None:
     writer.write(LEAVING[: len(LEAVING) // 2])
 
 
 class Agent(FakeServer):
-    """Does step by step what a call meets, whichever connection that comes by; then it is silent."""
+    """Performs one step per call, on whichever connection; after the last step it is silent."""
 
     def __init__(self, *steps: Step) -> None:
         super().__init__(self._step)
@@ -59,65 +59,65 @@
             await self.steps.pop(0)(writer)
 
 
-def drained(heard: Heard) -> Callable[[], bool]:
+def has_drained(recorded: RecordedUpdates) -> Callable[[], bool]:
     return lambda: (
-        heard.updates[-1].members[-1:] != ()
-        and (heard.updates[-1].members[-1].readiness is Readiness.DRAINING)
+        recorded.updates[-1].members[-1:] != ()
+        and (recorded.updates[-1].members[-1].readiness is Readiness.DRAINING)
     )
 
 
-async def follow(agent: Agent, heard: Heard) -> Discovery:
+async def follow(agent: Agent, recorded: RecordedUpdates) -> Discovery:
     await agent.start()
-    followed = Discovery(parse_address(agent.host_port), parse_listing(SAVED))
-    followed.start(heard)
-    followed.subscribe()
-    return followed
+    discovery = Discovery(parse_address(agent.host_port), parse_listing(SAVED))
+    discovery.start(recorded)
+    discovery.subscribe()
+    return discovery
 
 
 @pytest.mark.parametrize(
     "steps",
     [
-        (falls_silent, says(LEAVING)),
-        (says(NOTHING), falls_silent, says(LEAVING)),
-        (says(NOTHING), falls_silent, falls_silent, says(LEAVING)),
-        (says(NOTHING), begins, falls_silent, resets, falls_silent, says(LEAVING)),
-        (resets, resets, resets, says(LEAVING)),
+        (ignores, responds(LEAVING)),
+        (responds(NOTHING), ignores, responds(LEAVING)),
+        (responds(NOTHING), ignores, ignores, responds(LEAVING)),
+        (responds(NOTHING), sends_half, ignores, resets, ignores, responds(LEAVING)),
+        (resets, resets, resets, responds(LEAVING)),
     ],
     ids=["at first", "at once", "also on the retry", "in half an answer", "resets"],
 )
 def test_a_watch_that_breaks_is_opened_until_it_answers(
     monkeypatch: pytest.MonkeyPatch, steps: tuple[Step, ...]
 ) -> None:
-    for name, value in (("CALL_TIMEOUT", 0.02), ("WATCH_MS", 1), ("AGAIN_S", 0.001)):
+    for name, value in (("CALL_TIMEOUT_S", 0.02), ("WATCH_WAIT_MS", 1), ("RETRY_DELAY_S", 0.001)):
         monkeypatch.setattr(module, name, value)
 
     async def test() -> None:
-        agent, heard = Agent(*steps), Heard()
-        followed = await follow(agent, heard)
-        await until(drained(heard))
-        assert heard.kinds.count(ListKind.FAILED) <= 1  # told once, not at each try
-        followed.stop()
+        agent, recorded = Agent(*steps), RecordedUpdates()
+        discovery = await follow(agent, recorded)
+        await until(has_drained(recorded))
+        assert recorded.kinds.count(ListKind.FAILED) <= 1  # reported once, not at each retry
+        discovery.stop()
         agent.stop()
 
     run(test())
 
 
-@pytest.mark.parametrize("how", [resets, begins])
+@pytest.mark.parametrize("break_watch", [resets, sends_half])
 def test_a_watch_that_is_reset_is_opened_anew_without_a_pause(
-    monkeypatch: pytest.MonkeyPatch, how: Step
+    monkeypatch: pytest.MonkeyPatch, break_watch: Step
 ) -> None:
-    # What the agent has counts as told whether or not a watch is open: here a drain, told in the same moment.
+    # The agent counts updates as delivered whether or not a watch is open: here a drain at that moment.
     async def test() -> None:
-        async def later(writer: Writer) -> None:
-            monkeypatch.setattr(module, "AGAIN_S", -1.0)  # however short the watch was
-            await how(writer)
+        async def break_later(writer: Writer) -> None:
+            monkeypatch.setattr(module, "RETRY_DELAY_S", -1.0)  # however short the watch was
+            await break_watch(writer)
             writer.transport.abort()
 
-        agent, heard = Agent(says(NOTHING), later, says(LEAVING)), Heard()
-        followed = await follow(agent, heard)
-        await until(drained(heard))
-        assert ListKind.FAILED not in heard.kinds
-        followed.stop()
+        agent, recorded = Agent(responds(NOTHING), break_later, responds(LEAVING)), RecordedUpdates()
+        discovery = await follow(agent, recorded)
+        await until(has_drained(recorded))
+        assert ListKind.FAILED not in recorded.kinds
+        discovery.stop()
         agent.stop()
 
     run(test())
@@ -126,36 +126,36 @@
 def test_an_agent_that_answers_once_and_breaks_is_not_asked_without_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "AGAIN_S", PATIENCE)
+    monkeypatch.setattr(module, "RETRY_DELAY_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
-        agent, heard = Agent(says(NOTHING), resets, says(NOTHING), resets), Heard()
-        followed = await follow(agent, heard)
+        agent, recorded = Agent(responds(NOTHING), resets, responds(NOTHING), resets), RecordedUpdates()
+        discovery = await follow(agent, recorded)
         await until(lambda: agent.closed == 1)
         for _ in range(100):
             await asyncio.sleep(0)
         assert agent.connections == 1
-        followed.stop()
+        discovery.stop()
         agent.stop()
 
     run(test())
 
 
 def test_an_answer_on_its_way_when_the_list_moves_is_not_taken() -> None:
-    # The old place may know less than what has been heard since.
+    # The old address may have an older list than the one received since.
     async def test() -> None:
-        new = Agent(says(answer_json(listing(9, member("c", "127.0.0.1:4001")))))
+        new = Agent(responds(answer_json(listing(9, member("c", "127.0.0.1:4001")))))
         await new.start()
-        async with following(NOTHING) as (old, followed, heard):
+        async with following(NOTHING) as (old, discovery, recorded):
             await until(lambda: len(old.got) == 2)
             old.writers[0].write(LEAVING)
-            await asyncio.sleep(0)  # it is in the kernel, and perhaps read by now
-            followed.move((parse_address(new.host_port),))
-            await until(lambda: set(heard.addresses) == {"c"})
-            assert [u.kind for u in heard.updates][-1] is ListKind.WHOLE
-            count = len(heard.updates)
+            await asyncio.sleep(0)  # it is in the kernel, and possibly read by now
+            discovery.change_addresses((parse_address(new.host_port),))
+            await until(lambda: set(recorded.addresses) == {"c"})
+            assert [u.kind for u in recorded.updates][-1] is ListKind.WHOLE
+            count = len(recorded.updates)
             await until(lambda: old.closed == 1)
-            assert len(heard.updates) == count
+            assert len(recorded.updates) == count
         new.stop()
 
     run(test())
--- a/tests/test_orders_process.py
+++ b/tests/test_orders_process.py
@@ -1,4 +1,4 @@
-"""Rare orders of signals: each comes in a moment that is made to be the wrong one."""
+"""Signals at inconvenient moments: during imports, at shutdown, repeated, or early."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 ROOT = Path(__file__).parent.parent
 
-# Sends itself a signal in the middle of our code: while modules are imported, and as the handlers go.
+# The process sends itself a signal: while modules are imported, and as the handlers are removed.
 ON_IMPORT = """
 import os, signal, sys
 
@@ -80,29 +80,29 @@
             process.kill()
 
 
-def said(process: subprocess.Popen[str], text: str) -> str:
+def wait_for_line(process: subprocess.Popen[str], text: str) -> str:
     assert process.stderr is not None
     return next(line for line in process.stderr if text in line)
 
 
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-BY_HAND = [sys.executable, "-m", "passpost"]
-BY_RUN = ["/bin/sh", "-c", RUN.replace(".venv/bin/python", sys.executable)]
-EARLIER = "import os, signal\nos.kill(os.getpid(), signal.SIGHUP)\n"  # before a line of ours has run
+DIRECT = [sys.executable, "-m", "passpost"]
+DEPLOYED = ["/bin/sh", "-c", RUN.replace(".venv/bin/python", sys.executable)]
+ON_STARTUP = "import os, signal\nos.kill(os.getpid(), signal.SIGHUP)\n"  # before any line of passpost has run
 
 
 @pytest.mark.parametrize(
-    ("command", "strikes"), [(BY_HAND, ON_IMPORT), (BY_RUN, ON_IMPORT), (BY_RUN, EARLIER)]
+    ("command", "signal_code"), [(DIRECT, ON_IMPORT), (DEPLOYED, ON_IMPORT), (DEPLOYED, ON_STARTUP)]
 )
 def test_a_sighup_that_comes_while_we_start_ends_nothing(
-    tmp_path: Path, command: list[str], strikes: str
+    tmp_path: Path, command: list[str], signal_code: str
 ) -> None:
-    # The configuration is read after it, so that there is nothing to be read again; a later one is heard.
-    (tmp_path / "sitecustomize.py").write_text(strikes.replace("{name}", "SIGHUP"))
+    # The configuration is read after it, so no reload is needed; a later signal is handled.
+    (tmp_path / "sitecustomize.py").write_text(signal_code.replace("{name}", "SIGHUP"))
     with started(tmp_path, command, PYTHONPATH=str(tmp_path)) as process:
-        said(process, "serves on")
+        wait_for_line(process, "serves on")
         process.send_signal(signal.SIGHUP)
-        said(process, "configuration read again")
+        wait_for_line(process, "configuration reloaded")
         process.send_signal(signal.SIGTERM)
         assert process.wait() == 0
 
@@ -110,24 +110,24 @@
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM"])
 def test_a_signal_that_comes_as_we_end_changes_nothing(tmp_path: Path, name: str) -> None:
     with started(tmp_path, [sys.executable, "-c", AT_THE_END.format(name=name)]) as process:
-        said(process, "serves on")
+        wait_for_line(process, "serves on")
         process.send_signal(signal.SIGTERM)
-        said(process, "stopping")
+        wait_for_line(process, "stopping")
         assert process.wait() == 0
 
 
 def test_a_second_sigterm_while_we_stop_cuts_nothing_off(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as upstream:
-        place = f"127.0.0.1:{upstream.getsockname()[1]}"
-        with started(tmp_path, BY_HAND, place) as process:
-            address = parse_address(said(process, "serves on").split()[-1])
+        upstream_address = f"127.0.0.1:{upstream.getsockname()[1]}"
+        with started(tmp_path, DIRECT, upstream_address) as process:
+            address = parse_address(wait_for_line(process, "serves on").split()[-1])
             with socket.create_connection(address) as client:
                 client.sendall(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nX-Remaining: 9\r\n\r\n")
                 taken, _ = upstream.accept()
                 with taken:
                     for _ in range(2):
                         process.send_signal(signal.SIGTERM)
-                    said(process, "stopping")
+                    wait_for_line(process, "stopping")
                     process.send_signal(signal.SIGTERM)
                     taken.sendall(OK)
                     assert client.recv(65536).startswith(b"HTTP/1.1 200 ")
@@ -135,9 +135,9 @@
 
 
 def test_a_sigterm_before_anything_of_the_list_has_come_ends_in_order(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as silent:  # discovery takes the call and never answers
-        place = f"127.0.0.1:{silent.getsockname()[1]}"
-        with started(tmp_path, BY_HAND, discovery=place) as process:
-            said(process, "serves on")
+    with socket.create_server(("127.0.0.1", 0)) as silent:  # discovery accepts the call and never answers
+        discovery_address = f"127.0.0.1:{silent.getsockname()[1]}"
+        with started(tmp_path, DIRECT, discovery=discovery_address) as process:
+            wait_for_line(process, "serves on")
             process.send_signal(signal.SIGTERM)
             assert process.wait() == 0
--- a/tests/test_orders_upstreams.py
+++ b/tests/test_orders_upstreams.py
@@ -1,4 +1,4 @@
-"""Rare orders of events on the upstreams' side: connections that come up late, or speak out of turn."""
+"""Rare orders of events on the upstream side: late connections and stray bytes."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 PAY = UpstreamRequest(b"POST /pay HTTP/1.1\r\nX-Txn: b\r\nContent-Length: 300000\r\n", bytes(300_000))
 
 
-def pool(server: FakeServer) -> Upstreams:
+def make_pool(server: FakeServer) -> Upstreams:
     host, port = server.host_port.split(":")
-    made = Upstreams(5.0, 30.0, 10)
+    upstreams = Upstreams(5.0, 30.0, 10)
     address: Address = (host, int(port))
-    made.set_addresses({"s0": address})
-    return made
+    upstreams.set_addresses({"s0": address})
+    return upstreams
 
 
-def speak(server: FakeServer, data: bytes) -> None:
-    """Have it in the kernel at once."""
+def send_now(server: FakeServer, data: bytes) -> None:
+    """Send bytes that are in the kernel at once."""
     os.write(server.writers[0].get_extra_info("socket").fileno(), data)
 
 
 @pytest.mark.parametrize("turns", range(12))
 def test_an_attempt_called_off_in_any_turn_of_connecting_leaves_nothing_open(turns: int) -> None:
-    # In some turn the connection is up and nobody has been told yet.
+    # In some turn the connection is established and nobody has been notified yet.
     async def test() -> None:
         server = FakeServer(silent)
         await server.start()
-        made, ended = pool(server), list[Outcome]()
-        attempt = made.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome))
+        upstreams, ended = make_pool(server), list[Outcome]()
+        attempt = upstreams.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome))
         for _ in range(turns):
             await asyncio.sleep(0)
         attempt.cancel()
-        assert ended == [Outcome.CANCELLED] and made._open == 0
+        assert ended == [Outcome.CANCELLED] and upstreams._open == 0
         for _ in range(20):
             await asyncio.sleep(0)
         await until(lambda: server.closed == server.connections)
-        assert ended == [Outcome.CANCELLED] and made._open == 0
+        assert ended == [Outcome.CANCELLED] and upstreams._open == 0
         server.stop()
 
     run(test())
@@ -60,75 +60,75 @@
     async def test() -> None:
         server = FakeServer()
         await server.start()
-        made, ended, attempts = pool(server), list[Outcome](), list[Attempt]()
-        come_up = UpstreamConnection.connection_made
+        upstreams, ended, attempts = make_pool(server), list[Outcome](), list[Attempt]()
+        connection_made = UpstreamConnection.connection_made
 
-        def called_off(connection: Any, transport: Any) -> None:
+        def cancel_first(connection: Any, transport: Any) -> None:
             attempts[0].cancel()
-            come_up(connection, transport)
+            connection_made(connection, transport)
 
-        monkeypatch.setattr(UpstreamConnection, "connection_made", called_off)
-        attempts.append(made.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome)))
-        await until(lambda: server.connections == 1 and server.closed == 1 and made._open == 0)
+        monkeypatch.setattr(UpstreamConnection, "connection_made", cancel_first)
+        attempts.append(upstreams.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome)))
+        await until(lambda: server.connections == 1 and server.closed == 1 and upstreams._open == 0)
         assert ended == [Outcome.CANCELLED] and server.got == []
         server.stop()
 
     run(test())
 
 
-@pytest.mark.parametrize("spoken", [b"HTTP/1.1 200", OK, b"noise"])
-def test_an_idle_connection_that_has_spoken_carries_nothing(spoken: bytes) -> None:
-    # It lies unread: the loop has had no turn since.
+@pytest.mark.parametrize("stray", [b"HTTP/1.1 200", OK, b"noise"])
+def test_an_idle_connection_that_has_spoken_carries_nothing(stray: bytes) -> None:
+    # The bytes are unread: the event loop has had no turn since.
     async def test() -> None:
-        async def speaks(request: ReceivedRequest, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright")
 
-        server = FakeServer(speaks)
+        server = FakeServer(reply)
         await server.start()
-        made, got = pool(server), list[tuple[Outcome, bytes]]()
+        upstreams, got = make_pool(server), list[tuple[Outcome, bytes]]()
 
         def done(outcome: Outcome, answer: Any) -> None:
             got.append((outcome, answer.body if answer else b""))
 
-        made.send("s0", ASK, 5.0, done)
+        upstreams.send("s0", ASK, 5.0, done)
         await until(lambda: len(got) == 1)
-        speak(server, spoken)
-        made.send("s0", ASK, 5.0, done)
+        send_now(server, stray)
+        upstreams.send("s0", ASK, 5.0, done)
         await until(lambda: len(got) == 2)
         assert got == [(Outcome.SERVED, b"right")] * 2
         assert server.connections == 2
-        made.stop()
+        upstreams.stop()
         server.stop()
 
     run(test())
 
 
 def test_a_request_that_may_not_run_twice_and_was_written_in_part_is_tried_elsewhere_once() -> None:
-    # Its last byte never left: it can't have run. Whoever takes it next runs it once.
+    # Its last byte was never sent, so it can't have run; whichever upstream gets it next runs it once.
     async def test() -> None:
         taken = FakeServer()
         stuck = FakeServer()
         async with balancer(taken, stuck) as b:
             runs = 0
 
-            async def takes(request: ReceivedRequest, writer: Writer) -> None:
+            async def count_run(request: ReceivedRequest, writer: Writer) -> None:
                 nonlocal runs
                 runs += 1
                 writer.write(OK)
 
-            taken.reply = stuck.reply = takes
-            carry = UpstreamConnection.carry
+            taken.reply = stuck.reply = count_run
+            carry = UpstreamConnection.start_attempt
             broken: list[Any] = []
 
-            def breaks(connection: Any, attempt: Attempt) -> None:
+            def break_once(connection: Any, attempt: Attempt) -> None:
                 carry(connection, attempt)
                 if not broken:
                     broken.append(connection)
-                    assert connection.unwritten  # more than the kernel's buffers take
+                    assert connection.is_unwritten  # more than the kernel's buffers hold
                     connection._transport.abort()
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(UpstreamConnection, "carry", breaks)
+                patch.setattr(UpstreamConnection, "start_attempt", break_once)
                 client = await b.connect()
                 client.send("/pay", "POST", bytes(8_000_000))
                 answer = await client.answer()
@@ -142,30 +142,30 @@
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(
     monkeypatch: pytest.MonkeyPatch, late: bool
 ) -> None:
-    # Within the window an upstream drops the copy; after that it runs a second time.
+    # Within the window an upstream detects the repeat; after that it would run a second time.
     window = 0.3
 
     def short(data: dict[str, Any]) -> None:
         data["settings"]["classes"][1]["repeatWindow"] = window * 1000
 
     async def test() -> None:
-        reach, began, over = module.Upstreams._reach, 0, asyncio.Event()
+        establish, connect_count, over = module.Upstreams._establish, 0, asyncio.Event()
 
-        async def reaches(*args: Any) -> bool:
-            nonlocal began
-            began += 1
-            if began > 1 and late:  # a probe's as well, which the repeat could take
+        async def establish_late(*args: Any) -> bool:
+            nonlocal connect_count
+            connect_count += 1
+            if connect_count > 1 and late:  # also that of a probe, which the repeat could use
                 await over.wait()
-            return await reach(*args)
+            return await establish(*args)
 
-        async def breaks(request: ReceivedRequest, writer: Writer) -> None:
+        async def break_once(request: ReceivedRequest, writer: Writer) -> None:
             writer.transport.abort()  # it may have run
             for server in servers:
                 server.reply = OK
             asyncio.get_running_loop().call_later(window + 0.05, over.set)
 
-        monkeypatch.setattr(module.Upstreams, "_reach", reaches)
-        servers = [FakeServer(breaks), FakeServer(breaks)]
+        monkeypatch.setattr(module.Upstreams, "_establish", establish_late)
+        servers = [FakeServer(break_once), FakeServer(break_once)]
         async with balancer(*servers, change=short) as b:
             client = await b.connect()
             answer = await client.ask("/order", method="POST", Idempotency_Key="k")
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -86,10 +86,10 @@
     assert isinstance(without, AttemptEnded) and without.report is None
 
 
-def room(util: float | None, silent: bool = True) -> int:
-    """How many calls a balancer lets out 1 s into a burst, with this use of the cores reported.
+def calls_in_burst(util: float | None, silent: bool = True) -> int:
+    """How many calls a balancer has in flight 1 s into a burst, with this CPU use reported.
 
-    `silent`: a server has fallen silent just before.
+    `silent`: a server has become silent just before.
     """
     desk = Desk(8, balancers=8, may_duplicate=False, may_probe=True)
     out: list[tuple[float, int, str]] = []
@@ -109,15 +109,15 @@
 
 
 def test_idle_cores_give_room_after_a_silence_where_times_in_service_alone_do_not() -> None:
-    assert room(0.3) > 1.5 * room(None)
+    assert calls_in_burst(0.3) > 1.5 * calls_in_burst(None)
 
 
 def test_idle_cores_give_no_room_where_nothing_has_been_silent() -> None:
-    assert room(0.3, silent=False) == room(None, silent=False)
+    assert calls_in_burst(0.3, silent=False) == calls_in_burst(None, silent=False)
 
 
 def test_busy_cores_give_no_room_of_their_own() -> None:
-    assert room(0.95) <= 1.1 * room(None)
+    assert calls_in_burst(0.95) <= 1.1 * calls_in_burst(None)
 
 
 def test_a_report_that_is_out_of_range_is_none() -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The callers' side over loopback sockets."""
+"""The client side over loopback sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from passpost.discovery import parse_address
 from tests.loopback import (
     OK,
-    PATIENCE,
+    TEST_TIMEOUT_S,
     FakeServer,
     ReceivedRequest,
     Writer,
@@ -59,7 +59,7 @@
 
 
 def test_a_balancer_that_is_alone_takes_the_callers_of_one_that_is_away() -> None:
-    """While one of two balancers restarts, the other must not refuse for want of half the fleet's room."""
+    """While one of two balancers restarts, the other must not refuse for lack of half the capacity."""
 
     async def test() -> None:
         upstreams = [FakeServer(silent) for _ in range(4)]
@@ -112,8 +112,8 @@
     run(test())
 
 
-def held(release: asyncio.Event) -> Callable[[ReceivedRequest, Writer], Awaitable[None]]:
-    """An upstream's script: the request named slow is answered once released, others at once."""
+def respond_when_released(release: asyncio.Event) -> Callable[[ReceivedRequest, Writer], Awaitable[None]]:
+    """A reply script: the request with id slow is answered once released, others at once."""
 
     async def reply(request: ReceivedRequest, writer: Writer) -> None:
         if request.headers["x-txn"] == "slow":
@@ -147,12 +147,12 @@
         (GET + b"X-Txn: a\r\nX-Remaining: 1_0\r\n\r\n", 400),
         (GET + b"X-Txn: a\r\nX-Remaining: 1\r\nX-Remaining: 2\r\n\r\n", 400),
         (GET + b"X-Txn: a\r\nX-Remaining: -1\r\n\r\n", 504),
-        (GET + b"X-Txn: a\r\nIdempotency-Key: k\r\n\r\n", 400),  # each effect has its own form
+        (GET + b"X-Txn: a\r\nIdempotency-Key: k\r\n\r\n", 400),  # a key is allowed for keyed requests only
         (GET + b"X-Txn: a\r\n" + TWO + b"\r\nhi", 400),
         (b"POST /read HTTP/1.1\r\nX-Txn: a\r\n\r\n", 405),
         (b"GET /pay HTTP/1.1\r\nX-Txn: a\r\n\r\n", 405),
         (PAY + b"Idempotency-Key: k\r\n" + TWO + b"\r\nhi", 400),
-        (ORDER + TWO + b"\r\nhi", 400),  # keyed, with no key
+        (ORDER + TWO + b"\r\nhi", 400),  # keyed, without a key
         (ORDER + TWO + b"Idempotency-Key: k\r\nIdempotency-Key: k\r\n\r\nhi", 400),
         (ORDER + TWO + b"Idempotency-Key:\r\n\r\nhi", 400),
         (PAY + b"Content-Length: -5\r\n\r\n", 400),
@@ -178,7 +178,7 @@
             bad.writer.write(raw)
             answer = await bad.answer()
             assert answer is not None and answer.status == status
-            assert upstream.got == [] and b.node.engine._count == 0
+            assert upstream.got == [] and b.node.engine._last_number == 0
             fine = await good.ask()
             assert fine is not None and fine.status == 200
 
@@ -212,7 +212,7 @@
             client.writer.write(head + framing + b"\r\n" + HIDDEN)
             raw = await client.reader.read()
             assert raw.startswith(b"HTTP/1.1 400 ") and raw.count(b"HTTP/1.1 ") == 1
-            assert upstream.got == [] and b.node.engine._count == 0
+            assert upstream.got == [] and b.node.engine._last_number == 0
 
     run(test())
 
@@ -231,10 +231,10 @@
 
 
 def test_an_id_that_is_open_is_not_sent_on_again() -> None:
-    # An upstream would take the second request for a copy of the first, and drop it or run it twice.
+    # An upstream would treat the second request as a repeat of the first: drop it, or run it twice.
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release))
+        upstream = FakeServer(respond_when_released(release))
         async with balancer(upstream) as b:
             first, other = await b.connect(), await b.connect()
             first.send(X_Txn="slow")
@@ -270,18 +270,18 @@
             client = await b.connect()
             answer = await client.ask("/pay", method="POST", X_Remaining="0.05")
             assert answer is not None and answer.status == 504
-            await until(lambda: upstream.closed == 1)  # a late answer must not meet another request
+            await until(lambda: upstream.closed == 1)  # a late response must not be reused
             assert not b.node.engine._requests and not b.node.engine._balancer._requests
 
     run(test())
 
 
 def test_a_refusal_says_when_to_come_back() -> None:
-    def crowd(data: dict[str, Any]) -> None:
-        data["settings"]["classes"][0]["target"] = 100.0  # the module waits a tenth of it for room
+    def shorten_target(data: dict[str, Any]) -> None:
+        data["settings"]["classes"][0]["target"] = 100.0  # the policy waits a tenth of it for capacity
 
     async def test() -> None:
-        async with balancer(change=crowd) as b:
+        async with balancer(change=shorten_target) as b:
             answer = await (await b.connect()).ask()
             assert answer is not None and answer.status == 503
             assert (b"Retry-After", b"0.025") in answer.headers
@@ -290,7 +290,7 @@
 
 
 def test_an_upstreams_own_503_is_no_refusal() -> None:
-    # A refusal tells the client that trying again is harmless; an attempt that may have run is not.
+    # A refusal means that a retry is safe; an attempt that may have run is not.
     async def test() -> None:
         upstream = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         async with balancer(upstream) as b:
@@ -307,12 +307,12 @@
             module = b.node.engine._balancer
             handle = module.handle
 
-            def faulty(event: Any, now: float) -> Any:
+            def fail_for_pay(event: Any, now: float) -> Any:
                 if isinstance(event, RequestArrived) and event.class_name == "pay":
                     raise RuntimeError("made up")
                 return handle(event, now)
 
-            module.handle = faulty  # type: ignore[method-assign]
+            module.handle = fail_for_pay  # type: ignore[method-assign]
             client = await b.connect()
             for target, method, status in (("/pay", "POST", 500), ("/read", "GET", 200)):
                 answer = await client.ask(target, method=method)
@@ -344,7 +344,7 @@
 
 
 def test_a_drain_serves_its_callers_to_the_last_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With one balancer in a zone they have nowhere else to go until it is back.
+    # With one balancer in a zone clients have no other until it is back.
     monkeypatch.setattr(client_options, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
@@ -357,15 +357,15 @@
                 assert answer is not None and answer.status == 200 and answer.reusable
             ready = await first.ask("/health/ready")
             assert ready is not None and ready.status == 503
-            b.hang_up()
-            await drained  # nobody is left to wait for
+            b.close_connections()
+            await drained  # no connection is left to wait for
 
     run(test())
 
 
 def test_a_drain_keeps_connections_free_for_its_callers(monkeypatch: pytest.MonkeyPatch) -> None:
-    # New ones come no more: callers that found all of them busy would be gone for good.
-    monkeypatch.setattr(server, "DEALT_AFTER_STOP_S", 0.0)
+    # No new connections arrive: clients that found all of them busy could not return.
+    monkeypatch.setattr(server, "NEW_CONNECTIONS_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
         upstreams = [FakeServer(silent) for _ in range(4)]
@@ -377,7 +377,7 @@
             for caller in callers[:6]:
                 caller.send()
             await until(lambda: sum(len(u.got) for u in upstreams) == 6)
-            for _ in range(2):  # the last but one may ask again as often as it likes
+            for _ in range(2):  # the only idle client but one may ask as often as it likes
                 refused = await callers[6].ask()
                 assert refused is not None and refused.status == 503 and refused.reusable
                 assert b"Retry-After" in dict(refused.headers)
@@ -390,7 +390,7 @@
                 assert answer is not None and answer.status == 200 and answer.reusable
             answer = await callers[6].ask()
             assert answer is not None and answer.status == 200
-            b.hang_up()
+            b.close_connections()
             await drained
 
     run(test())
@@ -399,15 +399,15 @@
 def test_a_drain_takes_late_comers_and_finishes_what_is_open() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release))
+        upstream = FakeServer(respond_when_released(release))
         async with balancer(upstream) as b:
             idle, busy = await b.connect(), await b.connect()
             busy.send(X_Txn="slow")
             await until(lambda: len(upstream.got) == 1)
-            drained = asyncio.get_running_loop().create_task(b.node.server.drain(PATIENCE))
+            drained = asyncio.get_running_loop().create_task(b.node.server.drain(TEST_TIMEOUT_S))
             await asyncio.sleep(0)
             late = await b.connect()
-            b.node.server._ends -= PATIENCE - client_options.LAST_CALL_S  # the last call
+            b.node.server._deadline -= TEST_TIMEOUT_S - client_options.CLOSING_PHASE_S  # the closing phase
             await until(lambda: b.node.server.closing)
             answer = await late.ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
@@ -444,7 +444,7 @@
             await until(lambda: b.node.server.draining)
             client.send(X_Remaining="9.0")
             await until(lambda: len(upstream.got) == 1)
-            assert float(upstream.got[0].headers["x-remaining"]) <= 3.7  # of a longer deadline 3 s count
+            assert float(upstream.got[0].headers["x-remaining"]) <= 3.7  # 3 s of a longer deadline count
             stopping.cancel()
 
     run(test())
@@ -453,16 +453,16 @@
 def test_while_callers_are_many_answers_close_and_idle_connections_go(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Callers that ask once and stay would hold what others need to come in at all.
+    # Clients that ask once and stay would keep others from connecting.
     monkeypatch.setattr(connection_bounds, "CROWDED_IDLE_S", 0.0)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
-            b.node.server.acceptor._most = 4
+            b.node.server.acceptor._max_connections = 4
             first, second = await b.connect(), await b.connect()
             for client in (first, second):
                 answer = await client.ask()
-                assert answer is not None and answer.reusable  # two of four: not many yet
+                assert answer is not None and answer.reusable  # two of four connections are not scarce yet
             third = await b.connect()
             answer = await third.ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
@@ -477,7 +477,7 @@
 def test_what_was_sent_ahead_is_answered_before_a_crowded_connection_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "KEEP_SHARE", 0.0)
+    monkeypatch.setattr(server, "KEEP_ALIVE_SHARE", 0.0)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
@@ -490,7 +490,7 @@
 
 
 def test_at_the_limit_idle_connections_give_way_and_others_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "KEEP_SHARE", 1.0)
+    monkeypatch.setattr(server, "KEEP_ALIVE_SHARE", 1.0)
 
     async def test() -> None:
         async def reply(request: ReceivedRequest, writer: Writer) -> None:
@@ -499,7 +499,7 @@
 
         upstream = FakeServer(reply)
         async with balancer(upstream) as b:
-            b.node.server.acceptor._most = 2
+            b.node.server.acceptor._max_connections = 2
             first, second = await b.connect(), await b.connect()
             assert await first.ask(X_Txn="quick") is not None
             second.send()
@@ -508,7 +508,7 @@
             third.send()
             assert await first.answer() is None  # idle for longest
             await until(lambda: len(upstream.got) == 3)
-            fourth = await b.connect()  # in the queue: both others are busy
+            fourth = await b.connect()  # queued: both others are busy
             fourth.send()
             await until(lambda: not b.node.server.acceptor._is_accepting)
             assert len(b.node.server.acceptor.connections) == 2
@@ -522,11 +522,11 @@
 def test_at_the_limit_what_never_asked_gives_way_before_what_did(
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    monkeypatch.setattr(server, "KEEP_SHARE", 1.0)
+    monkeypatch.setattr(server, "KEEP_ALIVE_SHARE", 1.0)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
-            b.node.server.acceptor._most = 2
+            b.node.server.acceptor._max_connections = 2
             used = await b.connect()
             assert await used.ask() is not None
             useless = await b.connect()
@@ -545,7 +545,7 @@
 
 
 def test_a_caller_that_does_not_read_does_not_fill_our_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_bounds, "UNREAD_S", PATIENCE)
+    monkeypatch.setattr(connection_bounds, "UNREAD_TIMEOUT_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
@@ -554,7 +554,7 @@
             sent = 0
             await until(lambda: bool(b.node.server.acceptor.connections))
             (connection,) = b.node.server.acceptor.connections
-            while not (connection.answer.is_clogged and connection.reader.waiting):
+            while not (connection.response_writer.is_blocked and connection.reader.pending):
                 if client.writer.transport.get_write_buffer_size() == 0:
                     client.writer.write(one * 1_000)
                     sent += 1_000
@@ -571,22 +571,22 @@
 def test_an_unread_answer_holds_up_neither_us_nor_a_drain(
     monkeypatch: pytest.MonkeyPatch, draining: bool
 ) -> None:
-    monkeypatch.setattr(connection_bounds, "UNREAD_S", PATIENCE)
+    monkeypatch.setattr(connection_bounds, "UNREAD_TIMEOUT_S", TEST_TIMEOUT_S)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
             await until(lambda: bool(b.node.server.acceptor.connections))
             (connection,) = b.node.server.acceptor.connections
-            connection.transport.write(b"x" * 64 * 1024 * 1024)  # more than the kernel's buffers take
+            connection.transport.write(b"x" * 64 * 1024 * 1024)  # more than the kernel's buffers hold
             if draining:
                 await b.node.server.drain(0.0)
             else:
-                client.send()  # ahead: it waits until the answer before it has been read
-                await until(lambda: bool(connection.reader.waiting))
-                monkeypatch.setattr(connection_bounds, "UNREAD_S", 0.0)
+                client.send()  # pipelined: it waits until the previous response has been read
+                await until(lambda: bool(connection.reader.pending))
+                monkeypatch.setattr(connection_bounds, "UNREAD_TIMEOUT_S", 0.0)
             await until(lambda: not b.node.server.acceptor.connections)
-            assert not client.writer.is_closing()  # it was we who ended it
+            assert not client.writer.is_closing()  # the balancer closed it
 
     run(test())
 
@@ -653,12 +653,12 @@
             client = await b.connect()
             if used:
                 assert await client.ask() is not None
-            monkeypatch.setattr(client_options, "READ_S", 0.05)
-            monkeypatch.setattr(client_options, "IDLE_S", 0.05)
+            monkeypatch.setattr(client_options, "HEAD_TIMEOUT_S", 0.05)
+            monkeypatch.setattr(client_options, "IDLE_TIMEOUT_S", 0.05)
             client.writer.write(first)
             waiting = asyncio.get_running_loop().create_task(client.answer())
             while not waiting.done():
-                client.writer.write(then)  # a byte now and then gains no time
+                client.writer.write(then)  # occasional bytes gain no time
                 await asyncio.sleep(0.005)
             answer = waiting.result()
             assert answer is None if status is None else answer is not None and answer.status == status
@@ -698,7 +698,7 @@
 
 def test_sighup_reads_the_file_again_also_while_it_stops(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    with socket.create_server(("127.0.0.1", 0)) as upstream:  # takes requests and answers none
+    with socket.create_server(("127.0.0.1", 0)) as upstream:  # accepts requests and never answers
         members = [member("s0", f"127.0.0.1:{upstream.getsockname()[1]}")]
         good = config_data(members)
         path.write_text(json.dumps(good))
@@ -713,11 +713,11 @@
             address = _wait_for(process.stderr, "serves on").split()[-1]
             path.write_text("{}")
             process.send_signal(signal.SIGHUP)
-            _wait_for(process.stderr, "the old configuration stays")
+            _wait_for(process.stderr, "the old one stays in use")
             path.write_text(json.dumps(good | {"discovery": "127.0.0.1:2", "limits": {"sockets": 512}}))
             process.send_signal(signal.SIGHUP)
-            assert "sockets waits for a restart" in _wait_for(process.stderr, "waits")
-            _wait_for(process.stderr, "discovery: ")  # nobody listens there
+            assert "sockets needs a restart" in _wait_for(process.stderr, "needs")
+            _wait_for(process.stderr, "discovery: ")  # nothing listens there
             with socket.create_connection(parse_address(address)) as client:
                 client.sendall(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nX-Remaining: 9\r\n\r\n")
                 taken, _ = upstream.accept()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -16,8 +16,8 @@
 from passpost.upstream import Upstreams
 from passpost.upstream_connection import UpstreamConnection
 from tests.loopback import (
-    AWAY,
     OK,
+    TURNED_AWAY,
     CuttingServer,
     FakeServer,
     ReceivedRequest,
@@ -32,8 +32,8 @@
 REQUEST = UpstreamRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
 
 
-class Calls:
-    """Makes attempts and keeps their outcomes."""
+class AttemptRunner:
+    """Makes attempts and records their outcomes."""
 
     def __init__(self, upstreams: Upstreams) -> None:
         self.upstreams = upstreams
@@ -47,23 +47,23 @@
         return self.upstreams.send(server, request, timeout, done)
 
     async def outcome(self, server: str = "s0", timeout: float = 10.0) -> Outcome:
-        had = len(self.outcomes)
+        previous_count = len(self.outcomes)
         self.send(server, timeout=timeout)
-        await until(lambda: len(self.outcomes) > had)
+        await until(lambda: len(self.outcomes) > previous_count)
         return self.outcomes[-1]
 
 
 @asynccontextmanager
-async def calls(
+async def attempt_runner(
     *servers: FakeServer | CuttingServer, max_open: int = 10, idle: float = 30.0
-) -> AsyncIterator[Calls]:
+) -> AsyncIterator[AttemptRunner]:
     for server in servers:
         await server.start()
     upstreams = Upstreams(5.0, idle, max_open)
     upstreams.start()
     upstreams.set_addresses({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
     try:
-        yield Calls(upstreams)
+        yield AttemptRunner(upstreams)
     finally:
         upstreams.stop()
         for server in servers:
@@ -75,9 +75,9 @@
     [
         (OK, Outcome.SERVED),
         (b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + OK, Outcome.SERVED),
-        (AWAY, Outcome.TURNED_AWAY),
-        (AWAY.replace(b"503", b"504"), Outcome.TURNED_AWAY),
-        (AWAY.replace(b"503", b"500"), Outcome.ERROR),
+        (TURNED_AWAY, Outcome.TURNED_AWAY),
+        (TURNED_AWAY.replace(b"503", b"504"), Outcome.TURNED_AWAY),
+        (TURNED_AWAY.replace(b"503", b"500"), Outcome.ERROR),
         (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 404 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
@@ -101,8 +101,8 @@
 )
 def test_what_an_answer_means(raw: bytes, outcome: Outcome) -> None:
     async def test() -> None:
-        async with calls(FakeServer(raw)) as c:
-            assert await c.outcome() is outcome
+        async with attempt_runner(FakeServer(raw)) as runner:
+            assert await runner.outcome() is outcome
 
     run(test())
 
@@ -117,8 +117,8 @@
         writer.close()
 
     async def test() -> None:
-        async with calls(FakeServer(cut)) as c:
-            assert await c.outcome() is Outcome.BROKEN
+        async with attempt_runner(FakeServer(cut)) as runner:
+            assert await runner.outcome() is Outcome.BROKEN
 
     run(test())
 
@@ -127,8 +127,8 @@
     async def test() -> None:
         for by_reset, outcome in ((False, Outcome.SERVED), (True, Outcome.BROKEN)):
             server = CuttingServer(lambda got: b"HTTP/1.1 200 OK\r\n\r\npart", by_reset)
-            async with calls(server) as c:
-                assert await c.outcome() is outcome
+            async with attempt_runner(server) as runner:
+                assert await runner.outcome() is outcome
 
     run(test())
 
@@ -136,28 +136,28 @@
 def test_a_refused_connection_never_ran() -> None:
     async def test() -> None:
         with socket.socket() as unused:
-            unused.bind(("127.0.0.1", 0))  # bound, but it does not listen
-            async with calls() as c:
-                c.upstreams.set_addresses({"s0": unused.getsockname()})
-                assert await c.outcome() is Outcome.UNREACHED
-                assert await c.outcome("unknown") is Outcome.NOT_SENT
+            unused.bind(("127.0.0.1", 0))  # bound, but not listening
+            async with attempt_runner() as runner:
+                runner.upstreams.set_addresses({"s0": unused.getsockname()})
+                assert await runner.outcome() is Outcome.UNREACHED
+                assert await runner.outcome("unknown") is Outcome.NOT_SENT
 
     run(test())
 
 
 def test_a_break_before_the_last_byte_is_out_never_ran() -> None:
-    # The kernel's buffers take a few MB, so this request can't have gone out whole.
+    # The kernel's buffers hold a few MB, so this request can't have been sent completely.
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            async with calls() as c:
-                c.upstreams.set_addresses({"s0": listener.getsockname()})
-                attempt = c.send(request=UpstreamRequest(REQUEST.head, b"x" * 64 * 1024 * 1024))
+            async with attempt_runner() as runner:
+                runner.upstreams.set_addresses({"s0": listener.getsockname()})
+                attempt = runner.send(request=UpstreamRequest(REQUEST.head, b"x" * 64 * 1024 * 1024))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
                 await until(lambda: attempt.connection is not None)
                 assert not attempt.is_written()
                 peer.close()
-                await until(lambda: c.outcomes == [Outcome.UNREACHED])
+                await until(lambda: runner.outcomes == [Outcome.UNREACHED])
 
     run(test())
 
@@ -165,24 +165,24 @@
 def test_a_timed_out_or_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
         server = FakeServer(silent)
-        async with calls(server) as c:
-            assert await c.outcome(timeout=0.02) in (Outcome.TIMED_OUT, Outcome.UNREACHED)
-            attempt = c.send()
+        async with attempt_runner(server) as runner:
+            assert await runner.outcome(timeout=0.02) in (Outcome.TIMED_OUT, Outcome.UNREACHED)
+            attempt = runner.send()
             await until(lambda: attempt.is_written())
             attempt.cancel()
             attempt.cancel()
-            assert c.outcomes[1:] == [Outcome.CANCELLED]
+            assert runner.outcomes[1:] == [Outcome.CANCELLED]
             await until(lambda: server.closed == server.connections)
 
     run(test())
 
 
-@pytest.mark.parametrize(("rest", "used"), [(0.0, -1), (60.0, 0)])
+@pytest.mark.parametrize(("reuse_delay", "used"), [(0.0, -1), (60.0, 0)])
 def test_the_most_recent_connection_that_has_rested_is_used_again(
-    monkeypatch: pytest.MonkeyPatch, rest: float, used: int
+    monkeypatch: pytest.MonkeyPatch, reuse_delay: float, used: int
 ) -> None:
-    # An upstream may close right behind its answer: with no rest the next request would cross that close.
-    monkeypatch.setattr(module, "REST_S", rest)
+    # An upstream may close right after its response: without a delay the next request would cross that close.
+    monkeypatch.setattr(module, "REUSE_DELAY_S", reuse_delay)
 
     async def test() -> None:
         order: list[Writer] = []
@@ -194,15 +194,15 @@
             writer.write(OK)
 
         server = FakeServer(reply)
-        async with calls(server) as c:
-            c.send(), c.send()
+        async with attempt_runner(server) as runner:
+            runner.send(), runner.send()
             await until(lambda: len(order) == 2)
             release.set()
-            await until(lambda: len(c.outcomes) == 2)
-            wanted = c.upstreams._upstreams["s0"].idle[used]
-            attempt = c.send()
+            await until(lambda: len(runner.outcomes) == 2)
+            wanted = runner.upstreams._upstreams["s0"].idle[used]
+            attempt = runner.send()
             assert attempt.connection is wanted
-            await until(lambda: len(c.outcomes) == 3)
+            await until(lambda: len(runner.outcomes) == 3)
             assert server.connections == 2
 
     run(test())
@@ -212,14 +212,14 @@
 def test_an_idle_connection_that_speaks_or_ends_is_dropped(after: bytes | None) -> None:
     async def test() -> None:
         server = FakeServer()
-        async with calls(server) as c:
-            assert await c.outcome() is Outcome.SERVED
+        async with attempt_runner(server) as runner:
+            assert await runner.outcome() is Outcome.SERVED
             if after is None:
                 server.writers[0].close()
             else:
                 server.writers[0].write(after)
-            await until(lambda: c.upstreams._open == 0)
-            assert await c.outcome() is Outcome.SERVED
+            await until(lambda: runner.upstreams._open == 0)
+            assert await runner.outcome() is Outcome.SERVED
             assert server.connections == 2
 
     run(test())
@@ -227,46 +227,47 @@
 
 def test_an_answer_with_more_behind_it_is_good_but_its_connection_is_not() -> None:
     async def test() -> None:
-        async with calls(FakeServer(OK + OK)) as c:
-            assert await c.outcome() is Outcome.SERVED
-            assert c.upstreams._open == 0
+        async with attempt_runner(FakeServer(OK + OK)) as runner:
+            assert await runner.outcome() is Outcome.SERVED
+            assert runner.upstreams._open == 0
 
     run(test())
 
 
 @pytest.mark.parametrize("after", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"noise", None])
 def test_a_connection_with_something_unread_is_not_used_again(after: bytes | None) -> None:
-    # The loop has no turn between the second answer's coming and the next attempt: only the kernel knows.
+    # The event loop has no turn between the arrival of these bytes and the next attempt: only the kernel
+    # knows.
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            async with calls() as c:
-                c.upstreams.set_addresses({"s0": listener.getsockname()})
-                c.send()
+            async with attempt_runner() as runner:
+                runner.upstreams.set_addresses({"s0": listener.getsockname()})
+                runner.send()
                 peer, _ = await loop.sock_accept(listener)
                 with peer:
                     await loop.sock_recv(peer, 65536)
                     peer.send(OK)
-                    await until(lambda: c.outcomes == [Outcome.SERVED] and c.upstreams._open == 1)
+                    await until(lambda: runner.outcomes == [Outcome.SERVED] and runner.upstreams._open == 1)
                     if after is None:
                         peer.shutdown(socket.SHUT_WR)
                     else:
                         peer.send(after)
-                    attempt = c.send()
-                    assert attempt.connection is None and c.upstreams._open == 1  # a new one is on its way
+                    attempt = runner.send()
+                    assert attempt.connection is None and runner.upstreams._open == 1  # a new one is pending
                     attempt.cancel()
 
     run(test())
 
 
 def test_connections_idle_for_long_are_closed_by_us(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SWEEP_S", 0.01)
+    monkeypatch.setattr(module, "SWEEP_INTERVAL_S", 0.01)
 
     async def test() -> None:
         server = FakeServer()
-        async with calls(server, idle=0.0) as c:
-            assert await c.outcome() is Outcome.SERVED
+        async with attempt_runner(server, idle=0.0) as runner:
+            assert await runner.outcome() is Outcome.SERVED
             await until(lambda: server.closed == 1)
 
     run(test())
@@ -275,11 +276,11 @@
 def test_a_new_address_under_the_same_name_is_used_at_once() -> None:
     async def test() -> None:
         old, new = FakeServer(), FakeServer()
-        async with calls(old, new) as c:
-            await c.outcome("s0")
-            c.upstreams.set_addresses({"s0": parse_address(new.host_port)})
+        async with attempt_runner(old, new) as runner:
+            await runner.outcome("s0")
+            runner.upstreams.set_addresses({"s0": parse_address(new.host_port)})
             await until(lambda: old.closed == 1)
-            assert await c.outcome("s0") is Outcome.SERVED
+            assert await runner.outcome("s0") is Outcome.SERVED
             assert len(new.got) == 1
 
     run(test())
@@ -288,13 +289,13 @@
 def test_at_the_limit_the_oldest_idle_connection_gives_way() -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer(silent)
-        async with calls(first, second, max_open=1) as c:
-            assert await c.outcome("s0") is Outcome.SERVED
-            held = c.send("s1")
+        async with attempt_runner(first, second, max_open=1) as runner:
+            assert await runner.outcome("s0") is Outcome.SERVED
+            held = runner.send("s1")
             await until(held.is_written)
             await until(lambda: first.closed == 1)
-            assert await c.outcome("s0") is Outcome.UNREACHED  # nothing idle is left to close
-            assert c.upstreams._open == 1
+            assert await runner.outcome("s0") is Outcome.UNREACHED  # no idle connection is left to close
+            assert runner.upstreams._open == 1
 
     run(test())
 
@@ -304,10 +305,10 @@
         raise RuntimeError("made up")
 
     async def test() -> None:
-        async with calls(FakeServer()) as c:
-            monkeypatch.setattr(UpstreamConnection, "carry", fail)
-            assert await c.outcome() is Outcome.BROKEN
-            assert c.upstreams._open == 0
+        async with attempt_runner(FakeServer()) as runner:
+            monkeypatch.setattr(UpstreamConnection, "start_attempt", fail)
+            assert await runner.outcome() is Outcome.BROKEN
+            assert runner.upstreams._open == 0
 
     run(test())
 
@@ -317,14 +318,14 @@
         async def reset(request: ReceivedRequest, writer: Writer) -> None:
             writer.close()
 
-        broken, away, good = FakeServer(reset), FakeServer(AWAY), FakeServer()
+        broken, away, good = FakeServer(reset), FakeServer(TURNED_AWAY), FakeServer()
         async with balancer(broken, away) as b:
             answer = await (await b.connect()).ask("/pay", method="POST")
             assert answer is not None and answer.status in (502, 503)
-            assert len(broken.got) <= 1  # it may have run: not once more
+            assert len(broken.got) <= 1  # it may have run, so it is not sent again
         async with balancer(away, good) as b:
             answer = await (await b.connect()).ask("/pay", method="POST")
-            assert answer is not None and answer.status == 200  # a request turned away never ran
+            assert answer is not None and answer.status == 200  # a request turned away has not run
 
     run(test())
 
@@ -332,15 +333,15 @@
 def test_a_probe_tells_whether_a_connection_comes_up_and_keeps_it() -> None:
     async def play() -> None:
         server = FakeServer()
-        async with calls(server) as made:
+        async with attempt_runner(server) as runner:
             found = list[bool]()
-            made.upstreams.probe("s0", found.append)
+            runner.upstreams.probe("s0", found.append)
             await until(lambda: len(found) == 1)
             assert found == [True]
-            assert await made.outcome() is Outcome.SERVED
-            assert server.connections == 1  # the one that the probe opened
+            assert await runner.outcome() is Outcome.SERVED
+            assert server.connections == 1  # the one opened by the probe
             server.stop()
-            made.upstreams.probe("s0", found.append)
+            runner.upstreams.probe("s0", found.append)
             await until(lambda: len(found) == 2)
             assert found == [True, False]
 
@@ -350,12 +351,12 @@
 def test_a_probe_that_can_not_be_made_tells_nothing_against_the_upstream() -> None:
     async def play() -> None:
         server = FakeServer(silent)
-        async with calls(server, max_open=1) as made:
+        async with attempt_runner(server, max_open=1) as runner:
             found = list[bool]()
-            made.send()
+            runner.send()
             await until(lambda: len(server.got) == 1)
-            made.upstreams.probe("s0", found.append)
-            made.upstreams.probe("nowhere", found.append)
+            runner.upstreams.probe("s0", found.append)
+            runner.upstreams.probe("nowhere", found.append)
             await until(lambda: len(found) == 2)
             assert found == [True, True]
 
--- a/tests/test_upstream_closes.py
+++ b/tests/test_upstream_closes.py
@@ -1,4 +1,4 @@
-"""Upstreams that close a connection in order: whether that ends an answer without length and chunks."""
+"""Upstreams that close a connection in order: whether that ends a response without length and chunks."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 from passpost.upstream import Upstreams
 from passpost.upstream_options import UpstreamOptions
 from tests.loopback import OK, FakeServer, ReceivedRequest, Writer, run, silent, until
-from tests.test_upstream import Calls
+from tests.test_upstream import AttemptRunner
 from umberworks.interface import Outcome
 
-QUESTION = "GET /alive HTTP/1.1"
+LIVENESS_LINE = "GET /alive HTTP/1.1"
 
 
-def question(name: str, address: Address) -> UpstreamRequest:
-    return UpstreamRequest(f"{QUESTION}\r\nHost: {name}\r\n".encode(), b"")
+def liveness_request(name: str, address: Address) -> UpstreamRequest:
+    return UpstreamRequest(f"{LIVENESS_LINE}\r\nHost: {name}\r\n".encode(), b"")
 
 
 @asynccontextmanager
-async def asking(server: FakeServer, max_open: int = 10) -> AsyncIterator[Calls]:
+async def liveness_runner(server: FakeServer, max_open: int = 10) -> AsyncIterator[AttemptRunner]:
     await server.start()
-    upstreams = Upstreams(5.0, 30.0, max_open, UpstreamOptions(liveness_request=question))
+    upstreams = Upstreams(5.0, 30.0, max_open, UpstreamOptions(liveness_request=liveness_request))
     upstreams.set_addresses({"s0": parse_address(server.host_port)})
     try:
-        yield Calls(upstreams)
+        yield AttemptRunner(upstreams)
     finally:
         upstreams.stop()
         server.stop()
 
 
 async def half_close(request: ReceivedRequest, writer: Writer) -> None:
-    """An answer that ends with a FIN; the other direction stays open."""
+    """A response that ends with a FIN; the other direction stays open."""
     writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf")
     writer.write_eof()
 
 
-def answering(answer: bytes) -> FakeServer:
-    """Half-closes behind each request's answer, and answers the question so."""
+def half_closing_server(answer: bytes) -> FakeServer:
+    """Half-closes after each response, and answers the liveness request with `answer`."""
 
     async def reply(request: ReceivedRequest, writer: Writer) -> None:
-        if request.line == QUESTION:
+        if request.line == LIVENESS_LINE:
             writer.write(answer)
         else:
             await half_close(request, writer)
@@ -63,7 +63,7 @@
     ("answer", "outcome"),
     [
         (OK, Outcome.SERVED),
-        (OK.replace(b"200 OK", b"404 Oh"), Outcome.SERVED),  # whatever it says, it is there
+        (OK.replace(b"200 OK", b"404 Oh"), Outcome.SERVED),  # any response proves that it is alive
         (OK.replace(b"200 OK", b"503 Full"), Outcome.SERVED),
         (OK.replace(b"200 OK", b"421 Misdirected Request"), Outcome.BROKEN),
         (b"noise\r\n\r\n", Outcome.BROKEN),
@@ -73,9 +73,9 @@
     answer: bytes, outcome: Outcome
 ) -> None:
     async def test() -> None:
-        async with asking(answering(answer)) as made:
-            assert await made.outcome() is outcome
-            assert made.outcomes == [outcome]
+        async with liveness_runner(half_closing_server(answer)) as runner:
+            assert await runner.outcome() is outcome
+            assert runner.outcomes == [outcome]
 
     run(test())
 
@@ -83,13 +83,13 @@
 def test_an_upstream_that_takes_no_new_connections_is_asked_on_one_that_is_open() -> None:
     async def test() -> None:
         server = FakeServer(OK)
-        async with asking(server) as made:
-            made.send()
-            made.send()
-            await until(lambda: len(made.outcomes) == 2)
+        async with liveness_runner(server) as runner:
+            runner.send()
+            runner.send()
+            await until(lambda: len(runner.outcomes) == 2)
             server.refuse()
-            server.reply = answering(OK).reply
-            assert await made.outcome() is Outcome.SERVED
+            server.reply = half_closing_server(OK).reply
+            assert await runner.outcome() is Outcome.SERVED
             assert server.connections == 2
 
     run(test())
@@ -98,30 +98,30 @@
 def test_a_close_by_an_upstream_that_takes_no_new_connection_and_keeps_none_cuts_the_answer() -> None:
     async def test() -> None:
         server = FakeServer(silent)
-        async with asking(server) as made:
-            made.send()
+        async with liveness_runner(server) as runner:
+            runner.send()
             await until(lambda: len(server.got) == 1)
             server.refuse()
             await half_close(server.got[0], server.writers[0])
-            await until(lambda: bool(made.outcomes))
-            assert made.outcomes == [Outcome.BROKEN]
+            await until(lambda: bool(runner.outcomes))
+            assert runner.outcomes == [Outcome.BROKEN]
 
     run(test())
 
 
 def test_an_upstream_that_can_not_be_asked_is_believed() -> None:
     async def test() -> None:
-        server = answering(OK)
-        async with asking(server, max_open=1) as made:
-            assert await made.outcome() is Outcome.SERVED
+        server = half_closing_server(OK)
+        async with liveness_runner(server, max_open=1) as runner:
+            assert await runner.outcome() is Outcome.SERVED
             assert server.connections == 1
 
     run(test())
 
 
-async def ask(server: FakeServer, made: Calls) -> Attempt:
-    """Half-close the only connection, and wait for the question."""
-    attempt = made.send()
+async def await_liveness_check(server: FakeServer, runner: AttemptRunner) -> Attempt:
+    """Half-close the only connection, and wait for the liveness request."""
+    attempt = runner.send()
     await until(lambda: len(server.got) == 1)
     await half_close(server.got[0], server.writers[0])
     await until(lambda: len(server.got) == 2)
@@ -129,7 +129,7 @@
 
 
 def kernel_ends(upstreams: Upstreams) -> set[EndKind]:
-    """How the connections have ended, by the kernel's word."""
+    """How the connections have ended, according to the kernel."""
     (upstream,) = upstreams._upstreams.values()
     return {connection_end(c._transport.get_extra_info("socket")) for c in upstream.open if c._transport}
 
@@ -137,15 +137,15 @@
 def test_a_reset_behind_a_close_in_order_cuts_the_answer() -> None:
     async def test() -> None:
         server = FakeServer(silent)
-        async with asking(server) as made:
-            await ask(server, made)
+        async with liveness_runner(server) as runner:
+            await await_liveness_check(server, runner)
             peer: socket.socket = server.writers[0].get_extra_info("socket")
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             server.writers[0].transport.abort()
-            await until(lambda: EndKind.RESET in kernel_ends(made.upstreams))
+            await until(lambda: EndKind.RESET in kernel_ends(runner.upstreams))
             server.writers[1].write(OK)
-            await until(lambda: bool(made.outcomes))
-            assert made.outcomes == [Outcome.BROKEN]
+            await until(lambda: bool(runner.outcomes))
+            assert runner.outcomes == [Outcome.BROKEN]
 
     run(test())
 
@@ -153,12 +153,12 @@
 def test_a_request_that_is_given_up_while_its_upstream_is_asked_ends_once() -> None:
     async def test() -> None:
         server = FakeServer(silent)
-        async with asking(server) as made:
-            attempt = await ask(server, made)
+        async with liveness_runner(server) as runner:
+            attempt = await await_liveness_check(server, runner)
             attempt.cancel()
             server.writers[1].write(OK)
-            await until(lambda: made.upstreams.has_idle_connection("s0"))
-            assert made.outcomes == [Outcome.CANCELLED]
+            await until(lambda: runner.upstreams.has_idle_connection("s0"))
+            assert runner.outcomes == [Outcome.CANCELLED]
 
     run(test())
 
@@ -166,24 +166,24 @@
 def test_an_upstream_that_has_left_the_list_is_asked_where_it_was() -> None:
     async def test() -> None:
         server = FakeServer(silent)
-        async with asking(server) as made:
-            made.send()
+        async with liveness_runner(server) as runner:
+            runner.send()
             await until(lambda: len(server.got) == 1)
-            made.upstreams.set_addresses({})
+            runner.upstreams.set_addresses({})
             await half_close(server.got[0], server.writers[0])
             await until(lambda: len(server.got) == 2)
             server.writers[1].write(OK)
-            await until(lambda: bool(made.outcomes))
-            assert made.outcomes == [Outcome.SERVED]
+            await until(lambda: bool(runner.outcomes))
+            assert runner.outcomes == [Outcome.SERVED]
 
     run(test())
 
 
-@pytest.mark.parametrize("loops", ["asyncio", "uvloop"])
-def test_an_upstream_hears_of_the_end_of_an_attempt_before_the_next_one_goes_out(loops: str) -> None:
-    """Found once by the fleet rig: a request was at one upstream while still out at another.
+@pytest.mark.parametrize("loop_kind", ["asyncio", "uvloop"])
+def test_an_upstream_hears_of_the_end_of_an_attempt_before_the_next_one_goes_out(loop_kind: str) -> None:
+    """Found by the fleet rig: a request was at one upstream while still in flight at another.
 
-    The loop closes a connection in its next turn, and writes at once on an idle one.
+    The event loop closes a connection in its next turn, but writes on an idle one at once.
     """
 
     def has_ended(writer: Writer) -> bool:
@@ -193,13 +193,13 @@
 
     async def test() -> None:
         server = FakeServer(silent)
-        async with asking(server) as made:
-            attempt = made.send()
+        async with liveness_runner(server) as runner:
+            attempt = runner.send()
             await until(lambda: len(server.got) == 1)
             attempt.cancel()
-            assert has_ended(server.writers[0])  # in the same turn of the loop
+            assert has_ended(server.writers[0])  # in the same turn of the event loop
 
-    if loops == "asyncio":
+    if loop_kind == "asyncio":
         asyncio.run(asyncio.wait_for(test(), 10.0))
     else:
         uvloop.run(asyncio.wait_for(test(), 10.0))
