--- a/passpost/answer_end.py
+++ b/passpost/answer_end.py
@@ -37,7 +37,7 @@
     """Whether a connection at end of file was closed in order (FIN) or reset.
 
     An event loop may report a reset as an end of file: libuv does when it finds the last bytes and the reset
-    together. The kernel can still tell them apart: after a FIN alone our side of the connection is open,
+    together. The kernel still distinguishes them: after a FIN alone our side of the connection is open,
     whereas a reset has ended both sides (POLLHUP, and POLLERR until the error is read).
     """
     poll = select.poll()
--- a/passpost/client_transport.py
+++ b/passpost/client_transport.py
@@ -89,7 +89,7 @@
         """When the bytes just read arrived, in seconds on the monotonic clock.
 
         For bytes that were left in the kernel while reading was paused this is when the last of them arrived,
-        but not before the pause; it is now where the kernel does not tell.
+        but not before the pause; without that information from the kernel it is now.
         """
         now = time.monotonic()
         if now < self._paused_since:
--- a/passpost/connection_bounds.py
+++ b/passpost/connection_bounds.py
@@ -7,7 +7,7 @@
 from passpost.client_transport import Phase
 
 CROWDED_IDLE_S = 2.0  # idle limit while connections are scarce; clients may rely on at least this long
-UNREAD_TIMEOUT_S = 5.0  # an unread rest of a response is kept for so long
+UNREAD_TIMEOUT_S = 5.0  # for a response whose rest is not read
 # For a stream that the client does not read; a slow client's window opens in large steps only.
 BLOCKED_STREAM_TIMEOUT_S = 20.0
 NEW_CONNECTION_GRACE_S = 0.3  # a new connection sends its first request within this time
--- a/passpost/control.py
+++ b/passpost/control.py
@@ -57,7 +57,7 @@
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._socket = socket.create_server(address, backlog=64, family=family)
         self._socket.setblocking(False)
-        # Oldest first; the value tells whether the command has been read.
+        # Oldest first; the value is whether the command has been read.
         self._connections: dict[asyncio.Task[None], bool] = {}
         self._retry_timer: asyncio.TimerHandle | None = None
 
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -42,7 +42,7 @@
         """The streamed response has ended in order."""
 
     def abort(self) -> None:
-        """The streamed response is incomplete: close so that the reader can tell."""
+        """The streamed response is incomplete: close so that the reader notices."""
 
     def refuse(self, retry_after_ms: float) -> None:
         """Tell the client that the request has not run and can be retried after so long; 0: no advice."""
@@ -219,7 +219,7 @@
         self._fail_request(number, 504)
 
     def _fail_request(self, number: int, status: int) -> None:
-        """Fail a request without asking the policy, which is told that it owes no response."""
+        """Fail a request on our own; for the policy its client has disconnected."""
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
             request.client.fail(status)
--- a/passpost/server.py
+++ b/passpost/server.py
@@ -20,8 +20,8 @@
 KEEP_ALIVE_SHARE = 0.5
 # New connections arrive for at least so long; after that clients reuse theirs.
 NEW_CONNECTIONS_AFTER_STOP_S = 0.2
-# After a quiesce, clients connect for 0.2 s more and then reuse connections. All are to be gone before 2 s,
-# as requests sent then are still open after 4 s. This delay keeps a short quiesce unnoticed.
+# After a quiesce, clients connect for 0.2 s more and then reuse connections. All have to be closed before
+# 2 s, as requests sent then are still open after 4 s. This delay keeps a short quiesce unnoticed.
 QUIESCE_KEEP_S = 1.2
 HANDOVER_CLOSE_S = 0.5  # before the end of a handover, responses start to close the connections left
 FINAL_READ_S = 0.2  # for requests on connections accepted at the very end
@@ -208,8 +208,7 @@
     def _has_unanswered(self) -> bool:
         """Whether a client waits for a response, also for a long one, which would be lost if we closed.
 
-        An operator who wants the process gone before that kills it. A body still arriving is not a request
-        yet.
+        An operator who needs an earlier end kills the process. A body still arriving is not a request yet.
         """
         return any(c.is_busy() and not c.is_receiving_upload() for c in self.acceptor.connections)
 
--- a/passpost/upstream_connection.py
+++ b/passpost/upstream_connection.py
@@ -347,7 +347,7 @@
             self._on_connection_lost()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone; see eof_received."""
+        """The connection has been reset or closed; see eof_received."""
         self._report_end(EndKind.RESET)
         self._on_connection_lost()
 
--- a/tests/test_cut_answer_orders.py
+++ b/tests/test_cut_answer_orders.py
@@ -132,12 +132,12 @@
 
 
 @dataclass(frozen=True)
-class Caller:
+class RawClient:
     """A client on a plain socket: an event loop may take a reset for an end of file."""
 
     version: str = "1.1"
     closes: bool = False
-    ahead: int = 0  # requests pipelined after the first
+    pipelined: int = 0  # requests pipelined after the first
 
     async def is_served(self, port: int) -> bool:
         """Whether it reads a complete 200 response."""
@@ -145,7 +145,7 @@
         with socket.socket() as peer:
             peer.setblocking(False)
             await loop.sock_connect(peer, ("127.0.0.1", port))
-            await loop.sock_sendall(peer, b"".join(self._request(n) for n in range(1 + self.ahead)))
+            await loop.sock_sendall(peer, b"".join(self._request(n) for n in range(1 + self.pipelined)))
             data, ended = b"", False
             try:
                 async with asyncio.timeout(PATIENCE_S):
@@ -182,11 +182,11 @@
         yield Cut(framing, body, is_stream, order, turns)
 
 
-CALLERS = {
-    "kept": Caller(),
-    "closing": Caller(closes=True),
-    "1.0": Caller(version="1.0"),
-    "sending ahead": Caller(ahead=1),
+CLIENTS = {
+    "kept": RawClient(),
+    "closing": RawClient(closes=True),
+    "1.0": RawClient(version="1.0"),
+    "pipelining": RawClient(pipelined=1),
 }
 ANSWERS: dict[str, Callable[[str], Iterator[Cut]]] = {
     "short": lambda framing: cuts(framing, "part", False),
@@ -195,18 +195,18 @@
 }
 
 
-@pytest.mark.parametrize("caller", CALLERS.values(), ids=list(CALLERS))
+@pytest.mark.parametrize("client", CLIENTS.values(), ids=list(CLIENTS))
 @pytest.mark.parametrize("answers", ANSWERS.values(), ids=list(ANSWERS))
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 def test_a_cut_answer_never_looks_complete(
-    framing: str, answers: Callable[[str], Iterator[Cut]], caller: Caller
+    framing: str, answers: Callable[[str], Iterator[Cut]], client: RawClient
 ) -> None:
     async def test() -> None:
         stage = OrderedStage()
         async with playing(stage, config=UNSAFE) as play:
             for cut in answers(framing):
                 stage.cut, previous_count = cut, len(stage.got)
-                is_served = await caller.is_served(play.port)
+                is_served = await client.is_served(play.port)
                 assert len(stage.got) > previous_count
                 assert not (is_served and cut.is_detectable()), cut
 
--- a/tests/test_dead_upstreams.py
+++ b/tests/test_dead_upstreams.py
@@ -105,8 +105,8 @@
             with log_lines() as lines:
                 await play.ask("r7")
             assert play.balancer.answers.ends == {(Framing.CLOSE, EndKind.GONE): 1}
-        said = "event=answer_cut upstream=dying request=r7 end=gone framing=close status=200 bytes=4\n"
-        assert said in lines
+        expected = "event=answer_cut upstream=dying request=r7 end=gone framing=close status=200 bytes=4\n"
+        assert expected in lines
 
     run(test())
 
@@ -144,14 +144,14 @@
     """Found by a soak (seed 52100): a live upstream that does not read one of its idle connections."""
 
     async def test() -> None:
-        told, over = asyncio.Event(), asyncio.Event()
+        may_respond, is_done = asyncio.Event(), asyncio.Event()
 
         async def whole_then_deaf(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
             await answer("200 OK", body="first")(stage, got, writer)
-            await over.wait()  # nothing more is read from this connection
+            await is_done.wait()  # nothing more is read from this connection
 
         async def unframed_later(stage: Stage, got: ReceivedRequest, writer: Writer) -> None:
-            await told.wait()
+            await may_respond.wait()
             await unframed(stage, got, writer)
 
         stage = Stage("u1", "", whole_then_deaf, unframed_later)
@@ -160,9 +160,9 @@
             second = asyncio.create_task(play.ask("r2"))
             done, _ = await asyncio.wait((first, second), return_when=asyncio.FIRST_COMPLETED)
             assert [task.result().body for task in done] == [b"first"]
-            told.set()
+            may_respond.set()
             reply = await (second if first in done else first)
-            over.set()
+            is_done.set()
             assert (reply.status, reply.whole, reply.body) == (200, True, b"whole")
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -205,8 +205,8 @@
     async def test() -> None:
         left, joined = FakeServer(), FakeServer()
         await joined.start()
-        news = listing(2, member("s0", "", "left"), member("s1", joined.host_port), complete=False)
-        agent = FakeServer(ScriptedReplies(answer_json(news)))
+        update = listing(2, member("s0", "", "left"), member("s1", joined.host_port), complete=False)
+        agent = FakeServer(ScriptedReplies(answer_json(update)))
         await agent.start()
         async with balancer(left, discovery=agent.host_port, change=change) as b:
             await until(lambda: len(agent.got) == 2)  # the update has arrived, and the watch has started
--- a/tests/test_misused_connections.py
+++ b/tests/test_misused_connections.py
@@ -1,4 +1,4 @@
-"""Upstreams that send a response twice and close, while a request is on its way that nobody reads.
+"""Upstreams that send a response twice and close, while a request is in transit that is never read.
 
 Such requests ended in 502 though no upstream had seen them: 677 of 7,061 in three soaks of 25 s.
 """
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -68,15 +68,15 @@
             data["settings"]["balancers"] = 2
 
         async with balancer(*upstreams, change=two) as b:
-            callers = [await b.connect() for _ in range(16)]
-            for caller in callers:
-                caller.send()
-            await until(lambda: sum(len(u.got) for u in upstreams) == len(callers))
+            clients = [await b.connect() for _ in range(16)]
+            for client in clients:
+                client.send()
+            await until(lambda: sum(len(u.got) for u in upstreams) == len(clients))
             for upstream in upstreams:
                 for writer in upstream.writers:
                     writer.write(OK)
-            for caller in callers:
-                answer = await caller.answer()
+            for client in clients:
+                answer = await client.answer()
                 assert answer is not None and answer.status == 200
 
     run(test())
@@ -370,25 +370,25 @@
     async def test() -> None:
         upstreams = [FakeServer(silent) for _ in range(4)]
         async with balancer(*upstreams) as b:
-            callers = [await b.connect() for _ in range(8)]
+            clients = [await b.connect() for _ in range(8)]
             await until(lambda: len(b.node.server.acceptor.connections) == 8)
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(100.0))
             await until(lambda: b.node.server.draining)
-            for caller in callers[:6]:
-                caller.send()
+            for client in clients[:6]:
+                client.send()
             await until(lambda: sum(len(u.got) for u in upstreams) == 6)
             for _ in range(2):  # the only idle client but one may ask as often as it likes
-                refused = await callers[6].ask()
+                refused = await clients[6].ask()
                 assert refused is not None and refused.status == 503 and refused.reusable
                 assert b"Retry-After" in dict(refused.headers)
             for upstream in upstreams:
                 upstream.reply = OK
                 for writer in upstream.writers:
                     writer.write(OK)
-            for caller in callers[:6]:
-                answer = await caller.answer()
+            for client in clients[:6]:
+                answer = await client.answer()
                 assert answer is not None and answer.status == 200 and answer.reusable
-            answer = await callers[6].ask()
+            answer = await clients[6].ask()
             assert answer is not None and answer.status == 200
             b.close_connections()
             await drained
