--- a/passpost/attempt.py
+++ b/passpost/attempt.py
@@ -165,7 +165,7 @@
         self._deadline = time.monotonic() + self._timeout_s
         self._timer = asyncio.get_running_loop().call_later(self._timeout_s, self._on_timeout)
 
-    def request_completed(self) -> None:
+    def on_request_complete(self) -> None:
         """The last byte of a streamed request has arrived: the timeout starts now."""
         if self._on_done is not None and self._timer is None and not self.is_streaming:
             self._start_timer()
--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -24,8 +24,8 @@
 RETRY_DELAY_S = 0.2  # between failed calls; short, so that news is fetched soon after the agent is back
 MAX_LIST_BYTES = 4 * 1024 * 1024
 
-PATH = "/registry/instances"
-_PHASES = {"active": Readiness.READY, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
+LIST_PATH = "/registry/instances"
+_READINESS_BY_PHASE = {"active": Readiness.READY, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,11 +53,11 @@
     members, addresses = [], {}
     for entry in data["members"]:
         phase = entry["phase"]
-        if phase not in _PHASES:
+        if phase not in _READINESS_BY_PHASE:
             raise ValueError(f"unknown phase {phase!r}")
         member = Member(
             server=str(entry["id"]),
-            readiness=_PHASES[phase],
+            readiness=_READINESS_BY_PHASE[phase],
             zone=str(entry.get("locality", "")),
             cell=int(entry.get("cell", 0)),
             size=float(entry.get("size", 1.0)),
@@ -235,7 +235,9 @@
         self._on_update(ListUpdate(kind, listing.members), self._addresses)
 
     async def _call(self, connection: DiscoveryConnection, wait_ms: int) -> Listing:
-        target = PATH if self._revision is None else f"{PATH}?after={self._revision}&wait_ms={wait_ms}"
+        target = (
+            LIST_PATH if self._revision is None else f"{LIST_PATH}?after={self._revision}&wait_ms={wait_ms}"
+        )
         async with asyncio.timeout(wait_ms / 1000 + CALL_TIMEOUT_S):
             response = await connection.get(target)
         if response.status != 200:
--- a/passpost/exchange.py
+++ b/passpost/exchange.py
@@ -68,7 +68,7 @@
 
     handler: RequestHandler
     options: ClientOptions
-    open_ids: set[bytes]  # ids of open requests
+    open_request_ids: set[bytes]  # ids of open requests
     closing: bool  # every response closes its connection
 
     def is_ready(self) -> bool:
@@ -133,11 +133,11 @@
         if remaining_s <= 0:
             self.fail(504)
             return
-        if head.request_id in server.open_ids:  # an upstream would treat the second as a repeat of the first
+        if head.request_id in server.open_request_ids:  # upstreams would treat the second as a repeat
             self._reject_duplicate(request)
             return
         self._request_id, self._owner.has_had_request = head.request_id, True
-        server.open_ids.add(head.request_id)
+        server.open_request_ids.add(head.request_id)
         header_lines = write_headers(head.forwarded_headers)
         head_bytes = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (
             head.method,
@@ -213,7 +213,7 @@
     def _release_request_id(self) -> None:
         """Allow the id of the open request to be used again."""
         if self._request_id is not None:
-            self._server.open_ids.discard(self._request_id)
+            self._server.open_request_ids.discard(self._request_id)
             self._request_id = None
 
     # ---- the response
--- a/passpost/followed.py
+++ b/passpost/followed.py
@@ -17,7 +17,7 @@
 from fleet.registry import follower as core
 from fleet.registry.entries import Entry, Word
 from fleet.registry.history import Changes, Saved
-from passpost.discovery import CALL_TIMEOUT_S, PATH, DiscoveryConnection, Listing, parse_address
+from passpost.discovery import CALL_TIMEOUT_S, LIST_PATH, DiscoveryConnection, Listing, parse_address
 from passpost.http1 import Address, InvalidResponseError
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
@@ -184,7 +184,7 @@
         raise AssertionError("the follower returned neither a request nor a pause")
 
     async def _request(self, request: core.Ask, connection: DiscoveryConnection) -> core.Event:
-        target = f"{PATH}?detail=1"
+        target = f"{LIST_PATH}?detail=1"
         if request.after is not None:
             target += f"&after={request.after}&wait_ms={request.wait_ms:.0f}"
         seconds = request.wait_ms / 1000 + CALL_TIMEOUT_S
--- a/passpost/server.py
+++ b/passpost/server.py
@@ -48,14 +48,14 @@
         self._configured_options, self.options = options, options or client_options.default_options()
         self.draining, self.closing = False, False  # not ready any more; every response closes its connection
         self._deadline, self._accepts_until = math.inf, math.inf
-        self._stopping = False
+        self._is_stopping = False
         self._send_descriptor: SendDescriptor | None = None  # set during a handover
         self._quiesce_timer: asyncio.TimerHandle | None = None  # runs while quiesced
         self._free_buffer_bytes = buffer_bytes
         self.buffer = memoryview(bytearray(BODY_READ_BYTES))
-        self.open_ids: set[bytes] = set()
+        self.open_request_ids: set[bytes] = set()
         self.acceptor = Acceptor(self, listener or listen(address, shared), max_connections)
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     def apply_options(self, options: ClientOptions) -> None:
         """Use these client options from now on."""
@@ -117,7 +117,7 @@
 
     def resume(self) -> bool:
         """End a `quiesce`; returns whether the server is ready for clients. A stop can't be undone."""
-        if self._quiesce_timer is not None and not self._stopping:
+        if self._quiesce_timer is not None and not self._is_stopping:
             self._quiesce_timer.cancel()
             self._quiesce_timer = None
             self.draining = self.closing = False
@@ -142,7 +142,7 @@
 
         Readiness does not change, as the two are one balancer. Near the end the rest is closed as in a drain.
         """
-        self._stopping, self._deadline = True, time.monotonic() + timeout_s
+        self._is_stopping, self._deadline = True, time.monotonic() + timeout_s
         self.acceptor.close()  # its queue now belongs to the new process
         self._send_descriptor = send_descriptor
         while self.acceptor.connections and (self.time_left_s() > 0 or self._has_unanswered()):
@@ -150,7 +150,7 @@
             for connection in list(self.acceptor.connections):
                 self.hand_over_connection(connection)
             await asyncio.sleep(client_options.DRAIN_POLL_S)
-        self._end()
+        self._abort_connections()
 
     def remove(self, connection: ClientConnection) -> None:
         """Remove a closed connection."""
@@ -176,7 +176,7 @@
         response closes one. Connections in the listening socket's queue count as accepted, so it is emptied
         to the end.
         """
-        self._stopping = True
+        self._is_stopping = True
         self.draining, self._deadline = True, time.monotonic() + timeout_s
         self._accepts_until = time.monotonic() + NEW_CONNECTIONS_AFTER_STOP_S
         self.options = self._configured_options or client_options.default_options()
@@ -198,12 +198,12 @@
                     connection.close()
                 self._sweep_one(connection, now)  # at each step, as a restart waits for this process to end
             await asyncio.sleep(poll_s)
-        self._end()
+        self._abort_connections()
 
     def stop(self) -> None:
         """Close everything at once."""
         self.acceptor.close()
-        self._end()
+        self._abort_connections()
 
     def _has_unanswered(self) -> bool:
         """Whether a client waits for a response, also for a long one, which would be lost if we closed.
@@ -212,10 +212,10 @@
         """
         return any(c.is_busy() and not c.is_receiving_upload() for c in self.acceptor.connections)
 
-    def _end(self) -> None:
+    def _abort_connections(self) -> None:
         for connection in list(self.acceptor.connections):  # incomplete requests, or unread responses
             connection.transport.abort()
-        for timer in (self._sweeper, self._quiesce_timer):
+        for timer in (self._sweep_timer, self._quiesce_timer):
             if timer is not None:
                 timer.cancel()
 
@@ -231,7 +231,7 @@
 
     def _sweep(self) -> None:
         self.options = self._configured_options or client_options.default_options()
-        self._sweeper = asyncio.get_running_loop().call_later(self.options.sweep_interval_s, self._sweep)
+        self._sweep_timer = asyncio.get_running_loop().call_later(self.options.sweep_interval_s, self._sweep)
         now = time.monotonic()
         for connection in list(self.acceptor.connections):
             self._sweep_one(connection, now)
--- a/passpost/upstream.py
+++ b/passpost/upstream.py
@@ -53,10 +53,10 @@
         self._max_connections = self._open_limit = max_connections
         self._max_each = math.inf
         self._upstreams: dict[str, Upstream] = {}
-        self._open = 0
+        self._open_count = 0
         self._warned_full = False
         self._cordoned = frozenset[str]()
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self._probes = set[asyncio.Task[None]]()
 
     def start(self) -> None:
@@ -65,8 +65,8 @@
 
     def stop(self) -> None:
         """Close everything."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         for probe in self._probes:
             probe.cancel()
         self.set_addresses({})
@@ -203,7 +203,7 @@
     def _create_connection(self, upstream: Upstream) -> UpstreamConnection:
         connection = UpstreamConnection(upstream, self)
         upstream.open.add(connection)
-        self._open += 1
+        self._open_count += 1
         return connection
 
     def set_cordoned(self, servers: frozenset[str]) -> None:
@@ -222,7 +222,7 @@
     def set_shared(self, shared: bool) -> None:
         """Halve the connection limit while two processes are one balancer, closing idle connections."""
         self._open_limit = self._max_connections // 2 if shared else self._max_connections
-        while self._open > self._open_limit and self._close_oldest_idle():
+        while self._open_count > self._open_limit and self._close_oldest_idle():
             pass
 
     def _find_idle(self, upstream: Upstream, unused: bool = False) -> UpstreamConnection | None:
@@ -254,7 +254,7 @@
         """Remove a closed connection."""
         if connection in upstream.open:
             upstream.open.remove(connection)
-            self._open -= 1
+            self._open_count -= 1
             if connection in upstream.idle:
                 upstream.idle.remove(connection)
 
@@ -293,7 +293,7 @@
 
     def _has_room(self) -> bool:
         """Whether another connection may be opened, after closing the longest idle one if necessary."""
-        return self._open < self._open_limit or self._close_oldest_idle()
+        return self._open_count < self._open_limit or self._close_oldest_idle()
 
     def _close_oldest_idle(self) -> bool:
         oldest = min(
@@ -304,7 +304,7 @@
         return oldest is not None
 
     def _sweep(self) -> None:
-        self._sweeper = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
         self._warned_full = False
         now = time.monotonic()
         limit = now - self._idle_limit
--- a/passpost/upstream_connection.py
+++ b/passpost/upstream_connection.py
@@ -154,7 +154,7 @@
             return
         if self._upload.length is None:
             self._transport.write(b"0\r\n\r\n")
-        self._attempt.request_completed()
+        self._attempt.on_request_complete()
         if not self._is_write_blocked:
             self._on_written()
 
--- a/passpost/validation.py
+++ b/passpost/validation.py
@@ -11,7 +11,7 @@
 from passpost.http1 import MAX_BODY, MAX_HEAD, Headers, end_to_end_headers
 from umberworks.interface import Effect, RequestClass
 
-READY = b"/health/ready"
+READINESS_PATH = b"/health/ready"
 
 _SINGLE_HEADERS = (
     b"host",
@@ -22,7 +22,7 @@
     b"x-remaining",
     b"idempotency-key",
 )
-_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
+_HEADER_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
 _TOKEN = re.compile(rb"[\x21-\x7e]+")  # for ids and keys, which upstreams compare
 _TARGET = re.compile(rb"/[\x21-\x7e]*")
 _LENGTH = re.compile(rb"[0-9]{1,18}")
@@ -62,7 +62,7 @@
     seen = Counter(name.lower() for name, _ in headers)
     if any(seen[name] > 1 for name in _SINGLE_HEADERS):
         raise BadRequestError(400)
-    if not _TARGET.fullmatch(target) or not all(_VALUE.fullmatch(value) for _, value in headers):
+    if not _TARGET.fullmatch(target) or not all(_HEADER_VALUE.fullmatch(value) for _, value in headers):
         raise BadRequestError(400)
     fields = {name.lower(): value for name, value in headers}
 
@@ -77,7 +77,7 @@
     if method not in (b"GET", b"POST"):
         raise BadRequestError(405)
     path = target.partition(b"?")[0]
-    if path == READY:
+    if path == READINESS_PATH:
         return None
     request_class = classes.get(path.split(b"/")[1].decode("ascii"))
     if request_class is None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -450,7 +450,7 @@
             await until(lambda: len(upstream.got) == 1)
             await b.call(b"quiesce")
             stopped = asyncio.get_running_loop().create_task(b.node.stop())
-            await until(lambda: b.node.server._stopping)
+            await until(lambda: b.node.server._is_stopping)
             assert await b.call(b"resume") == b"ERR the process is stopping\n"
             upstream.writers[0].write(OK)
             answer = await client.answer()
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -281,7 +281,7 @@
             if client_action == "leaves":
                 client.writer.transport.abort()
             await until(lambda: not _open(b) and not b.node.server.acceptor.connections)
-            await until(lambda: b.node.upstreams._open == 0)
+            await until(lambda: b.node.upstreams._open_count == 0)
             assert not b.node.engine._balancer._requests
             assert (await b.figures())["in_flight"] == 0
 
@@ -594,7 +594,7 @@
             client.writer.transport.abort()
             await until(lambda: upstream.lost == 1 and not _open(b))
             assert upstream.bodies == [] and (await b.figures())["in_flight"] == 0
-            assert not b.node.server.open_ids
+            assert not b.node.server.open_request_ids
 
     run(test())
 
--- a/tests/test_orders_clients.py
+++ b/tests/test_orders_clients.py
@@ -84,7 +84,7 @@
 def has_no_requests(node: Node) -> Callable[[], bool]:
     """Whether no state of any request is left."""
     engine = node.engine
-    return lambda: not (engine._requests or engine._balancer._requests or node.server.open_ids)
+    return lambda: not (engine._requests or engine._balancer._requests or node.server.open_request_ids)
 
 
 def run_before(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, action: Callable[[], None]) -> None:
@@ -316,7 +316,7 @@
             await until(lambda: not b.node.server.acceptor.connections)
             await until(has_no_requests(b.node))
             await until(lambda: server.closed == server.connections)
-            assert server.got == [] and b.node.upstreams._open == 0
+            assert server.got == [] and b.node.upstreams._open_count == 0
 
     run(test())
 
--- a/tests/test_orders_upstreams.py
+++ b/tests/test_orders_upstreams.py
@@ -44,11 +44,11 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         attempt.cancel()
-        assert ended == [Outcome.CANCELLED] and upstreams._open == 0
+        assert ended == [Outcome.CANCELLED] and upstreams._open_count == 0
         for _ in range(20):
             await asyncio.sleep(0)
         await until(lambda: server.closed == server.connections)
-        assert ended == [Outcome.CANCELLED] and upstreams._open == 0
+        assert ended == [Outcome.CANCELLED] and upstreams._open_count == 0
         server.stop()
 
     run(test())
@@ -69,7 +69,7 @@
 
         monkeypatch.setattr(UpstreamConnection, "connection_made", cancel_first)
         attempts.append(upstreams.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome)))
-        await until(lambda: server.connections == 1 and server.closed == 1 and upstreams._open == 0)
+        await until(lambda: server.connections == 1 and server.closed == 1 and upstreams._open_count == 0)
         assert ended == [Outcome.CANCELLED] and server.got == []
         server.stop()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -244,7 +244,7 @@
             release.set()
             for answer in (await first.answer(), await first.ask(X_Txn="slow")):
                 assert answer is not None and answer.status == 200
-            assert len(upstream.got) == 2 and not b.node.server.open_ids
+            assert len(upstream.got) == 2 and not b.node.server.open_request_ids
 
     run(test())
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -218,7 +218,7 @@
                 server.writers[0].close()
             else:
                 server.writers[0].write(after)
-            await until(lambda: runner.upstreams._open == 0)
+            await until(lambda: runner.upstreams._open_count == 0)
             assert await runner.outcome() is Outcome.SERVED
             assert server.connections == 2
 
@@ -229,7 +229,7 @@
     async def test() -> None:
         async with attempt_runner(FakeServer(OK + OK)) as runner:
             assert await runner.outcome() is Outcome.SERVED
-            assert runner.upstreams._open == 0
+            assert runner.upstreams._open_count == 0
 
     run(test())
 
@@ -249,13 +249,15 @@
                 with peer:
                     await loop.sock_recv(peer, 65536)
                     peer.send(OK)
-                    await until(lambda: runner.outcomes == [Outcome.SERVED] and runner.upstreams._open == 1)
+                    await until(
+                        lambda: runner.outcomes == [Outcome.SERVED] and runner.upstreams._open_count == 1
+                    )
                     if after is None:
                         peer.shutdown(socket.SHUT_WR)
                     else:
                         peer.send(after)
                     attempt = runner.send()
-                    assert attempt.connection is None and runner.upstreams._open == 1  # a new one is pending
+                    assert attempt.connection is None and runner.upstreams._open_count == 1  # a new one
                     attempt.cancel()
 
     run(test())
@@ -295,7 +297,7 @@
             await until(held.is_written)
             await until(lambda: first.closed == 1)
             assert await runner.outcome("s0") is Outcome.UNREACHED  # no idle connection is left to close
-            assert runner.upstreams._open == 1
+            assert runner.upstreams._open_count == 1
 
     run(test())
 
@@ -308,7 +310,7 @@
         async with attempt_runner(FakeServer()) as runner:
             monkeypatch.setattr(UpstreamConnection, "start_attempt", fail)
             assert await runner.outcome() is Outcome.BROKEN
-            assert runner.upstreams._open == 0
+            assert runner.upstreams._open_count == 0
 
     run(test())
 
