--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -97,7 +97,7 @@
         async with playing(u) as play:
             assert (await play.ask()).body == b"ok"
             (connection,) = play.balancer.upstreams._upstreams["u"].idle
-            assert connection.kept == pytest.approx(4.3)
+            assert connection.idle_limit_s == pytest.approx(4.3)
 
     run(test())
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -75,7 +75,7 @@
 
 
 async def answered(client: Client, **more: Any) -> None:
-    answer = await client.request_handover(**more)
+    answer = await client.ask(**more)
     assert answer is not None and answer.status == 200
 
 
@@ -219,7 +219,7 @@
             old.node.server.quiesce_at_once()
             new = await start()
             await serving(new)
-            answer = await (await new.connect()).request_handover()
+            answer = await (await new.connect()).ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
 
     run(test())
--- a/tests/test_soak_bodies.py
+++ b/tests/test_soak_bodies.py
@@ -13,7 +13,7 @@
 from mastturn.soak.faults import Fault
 from mastturn.soak.records import Altered, Arrival, Ask, End, EndKind, Kind, Records, Style
 from mastturn.soak.upstream import Handles, Upstream
-from mastturn.soak.wire import BadRequestError, Reader, ReceivedRequest, read_body, read_head
+from mastturn.soak.wire import BadRequestError, Reader, Got, read_body, read_head
 from mastturn.standins.ports import free_port
 from tests.loopback import run
 
@@ -28,7 +28,7 @@
     return reader
 
 
-async def read_one(data: bytes) -> tuple[ReceivedRequest | None, bytes]:
+async def read_one(data: bytes) -> tuple[Got | None, bytes]:
     reader = reader_of(data)
     got = await read_head(reader)
     return got, await read_body(got, reader) if got is not None else b""
