--- a/passpost/followed.py
+++ b/passpost/followed.py
@@ -15,15 +15,15 @@
 from typing import Any
 
 from fleet.registry import follower as core
-from fleet.registry.entries import Entry, Word
-from fleet.registry.history import Changes, Saved
+from fleet.registry.entries import Entry, Lifecycle
+from fleet.registry.history import Changes, HistoryState
 from passpost.discovery import CALL_TIMEOUT_S, LIST_PATH, DiscoveryConnection, Listing, parse_address
 from passpost.http1 import Address, InvalidResponseError
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
 log = logging.getLogger(__name__)
 
-WORDS_BY_NAME = {word.name.lower(): word for word in Word}
+LIFECYCLES_BY_NAME = {lifecycle.name.lower(): lifecycle for lifecycle in Lifecycle}
 
 
 def read_entry(data: dict[str, Any]) -> Entry:
@@ -39,14 +39,14 @@
         size=float(data.get("size", 1.0)),
         up_since_ms=float(data.get("up_since_ms", 0)),
         incarnation=int(data["incarnation"]),
-        word=WORDS_BY_NAME[data["word"]],
+        lifecycle=LIFECYCLES_BY_NAME[data["word"]],
         holder=str(data.get("holder", "")),
         turn=int(data.get("turn", 0)),
         lapsed=bool(data.get("lapsed", False)),
     )
 
 
-def read_response(data: Any, replica: str, after: int | None) -> core.Told:
+def read_response(data: Any, replica: str, after: int | None) -> core.ListReceived:
     """A response of `replica`; raises ValueError, TypeError or LookupError if it is not a valid list."""
     revision, whole = int(data["revision"]), bool(data["complete"])
     if revision < 0 or (not whole and (after is None or revision < after)):
@@ -56,18 +56,18 @@
         raise ValueError("duplicate id in the list")
     seen = {str(name): int(number) for name, number in data.get("seen", {}).items()}
     changes = Changes(revision, whole, entries)
-    return core.Told(replica, str(data.get("replica", "")), changes, int(data.get("epoch", 0)), seen)
+    return core.ListReceived(replica, str(data.get("replica", "")), changes, int(data.get("epoch", 0)), seen)
 
 
 def to_member(entry: Entry) -> Member:
     """The entry as the policy sees it."""
     phase = Readiness.GONE if entry.is_gone else Readiness.READY
-    if phase is Readiness.READY and entry.word is Word.LEAVING:
+    if phase is Readiness.READY and entry.lifecycle is Lifecycle.LEAVING:
         phase = Readiness.DRAINING
     return Member(entry.id, phase, entry.locality, entry.cell, entry.size, entry.up_since_ms)
 
 
-def _initial_state(known: Listing) -> core.Kept:
+def _initial_state(known: Listing) -> core.FollowerState:
     """The saved list as the oldest report of all.
 
     Any other report replaces it; an empty list needs two witnesses.
@@ -77,7 +77,7 @@
         if member.readiness is not Readiness.GONE:
             host, port = known.addresses[member.server]
             host_port = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-            word = Word.LEAVING if member.readiness is Readiness.DRAINING else Word.ACTIVE
+            lifecycle = Lifecycle.LEAVING if member.readiness is Readiness.DRAINING else Lifecycle.ACTIVE
             entry = Entry(
                 member.server,
                 host_port,
@@ -87,10 +87,10 @@
                 member.cell,
                 member.size,
                 member.up_since_ms,
-                word=word,
+                lifecycle=lifecycle,
             )
             entries.append((0, entry))
-    return core.Kept(Saved(entries=tuple(entries)))
+    return core.FollowerState(HistoryState(entries=tuple(entries)))
 
 
 class ReplicatedDiscovery:
@@ -104,7 +104,7 @@
         self._reset(addresses, _initial_state(known))
         self.has_responded = asyncio.Event()  # set once discovery has responded
 
-    def _reset(self, addresses: tuple[Address, ...], state: core.Kept) -> None:
+    def _reset(self, addresses: tuple[Address, ...], state: core.FollowerState) -> None:
         self._addresses_by_name = {f"{host}:{port}": (host, port) for host, port in addresses}
         self._follower = core.Follower(tuple(self._addresses_by_name), "", self._seed, time.time(), state)
         self._published_revision = self._follower.history.revision
@@ -126,7 +126,7 @@
 
     def status(self) -> dict[str, Any]:
         """The address that the list comes from, its epoch, and how long ago it responded."""
-        last_answer_ms = self._follower.heard_at
+        last_answer_ms = self._follower.last_response_at
         age = round(_now_ms() - last_answer_ms) if last_answer_ms is not None else None
         return {"source": self._follower.source, "epoch": self._follower.epoch, "age_ms": age}
 
@@ -142,7 +142,7 @@
             return
         self.stop()
         self._task = None
-        self._reset(addresses, core.Kept(self._follower.history.saved()))
+        self._reset(addresses, core.FollowerState(self._follower.history.state()))
         self.subscribe()
 
     def stop(self) -> None:
@@ -159,7 +159,7 @@
             while True:
                 was_down = self._follower.is_down
                 actions = self._follower.handle(event, _now_ms())
-                if isinstance(event, core.Told) and self._follower.heard_at is not None:
+                if isinstance(event, core.ListReceived) and self._follower.last_response_at is not None:
                     self._publish()
                 for action in actions:
                     if isinstance(action, core.Log):
@@ -176,14 +176,14 @@
     ) -> core.Event:
         """Send a request or pause, one of which is always due; returns the resulting event."""
         for action in actions:
-            if isinstance(action, core.Pause):
+            if isinstance(action, core.Backoff):
                 await asyncio.sleep(action.wait_ms / 1000)
-                return core.PauseOver()
-            if isinstance(action, core.Ask):
+                return core.BackoffElapsed()
+            if isinstance(action, core.FetchList):
                 return await self._request(action, connections[action.replica])
         raise AssertionError("the follower returned neither a request nor a pause")
 
-    async def _request(self, request: core.Ask, connection: DiscoveryConnection) -> core.Event:
+    async def _request(self, request: core.FetchList, connection: DiscoveryConnection) -> core.Event:
         target = f"{LIST_PATH}?detail=1"
         if request.after is not None:
             target += f"&after={request.after}&wait_ms={request.wait_ms:.0f}"
@@ -196,10 +196,10 @@
             return read_response(json.loads(response.body), request.replica, request.after)
         except TimeoutError:
             connection.close()
-            return core.Failed(request.replica, f"no answer within {seconds:g} s")
+            return core.FetchFailed(request.replica, f"no answer within {seconds:g} s")
         except Exception as error:  # whatever is invalid: the old list stays, and the next address is tried
             connection.close()
-            return core.Failed(request.replica, f"{type(error).__name__}: {error}")
+            return core.FetchFailed(request.replica, f"{type(error).__name__}: {error}")
 
     def _publish(self) -> None:
         history = self._follower.history
@@ -207,7 +207,7 @@
             entries = tuple(entry for entry in history.entries() if not entry.is_gone)
             self._addresses, kind = {}, ListKind.WHOLE
         elif history.revision != self._published_revision:
-            entries, kind = history.after(self._published_revision).entries, ListKind.CHANGES
+            entries, kind = history.changes_since(self._published_revision).entries, ListKind.CHANGES
         else:
             return
         self._must_publish_whole, self._published_revision = False, history.revision
--- a/quota/account.py
+++ b/quota/account.py
@@ -1,65 +1,78 @@
-"""One replica's account of one tenant: what it was granted, what its requests have reserved and spent."""
+"""A replica's account of one tenant: tokens granted to it, and reserved and spent by its requests."""
 
 from __future__ import annotations
 
-from quota.messages import Ask, Grant, Recall
+from quota.messages import Grant, Recall, TokenRequest
 
 
 class Account:
-    """Tokens of one tenant at one life of a replica; all figures are totals of the window."""
+    """Tokens of one tenant at one incarnation of a replica; all counts are totals since the window began."""
 
-    __slots__ = ("granted", "left", "life", "replica", "reserved", "returned", "spent", "tenant", "window")
+    __slots__ = (
+        "granted",
+        "incarnation",
+        "remaining",
+        "replica",
+        "reserved",
+        "returned",
+        "spent",
+        "tenant",
+        "window",
+    )
 
-    def __init__(self, replica: str, life: str, tenant: str) -> None:
-        self.replica, self.life, self.tenant = replica, life, tenant
+    def __init__(self, replica: str, incarnation: str, tenant: str) -> None:
+        self.replica, self.incarnation, self.tenant = replica, incarnation, tenant
         self.window = 0
         self.granted = self.returned = self.spent = self.reserved = 0
-        self.left = 0  # that the ledger had when it last answered
+        self.remaining = 0  # tokens that the ledger had left when it last answered
 
-    def free(self) -> int:
-        """What a request may reserve now."""
+    def available(self) -> int:
+        """Returns the number of tokens that a request can reserve now."""
         return self.granted - self.returned - self.spent - self.reserved
 
     def reserve(self, tokens: int) -> bool:
-        """Put aside the most that a request may use; False where that has to be asked for first."""
-        if tokens > self.free():
+        """Reserves the maximum that a request may use; returns False if more must be requested first."""
+        if tokens > self.available():
             return False
         self.reserved += tokens
         return True
 
     def settle(self, reserved: int, used: int, window: int) -> None:
-        """A request has ended; what it did not use is free again. One of an earlier window was paid there."""
+        """Releases a request's reservation and records the tokens it used.
+
+        A reservation from an earlier window was charged to that window and is ignored.
+        """
         if window == self.window:
             self.reserved -= reserved
             self.spent += min(used, reserved)
 
-    def ask(self, need: int, more: int = 0) -> Ask:
-        """Ask for so many tokens, and so many more if there is plenty."""
-        return Ask(
+    def request_tokens(self, needed: int, extra: int = 0) -> TokenRequest:
+        """Builds a request for `needed` tokens, and for `extra` ones if the ledger has a surplus."""
+        return TokenRequest(
             self.replica,
-            self.life,
+            self.incarnation,
             self.tenant,
             self.window,
             self.granted,
             self.returned,
             self.spent,
-            need,
-            more,
+            needed,
+            extra,
         )
 
-    def take(self, grant: Grant) -> None:
-        """The ledger's word; that of a later window begins it here."""
-        if grant.life != self.life or grant.window < self.window:
+    def apply_grant(self, grant: Grant) -> None:
+        """Applies the ledger's answer; an answer for a later window starts that window here."""
+        if grant.incarnation != self.incarnation or grant.window < self.window:
             return
         if grant.window > self.window:
             self.window = grant.window
             self.granted = self.returned = self.spent = self.reserved = 0
         self.granted = max(self.granted, grant.granted)
-        self.left = grant.left
+        self.remaining = grant.remaining
 
-    def recalled(self, recall: Recall) -> Ask | None:
-        """Give back what no request has reserved; None for another window."""
+    def handle_recall(self, recall: Recall) -> TokenRequest | None:
+        """Returns all unreserved tokens to the ledger; returns None if the recall is for another window."""
         if recall.window != self.window:
             return None
-        self.returned += self.free()
-        return self.ask(0)
+        self.returned += self.available()
+        return self.request_tokens(0)
--- a/tests/test_soak_bodies.py
+++ b/tests/test_soak_bodies.py
@@ -13,7 +13,7 @@
 from mastturn.soak.faults import Fault
 from mastturn.soak.records import Altered, Arrival, Ask, End, EndKind, Kind, Records, Style
 from mastturn.soak.upstream import Handles, Upstream
-from mastturn.soak.wire import BadRequestError, Reader, Got, read_body, read_head
+from mastturn.soak.wire import BadRequestError, Got, Reader, read_body, read_head
 from mastturn.standins.ports import free_port
 from tests.loopback import run
 
