--- a/passpost/upstream_connection.py
+++ b/passpost/upstream_connection.py
@@ -330,12 +330,12 @@
         self._on_connection_end(kind)
         return False
 
-    def _on_liveness_result(self, is_alive: bool) -> None:
+    def _on_liveness_result(self, lives: bool) -> None:
         """Whether the upstream that closed in order is alive; a reset may have arrived meanwhile."""
         if self._attempt is None or self._transport is None:
             return
         kind = connection_end(self._transport.get_extra_info("socket"))
-        self._on_connection_end(kind if is_alive or kind is EndKind.RESET else EndKind.GONE)
+        self._on_connection_end(kind if lives or kind is EndKind.RESET else EndKind.GONE)
 
     def _on_connection_end(self, kind: EndKind) -> None:
         """The connection has ended in this way, which completes the response or cuts it."""
