--- a/consensus/primary.py
+++ b/consensus/primary.py
@@ -158,7 +158,7 @@
     # ---- commands
 
     def submit(self, command: Command, now: float) -> None:
-        """Queues a command; it is answered with a `Reply`, or dropped when the term ends."""
+        """Queues a command; it is answered with a `Reply` unless the term ends first."""
         self._queue.append(command)
         self._process_queue(now)
 
--- a/consensus/replica.py
+++ b/consensus/replica.py
@@ -91,7 +91,7 @@
         return self._discovery.seeds
 
     def on_disk_health(self, is_healthy: bool) -> None:
-        """The disk refuses writes, or accepts them again after the whole state has been written to it."""
+        """Records that the disk refuses writes, or accepts them again after a rewrite of the whole state."""
         self.acceptor.is_disk_failed = not is_healthy
 
     def submit(self, command: Command, now: float) -> None:
@@ -198,7 +198,7 @@
 
     def tick(self, now: float) -> None:
         """Handles the passage of time; called every few tens of milliseconds."""
-        # This process was stalled: heartbeats may be waiting in its sockets.
+        # After a stall of this process, heartbeats may be waiting in its sockets.
         if now - self._ticked_at > self._spec.heartbeat_ms:
             self.acceptor.extend_leader_timeout(now, self._spec.leader_timeout_ms / 2)
         self._ticked_at = now
@@ -216,9 +216,8 @@
             self.candidate.campaign = None
             self.acceptor.release_slot()
         if self.primary is None:
-            if (
-                not self._departure.is_begun or self.durable_state.slot() is not None
-            ):  # A process that is shutting down asks for no slot.
+            # A process that is shutting down asks for no slot.
+            if not self._departure.is_begun or self.durable_state.slot() is not None:
                 self._discovery.tick(now)
             self._succession.tick(self.durable_state.promised, now)
             self._departure.tick(self.leader(), now)
