--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -34,7 +34,7 @@
     when_set,
     whole,
 )
-from tests.loopback import Got, Writer, run, until
+from tests.loopback import ReceivedRequest, Writer, run, until
 
 PROMPT = "Mastturn-Token-Count: 1460,80\r\nMastturn-Prompt-Prefix: 5c1e07a2:800,e4402b7d:660\r\n"
 BALANCER_HEADERS = ("mastturn-stage", "kv-from", "mastturn-target-upstream", "last-event-id", "priority")
@@ -44,7 +44,7 @@
     return [int(line[4:]) for line in reply.body.decode().split("\n") if line.startswith("id: ")]
 
 
-def balancer_headers(got: Got) -> dict[str, str]:
+def balancer_headers(got: ReceivedRequest) -> dict[str, str]:
     return {name: got.headers[name] for name in BALANCER_HEADERS if name in got.headers}
 
 
@@ -97,7 +97,7 @@
         async with running_balancer(u) as harness:
             assert (await harness.ask()).body == b"ok"
             (connection,) = harness.balancer.upstreams._upstreams["u"].idle
-            assert connection.kept == pytest.approx(4.3)
+            assert connection.idle_limit_s == pytest.approx(4.3)
 
     run(test())
 
@@ -127,7 +127,7 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def slow(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+        async def slow(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(stream_head(got))
             text = event(1) + event(2)
             writer.write(chunk(text[:9]))  # a partial event is not forwarded
@@ -311,10 +311,10 @@
     """Without another answer the request ends at its deadline, as one that may have run."""
 
     async def test() -> None:
-        async def stray(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+        async def stray(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(head(got, "Content-Length: 2\r\n\r\nno").replace("-Id: r1", "-Id: r0").encode())
 
-        async def stray_stream(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+        async def stray_stream(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(stream_head(got).replace(b"-Id: r1", b"-Id: r0") + chunk(event(1)) + b"0\r\n\r\n")
 
         for handler in (stray, stray_stream):
@@ -329,7 +329,7 @@
 
 def test_a_success_without_seal_is_none() -> None:
     async def test() -> None:
-        async def unsealed(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+        async def unsealed(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
             extra = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
             writer.write(head(got, extra, sealed=False).encode() + chunk(event(1)) + b"0\r\n\r\n")
 
@@ -357,7 +357,7 @@
     """Two upstreams: whichever is called first uses `handler`, and the other continues with `then`."""
     handlers = [handler]
 
-    async def first(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def first(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         await (handlers.pop() if handlers else then)(upstream, got, writer)
 
     return FakeUpstream("x", phase, first), FakeUpstream("y", phase, first)
@@ -452,7 +452,7 @@
 
 def test_a_handle_that_can_not_be_had_is_done_without_and_freed() -> None:
     async def test() -> None:
-        async def lost(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+        async def lost(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
             await (reject if "kv-from" in got.headers else decode)(upstream, got, writer)
 
         p, x, y = (
@@ -588,7 +588,7 @@
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(options, "ACCEPT_AFTER_STOP_S", 0.1)
     monkeypatch.setattr(options, "DRAIN_STEP_S", 0.005)
-    monkeypatch.setattr(server, "LAST_LOOK_S", 0.02)
+    monkeypatch.setattr(server, "FINAL_READ_S", 0.02)
 
 
 def test_readiness_follows_the_control_side() -> None:
@@ -608,7 +608,7 @@
     async def test() -> None:
         gate = asyncio.Event()
 
-        async def half(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+        async def half(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
             writer.write(stream_head(got) + chunk(event(1)))
             await gate.wait()
             writer.write(chunk(event(2)) + b"0\r\n\r\n")
--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -8,7 +8,7 @@
 
 from balancer.balancer import end_margin
 from balancer.upstream_call import ANSWER_GRACE_S
-from passpost.request_reader import HEAD_AT_ONCE
+from passpost.request_reader import HEAD_PARSE_BYTES
 from tests.balancer_stage import (
     HOST,
     PATH,
@@ -21,7 +21,7 @@
     running_balancer,
     stream_head,
 )
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 READ_S = 0.1  # time within which a request that was sent is read
 SLACK_S = 0.15  # for scheduling on the test machine
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("resumable", [False, True])
 def test_a_stream_that_falls_silent_is_broken_off_at_its_deadline(resumable: bool) -> None:
-    async def silent_after_one(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def silent_after_one(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         writer.write(stream_head(got) + chunk(event(1)))
         await asyncio.sleep(30)
 
@@ -47,7 +47,7 @@
 def test_time_counts_for_a_request_that_waits_behind_others_of_its_connection() -> None:
     """Two pipelined requests are read; the third stays unparsed until the first has its answer."""
 
-    async def silent(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def silent(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
@@ -59,8 +59,8 @@
             begun = loop.time()
             for number in range(3):
                 lines = f"Host: {HOST}\r\nMastturn-Request-Id: r{number}\r\nMastturn-Deadline-Ms: 600\r\n"
-                head = f"POST {PATH} HTTP/1.1\r\n{lines}Content-Length: {2 * HEAD_AT_ONCE}\r\n\r\n"
-                writer.write(head.encode() + bytes(2 * HEAD_AT_ONCE))
+                head = f"POST {PATH} HTTP/1.1\r\n{lines}Content-Length: {2 * HEAD_PARSE_BYTES}\r\n\r\n"
+                writer.write(head.encode() + bytes(2 * HEAD_PARSE_BYTES))
             replies = [await read_reply(reader) for _ in range(3)]
             assert [reply.status for reply in replies] == [504, 504, 504]
             assert loop.time() - begun < 0.6 + ANSWER_GRACE_S + SLACK_S
@@ -77,7 +77,7 @@
     this test).
     """
 
-    async def silent(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def silent(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
@@ -104,7 +104,7 @@
 def test_a_stop_leaves_time_to_end_though_an_upstream_is_silent(after_s: float) -> None:
     """The wait for an upstream's own answer beyond the deadline must not use up the time to exit."""
 
-    async def silent(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def silent(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         await asyncio.sleep(30)
 
     async def test() -> None:
@@ -126,7 +126,7 @@
 
 
 def test_a_stream_that_is_still_coming_at_its_deadline_is_broken_off() -> None:
-    async def without_end(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def without_end(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         writer.write(stream_head(got))
         for number in range(1, 1_000):
             writer.write(chunk(event(number)))
