--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -175,12 +175,12 @@
         for cuts in itertools.product(*(write.cuts() for write in self.writes())):
             yield self.after_loss(cuts)
 
-    def random_loss(self, chance: random.Random) -> Disk:
+    def random_loss(self, rng: random.Random) -> Disk:
         """Returns a random disk that a loss of power may leave now; sometimes all pending writes are lost."""
         writes = self.writes()
-        if chance.random() < 0.2:
+        if rng.random() < 0.2:
             return self.after_loss([NOTHING] * len(writes))
-        return self.after_loss([chance.choice(write.cuts()) for write in writes])
+        return self.after_loss([rng.choice(write.cuts()) for write in writes])
 
     def after_kill(self) -> Disk:
         """Returns the disk as the next process finds it while the machine stays powered."""
@@ -427,9 +427,9 @@
 
 
 def test_a_record_behind_a_torn_one_doesn_t_come_back_behind_the_same_record() -> None:
-    whole = run_until(None, [(b"one", b"two", b"three")]).disk.visible["log.0"]
-    at = whole.index(b"two")
-    torn = whole[:at] + b"???" + whole[at + 3 :]
+    intact = run_until(None, [(b"one", b"two", b"three")]).disk.visible["log.0"]
+    at = intact.index(b"two")
+    torn = intact[:at] + b"???" + intact[at + 3 :]
     run = Run(Disk({"log.0": torn}, {"log.0": torn}), [(None, (b"one",))])
     run.load()
     run.do((b"two",))
@@ -524,21 +524,21 @@
 @pytest.mark.parametrize("seed", range(400))
 def test_luck(seed: int) -> None:
     """Long random runs of kills, losses of power, failures and full disks together."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     run = Run(Disk())
     loaded = False
     for number in range(60):
         disk = run.disk
-        draw = chance.random()
-        failing = chance.random() < 0.3
-        kinds = chance.choice(KINDS)
-        disk.failing = fail_kinds(kinds, disk.calls + chance.randrange(6)) if failing else never
-        disk.torn_on_failure = chance.choice([NOTHING, HEAD, ALL])
-        disk.failed_sync = chance.choice([STAYS, LANDS])
-        disk.stop_at = disk.calls + chance.randrange(8) if draw < 0.4 else None
+        draw = rng.random()
+        failing = rng.random() < 0.3
+        kinds = rng.choice(KINDS)
+        disk.failing = fail_kinds(kinds, disk.calls + rng.randrange(6)) if failing else never
+        disk.torn_on_failure = rng.choice([NOTHING, HEAD, ALL])
+        disk.failed_sync = rng.choice([STAYS, LANDS])
+        disk.stop_at = disk.calls + rng.randrange(8) if draw < 0.4 else None
         word = b"same" if seed % 2 else b"%d" % number
-        records = tuple(word * chance.randrange(3) for _ in range(chance.randint(1, 3)))
-        step: Step = records if chance.random() < 0.7 else b"state %d " % number * chance.randrange(9)
+        records = tuple(word * rng.randrange(3) for _ in range(rng.randint(1, 3)))
+        step: Step = records if rng.random() < 0.7 else b"state %d " % number * rng.randrange(9)
         try:
             if not loaded:
                 loaded = run.load() is not None
@@ -546,7 +546,7 @@
         except DiskError:
             continue
         except ProcessEnded:
-            left = disk.after_kill() if chance.random() < 0.4 else disk.random_loss(chance)
+            left = disk.after_kill() if rng.random() < 0.4 else disk.random_loss(rng)
             run, loaded = Run(left, [run.kept, *run.possible]), False
     check_recovers(run.disk.after_kill(), run.possible)
 
@@ -587,11 +587,11 @@
 
 
 def test_a_first_slot_torn_before_its_checkpoint_returned_is_an_empty_disk() -> None:
-    whole = run_until(None, [b"one"]).disk.visible["slot.1"]
-    for length in range(len(whole)):
-        loaded = Store.open(FOLDER, Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]})).load()
+    intact = run_until(None, [b"one"]).disk.visible["slot.1"]
+    for length in range(len(intact)):
+        loaded = Store.open(FOLDER, Disk({"slot.1": intact[:length]}, {"slot.1": intact[:length]})).load()
         assert loaded.is_fresh
-        check_recovers(Disk({"slot.1": whole[:length]}, {"slot.1": whole[:length]}), [EMPTY])
+        check_recovers(Disk({"slot.1": intact[:length]}, {"slot.1": intact[:length]}), [EMPTY])
 
 
 def test_records_before_a_first_slot_that_is_torn_are_kept() -> None:
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -207,9 +207,9 @@
     net.run(600)
     here = [m.ip for m in net.machines[:2]]
     net.cut = {frozenset((a, b.ip)) for a in here for b in net.machines[2:]}
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for number in range(60 * 41):
-        net.add(chance.randrange(5), f"{number:016x}")
+        net.add(rng.randrange(5), f"{number:016x}")
         net.run(1000 / 41)
     apart = net.totals()
     assert max(apart) < 60 * 41
--- a/tests/test_tallies_defects.py
+++ b/tests/test_tallies_defects.py
@@ -22,15 +22,15 @@
 
 def rough_day() -> None:
     """Adds repeated at other machines, a partition, lost messages, and a disk lost at a critical moment."""
-    net, chance = Net(3, copies=2, seed=5), random.Random(5)
+    net, rng = Net(3, copies=2, seed=5), random.Random(5)
     net.run(600)
     sent = set[str]()
 
     def adds(count: int) -> None:
         for _ in range(count):
-            id_ = f"id{chance.randrange(IDS)}"
+            id_ = f"id{rng.randrange(IDS)}"
             sent.add(id_)
-            net.add(chance.randrange(3), id_)
+            net.add(rng.randrange(3), id_)
             net.run(25)
             assert max(net.totals()) <= len(sent), "a sum exceeds the number of distinct adds"
 
@@ -102,22 +102,22 @@
 
 
 def acknowledges_by_itself(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(TallyReplica, "_is_safe", lambda self, waiting, now: waiting.record <= self._synced)
+    patch.setattr(TallyReplica, "_is_safe", lambda self, pending, now: pending.record <= self._synced)
 
 
 def acknowledges_before_the_others_have_synced(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(TallyReplica, "_is_safe", lambda self, waiting, now: True)
+    patch.setattr(TallyReplica, "_is_safe", lambda self, pending, now: True)
 
 
 def compares_nothing(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(TallyReplica, "_on_summary", lambda self, ip, peer, told, now: None)
+    patch.setattr(TallyReplica, "_on_summary", lambda self, ip, peer, summary, now: None)
 
 
 def takes_no_span_in(patch: pytest.MonkeyPatch) -> None:
     real = TallyReplica._exchange
 
-    def exchange(self: TallyReplica, ip: str, told: RangeAdds, now: float) -> None:
-        real(self, ip, RangeAdds(told.level, told.index, (), told.answer), now)
+    def exchange(self: TallyReplica, ip: str, message: RangeAdds, now: float) -> None:
+        real(self, ip, RangeAdds(message.level, message.index, (), message.answer), now)
 
     patch.setattr(TallyReplica, "_exchange", exchange)
 
--- a/tests/test_tallies_search.py
+++ b/tests/test_tallies_search.py
@@ -31,19 +31,17 @@
     memory: tuple[int, ...] = (0, 0, 0)
     disk: tuple[int, ...] = (0, 0, 0)
     up: tuple[bool, ...] = (True, True, True)
-    missing: tuple[int, ...] = (
-        0,
-        0,
-        0,
-    )  # Bit mask of machines to compare with before this one answers.
+    # Bit mask of machines to compare with before this one answers.
+    to_compare: tuple[int, ...] = (0, 0, 0)
     pushes: frozenset[tuple[int, int, int]] = frozenset()  # From, to, id: in transit.
-    owes: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: received, to be confirmed once synced.
-    keeps: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: confirmations in transit.
-    kept: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: received confirmations.
-    open: frozenset[tuple[int, int]] = frozenset()  # Machine, id: not acknowledged yet.
-    safe: int = 0  # Acknowledged with a copy elsewhere.
-    alone: tuple[int, ...] = (0, 0, 0)  # Acknowledged while no other machine was reachable.
-    own: tuple[int, ...] = (0, 0, 0)  # Acknowledged since the last start.
+    # By, to, id: received, to be confirmed once synced.
+    due_acks: frozenset[tuple[int, int, int]] = frozenset()
+    acks_in_flight: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: confirmations in transit.
+    received_acks: frozenset[tuple[int, int, int]] = frozenset()  # By, to, id: received confirmations.
+    unacknowledged: frozenset[tuple[int, int]] = frozenset()  # Machine, id: not acknowledged yet.
+    acked_safely: int = 0  # Acknowledged with a copy elsewhere.
+    acked_isolated: tuple[int, ...] = (0, 0, 0)  # Acknowledged while no other machine was reachable.
+    acked_since_start: tuple[int, ...] = (0, 0, 0)  # Acknowledged since the last start.
     # The two machines that cannot reach each other; cutting one pair is enough.
     cut: tuple[int, int] | None = None
     adds: int = 3
@@ -80,51 +78,70 @@
         # All machines are alike.
         machines = MACHINES if s.memory != (0, 0, 0) or s.adds < ADDS else MACHINES[:1]
         for m in machines if s.adds else ():
-            if s.up[m] and not s.missing[m]:
+            if s.up[m] and not s.to_compare[m]:
                 for id_ in IDS:
                     pushes = {(m, n, id_) for n in MACHINES if n != m}
                     memory = put(s.memory, m, s.memory[m] | id_)
                     yield replace(
-                        s, adds=s.adds - 1, memory=memory, pushes=s.pushes | pushes, open=s.open | {(m, id_)}
+                        s,
+                        adds=s.adds - 1,
+                        memory=memory,
+                        pushes=s.pushes | pushes,
+                        unacknowledged=s.unacknowledged | {(m, id_)},
                     )
 
     def _deliver_messages(self, s: State) -> Iterator[State]:
         for push in s.pushes:
             by, to, id_ = push
             if self.reach(s, by, to):
-                owes = s.owes | {(to, by, id_)}
+                due_acks = s.due_acks | {(to, by, id_)}
                 yield replace(
-                    s, pushes=s.pushes - {push}, memory=put(s.memory, to, s.memory[to] | id_), owes=owes
+                    s,
+                    pushes=s.pushes - {push},
+                    memory=put(s.memory, to, s.memory[to] | id_),
+                    due_acks=due_acks,
                 )
         for m in MACHINES:
-            if (s.up[m] and s.disk[m] != s.memory[m]) or any(o[0] == m for o in s.owes):
-                due = frozenset(o for o in s.owes if o[0] == m)
+            if (s.up[m] and s.disk[m] != s.memory[m]) or any(o[0] == m for o in s.due_acks):
+                due = frozenset(o for o in s.due_acks if o[0] == m)
                 disk = put(s.disk, m, s.memory[m]) if self.syncs else s.disk
-                yield replace(s, disk=disk, owes=s.owes - due, keeps=s.keeps | due)
-        for keep in s.keeps:
-            if self.reach(s, keep[0], keep[1]):
-                yield replace(s, keeps=s.keeps - {keep}, kept=s.kept | {keep})
+                yield replace(s, disk=disk, due_acks=s.due_acks - due, acks_in_flight=s.acks_in_flight | due)
+        for ack in s.acks_in_flight:
+            if self.reach(s, ack[0], ack[1]):
+                yield replace(
+                    s, acks_in_flight=s.acks_in_flight - {ack}, received_acks=s.received_acks | {ack}
+                )
 
     def _acknowledge(self, s: State) -> Iterator[State]:
-        for m, id_ in s.open:
+        for m, id_ in s.unacknowledged:
             if self.syncs and not s.disk[m] & id_:
                 continue
-            copies = 1 + sum((n, m, id_) in s.kept for n in MACHINES)
+            copies = 1 + sum((n, m, id_) in s.received_acks for n in MACHINES)
             is_isolated = not any(self.reach(s, m, n) for n in MACHINES if n != m)
-            own = put(s.own, m, s.own[m] | id_)
+            acked_since_start = put(s.acked_since_start, m, s.acked_since_start[m] | id_)
             if copies >= self.copies:
-                yield replace(s, open=s.open - {(m, id_)}, safe=s.safe | id_, own=own)
+                yield replace(
+                    s,
+                    unacknowledged=s.unacknowledged - {(m, id_)},
+                    acked_safely=s.acked_safely | id_,
+                    acked_since_start=acked_since_start,
+                )
             elif is_isolated:
-                yield replace(s, open=s.open - {(m, id_)}, alone=put(s.alone, m, s.alone[m] | id_), own=own)
+                yield replace(
+                    s,
+                    unacknowledged=s.unacknowledged - {(m, id_)},
+                    acked_isolated=put(s.acked_isolated, m, s.acked_isolated[m] | id_),
+                    acked_since_start=acked_since_start,
+                )
 
     def _compare(self, s: State) -> Iterator[State]:
         for one, other in PAIRS:
             if self.reach(s, one, other):
                 both = s.memory[one] | s.memory[other]
                 memory = put(put(s.memory, one, both), other, both)
-                missing = put(s.missing, one, s.missing[one] & ~(1 << other))
-                missing = put(missing, other, missing[other] & ~(1 << one))
-                yield replace(s, memory=memory, missing=missing)
+                to_compare = put(s.to_compare, one, s.to_compare[one] & ~(1 << other))
+                to_compare = put(to_compare, other, to_compare[other] & ~(1 << one))
+                yield replace(s, memory=memory, to_compare=to_compare)
 
     def _inject_faults(self, s: State) -> Iterator[State]:
         if s.cut is not None:
@@ -135,40 +152,50 @@
             if s.up[m] and s.crashes:
                 yield self._stop(replace(s, crashes=s.crashes - 1), m)
             if s.up[m] and s.wipes:
-                lost = replace(s, wipes=s.wipes - 1, disk=put(s.disk, m, 0), alone=put(s.alone, m, 0))
+                lost = replace(
+                    s, wipes=s.wipes - 1, disk=put(s.disk, m, 0), acked_isolated=put(s.acked_isolated, m, 0)
+                )
                 yield self._stop(lost, m)
             if not s.up[m]:
                 others = sum(1 << n for n in MACHINES if n != m) if self.waits else 0
                 up = (*s.up[:m], True, *s.up[m + 1 :])
-                yield replace(s, up=up, memory=put(s.memory, m, s.disk[m]), missing=put(s.missing, m, others))
+                yield replace(
+                    s, up=up, memory=put(s.memory, m, s.disk[m]), to_compare=put(s.to_compare, m, others)
+                )
 
     def _stop(self, s: State, m: int) -> State:
         gone = {
             name: frozenset(item for item in getattr(s, name) if item[at] != m)
-            for name, at in (("owes", 0), ("kept", 1), ("open", 0))
+            for name, at in (("due_acks", 0), ("received_acks", 1), ("unacknowledged", 0))
         }
         up = (*s.up[:m], False, *s.up[m + 1 :])
-        return replace(s, up=up, memory=put(s.memory, m, 0), own=put(s.own, m, 0), **gone)  # type: ignore[arg-type]
+        return replace(
+            s,
+            up=up,
+            memory=put(s.memory, m, 0),
+            acked_since_start=put(s.acked_since_start, m, 0),
+            **gone,  # type: ignore[arg-type]
+        )
 
 
 def broken(s: State) -> str:
     """Returns which guarantee a state breaks, or an empty string."""
     held = s.disk[0] | s.disk[1] | s.disk[2]
-    if s.safe & ~held:
+    if s.acked_safely & ~held:
         return "acknowledged with a copy, but on no disk"
     for m in MACHINES:
-        if s.alone[m] & ~held:
+        if s.acked_isolated[m] & ~held:
             return "acknowledged while isolated, but on no disk although its own was not lost"
-        if s.up[m] and not s.missing[m] and s.own[m] & ~s.memory[m]:
+        if s.up[m] and not s.to_compare[m] and s.acked_since_start[m] & ~s.memory[m]:
             return "a machine lacks an add that it acknowledged since its start"
-        if s.up[m] and not s.missing[m] and s.safe & ~s.memory[m] and _is_converged(s):
+        if s.up[m] and not s.to_compare[m] and s.acked_safely & ~s.memory[m] and _is_converged(s):
             return "all are compared, but a machine that answers lacks an acknowledged add"
     return ""
 
 
 def _is_converged(s: State) -> bool:
     """Whether all machines are up and have the same adds."""
-    return all(s.up) and s.cut is None and not any(s.missing) and len(set(s.memory)) == 1
+    return all(s.up) and s.cut is None and not any(s.to_compare) and len(set(s.memory)) == 1
 
 
 def search(model: Model, adds: int, most: int) -> tuple[int, str]:
