--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -29,7 +29,7 @@
 from balancer.wire import free_handle
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
-from dissemination.doubts import Doubts
+from dissemination.doubts import FailureCounts
 from passpost.attempt import Outgoing
 from passpost.client_options import ClientOptions
 from passpost.http1 import Headers
@@ -202,15 +202,15 @@
         """`changed` is called whenever `loads` would tell something new."""
         self.load_changed = changed
 
-    def tell_doubts(self, changed: Callable[[], None]) -> None:
+    def on_failures_changed(self, changed: Callable[[], None]) -> None:
         """`changed` is called whenever `doubts` would tell something new."""
         self.standing.changed = changed
 
-    def doubts(self) -> Doubts:
+    def failure_counts(self) -> FailureCounts:
         """Failures that our calls saw, by upstream and our zone, each as of one balancer."""
         return self.tiers.trust.seen(time.monotonic())
 
-    def heed_doubts(self, told: Doubts) -> None:
+    def apply_failure_counts(self, told: FailureCounts) -> None:
         """What all balancers together hold against upstreams, ourselves among them."""
         self.tiers.trust.heed(told, self.tiers.peer, time.monotonic())
 
--- a/balancer/trust.py
+++ b/balancer/trust.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from balancer.peer import Peer
-from dissemination.doubts import Doubts
+from dissemination.doubts import FailureCounts
 from passpost.http1 import Answer
 from umberworks.interface import Outcome
 
@@ -89,12 +89,12 @@
         self._look_at = min(self._look_at, now + WINDOW_S)
         self._judge(now)
 
-    def seen(self, now: float) -> Doubts:
+    def seen(self, now: float) -> FailureCounts:
         """What we hold against upstreams ourselves, for a report."""
         self._forget_old(now)
         return {(name, self._zone): (1, sum(n for _, n in kept)) for name, kept in self._own.items()}
 
-    def heed(self, told: Doubts, part_of: Callable[[str], Peer | None], now: float) -> None:
+    def heed(self, told: FailureCounts, part_of: Callable[[str], Peer | None], now: float) -> None:
         """What all balancers together hold against them; `part_of` finds an upstream of the list."""
         self._told = {}
         for (name, zone), doubt in told.items():
--- a/consensus/codec.py
+++ b/consensus/codec.py
@@ -7,9 +7,9 @@
 
 from consensus.messages import DOCUMENT, VIEW
 from consensus.views import Document, Member, Memory, Taken, View
-from transport.wire import FrameReader, Kinds
+from transport.wire import FrameReader, MessageKinds
 
-RECORDS = Kinds()
+RECORDS = MessageKinds()
 
 
 def member_of(raw: Any) -> Member:
--- a/consensus/messages.py
+++ b/consensus/messages.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from transport.wire import Kinds
+from transport.wire import MessageKinds
 
-KINDS = Kinds()
+KINDS = MessageKinds()
 
 MEMBER: dict[str, Any] = {
     "type": "record",
--- a/control/news_relay.py
+++ b/control/news_relay.py
@@ -13,9 +13,9 @@
 
 from loguru import logger
 
-from dissemination.bulletin import Bulletin
+from dissemination.bulletin import LatestUpdates
 from dissemination.feed import Feed
-from dissemination.follower import ROLL_S, STALE_S
+from dissemination.follower import ROLL_S, STALE_AFTER_S
 from dissemination.holdings import Holdings
 from dissemination.messages import (
     Attach,
@@ -65,14 +65,14 @@
         identity: str,
         links: Links,
         control_port: int,
-        bulletin: Bulletin,
+        latest: LatestUpdates,
         feed: Feed,
         holdings: Holdings,
         attached: Callable[[], None],
     ) -> None:
         """`attached`: the leader is to be told now what the balancers below us report."""
         self._identity, self._links, self._control_port = identity, links, control_port
-        self._bulletin, self._feed, self._holdings = bulletin, feed, holdings
+        self._latest, self._feed, self._holdings = latest, feed, holdings
         self._attached = attached
         self._referrals = Referrals()
         self._leader_ip = ""
@@ -106,13 +106,13 @@
                 self.stop()
             case HoldingNews(holdings):
                 if new := self._holdings.add(holdings):
-                    self._feed.tell(HoldingNews(new))
+                    self._feed.broadcast(HoldingNews(new))
             case UpstreamNews():
-                if self._bulletin.take(message):
-                    self._feed.tell_list(message, None)
+                if self._latest.store(message):
+                    self._feed.broadcast_list(message, None)
             case ConfigurationNews() | MemberNews() | LoadNews() | DoubtNews() | Pulse():
-                if self._bulletin.take(message):
-                    self._feed.tell(message)
+                if self._latest.store(message):
+                    self._feed.broadcast(message)
                     if isinstance(message, Pulse):
                         self._pulsed_at = asyncio.get_running_loop().time()
             case _:
@@ -132,7 +132,7 @@
         if self._link is None:
             return
         now = asyncio.get_running_loop().time()
-        self._feed.sweep(now, SILENT_S)
+        self._feed.drop_silent(now, SILENT_S)
         present = self._present()
         if present:
             self._wanted_at = now
@@ -158,19 +158,19 @@
 
     def _is_fresh(self, leader_ip: str, now: float) -> bool:
         is_its = self._link is not None and leader_ip == self._leader_ip
-        return is_its and now - self._pulsed_at <= STALE_S
+        return is_its and now - self._pulsed_at <= STALE_AFTER_S
 
     def _attach(self, leader_ip: str, now: float) -> None:
         """Ask the leader for its news, by the connection on which it was heard last."""
-        link = self._links.to(Endpoint(leader_ip, self._control_port))
-        is_asked = link is self._link and now - self._attached_at <= STALE_S
+        link = self._links.find(Endpoint(leader_ip, self._control_port))
+        is_asked = link is self._link and now - self._attached_at <= STALE_AFTER_S
         if link is None or is_asked:
             return
         self.stop()
         logger.info("event=news_relay_begun leader={}", leader_ip)
         self._link, self._leader_ip = link, leader_ip
         self._attached_at = self._referred_at = now
-        known, listed = self._bulletin.configuration, self._bulletin.upstreams
+        known, listed = self._latest.configuration, self._latest.upstreams
         present = self._present()
         self._rolled = present, now
         link.send(
@@ -187,9 +187,9 @@
     def _refer_all(self, now: float) -> None:
         """The way to the leader may be free again: whoever does not reach it comes back."""
         self._referred_at = now
-        for balancer in self._feed.attached_nodes():
+        for balancer in self._feed.child_nodes():
             self._referrals.add(balancer, self._leader_ip, now)
-        self._feed.dismiss(Moved((self._leader_ip,)))
+        self._feed.redirect_all(Moved((self._leader_ip,)))
 
     def _present(self) -> tuple[Present, ...]:
         present = self._feed.present()
--- a/control/node.py
+++ b/control/node.py
@@ -21,25 +21,25 @@
 from consensus.replica import Replica
 from consensus.spread import Spread
 from consensus.views import Member
-from control.operators import CALLS
+from control.operators import OPERATOR_ROUTES
 from control.publisher import Publisher
-from control.tally_calls import TALLY_CALLS
+from control.tally_calls import TALLY_ROUTES
 from control.tally_keeper import TallyKeeper
 from dissemination import messages as news
 from tallies import messages as tallies
-from transport.calls import Calls, CallServer
+from transport.calls import HttpServer, Routes
 from transport.endpoint import Endpoint
 from transport.links import Links
-from transport.wire import Kinds, Link
+from transport.wire import Link, MessageKinds
 
 TICK_S = 0.03
 PROOF_S = 0.5
 STAY_SHARE = 0.7  # of the time until we are killed: so long we wait until no view rests on us
 FOLLOWED_S = 0.5  # a successor is waited for so long
-KINDS = Kinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
+KINDS = MessageKinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
 
 
-def spec_of(settings: Settings) -> Spec:
+def spec_from_settings(settings: Settings) -> Spec:
     """How many slots and holders there are: what may be lost at once, and one more that has the data.
 
     Where whole zones or regions may be lost, each of them costs one slot at the least.
@@ -64,9 +64,9 @@
         own = Endpoint(settings.ip, settings.control_port)
         self._links = Links(KINDS, own, self._heard, self._ended, callers_share_port=False)
         self._publisher = Publisher(settings, self._links, self._prove, self._outrun)
-        copies, ready_ms = spec_of(settings).holders, settings.bounds.merge_ms
+        copies, ready_ms = spec_from_settings(settings).holders, settings.bounds.merge_ms
         self.tallies = TallyKeeper(settings.data_dir, copies, ready_ms, self.now, self._send)
-        self._calls = CallServer(Calls().include(CALLS).include(TALLY_CALLS), self)
+        self._calls = HttpServer(Routes().include(OPERATOR_ROUTES).include(TALLY_ROUTES), self)
         self._loading: asyncio.Task[None] | None = None  # of the tallies
         self._local: deque[messages.Message] = deque()
         self._tokens, self._owed = 0, dict[int, asyncio.Future[Reply]]()
@@ -82,7 +82,7 @@
         me = Member(memory.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone)
         founder = memory.identity.startswith(FOUNDER)
         self._replica = Replica(
-            me, memory, spec_of(settings), settings.seed_ips, founder, secrets.randbits(32)
+            me, memory, spec_from_settings(settings), settings.seed_ips, founder, secrets.randbits(32)
         )
         self._replica.start(self.now())
         await self._links.start()
@@ -128,7 +128,7 @@
 
     # ---- what operators' calls need
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether we are the primary."""
         return self._replica is not None and self._replica.primary is not None
 
@@ -140,11 +140,11 @@
         leader = replica.heard_leader(self.now())
         return None if leader is None or leader.identity == replica.me.identity else leader
 
-    def parts(self) -> tuple[Replica | None, Publisher, Keeper]:
+    def components(self) -> tuple[Replica | None, Publisher, Keeper]:
         """What a report of this process is read off."""
         return self._replica, self._publisher, self._keeper
 
-    def token(self) -> int:
+    def next_token(self) -> int:
         """A number for a command."""
         self._tokens += 1
         return self._tokens
@@ -169,7 +169,7 @@
         epoch = replica.primary.view.epoch
         try:
             async with asyncio.timeout(PROOF_S):
-                reply = await self.submit(Get(self.token()))
+                reply = await self.submit(Get(self.next_token()))
         except TimeoutError:
             return 0
         still = replica.primary is not None and replica.primary.view.epoch == epoch
--- a/control/phase_controller.py
+++ b/control/phase_controller.py
@@ -13,7 +13,7 @@
 from control.orders import Rejected, Taken, change_phase, is_there
 from control.phases import Order, PhasePlan
 
-LOOK_S = 0.1
+CONTROL_INTERVAL_S = 0.1
 LEASE_SPARE = 1.2  # the holder before us may have ordered something just now: so many leases are waited
 TOLD_S = 0.15  # balancers have heard by then that an upstream moves
 MOVING_S = 8.0  # after so long a move that does not show in the list is given up
@@ -70,7 +70,7 @@
             self._plan.reset()
         self._leads = leads
 
-    def dress(self, entries: list[dict[str, Any]], now: float) -> list[dict[str, Any]]:
+    def mark_moving(self, entries: list[dict[str, Any]], now: float) -> list[dict[str, Any]]:
         """The platform's list as balancers are to see it: what moves plays no part."""
         for entry in entries:
             move = self._moving.get(str(entry.get("id")))
@@ -81,11 +81,11 @@
         self._unclear &= self._moving.keys()
         return [{**e, "phase": MOVING} if str(e.get("id")) in self._moving else e for e in entries]
 
-    def listed(self, page: bytes) -> None:
+    def set_list(self, page: bytes) -> None:
         """The list as it stands."""
         self._entries = parse_upstreams(page)[0]
 
-    def look(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """See whether an order is due; called every tenth of a second while we lead."""
         self._looked_at = now
         if not self._leads or not self._entries:
--- a/control/platform.py
+++ b/control/platform.py
@@ -10,7 +10,7 @@
 
 from config.settings import Address
 from control import cold_times
-from dissemination.lists import page_of
+from dissemination.lists import encode_list
 from passpost.discovery import Line
 
 CALL_S = 1.0  # for one page
@@ -38,13 +38,13 @@
         self._missing: set[str] = set()  # that were on the list before last and not on the last one
         self._last: list[dict[str, Any]] = []
         self._pages: dict[str, tuple[bytes, dict[str, Any]]] = {}  # by call: its last answer, as read
-        self.allow(calls_s)
+        self.set_rate(calls_s)
 
-    def allow(self, calls_s: float) -> None:
+    def set_rate(self, calls_s: float) -> None:
         """So many calls a second from now on."""
         self._most = max(int(calls_s * RATE_S), 1)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """The settings name another address."""
         if address != self._address:
             self._line.hang_up()
@@ -125,4 +125,4 @@
 
 def pack(entries: list[dict[str, Any]]) -> bytes:
     """The list as it goes to the balancers, alike for alike entries."""
-    return page_of([{k: v for k, v in e.items() if v or k != cold_times.FIELD} for e in entries])
+    return encode_list([{k: v for k, v in e.items() if v or k != cold_times.FIELD} for e in entries])
--- a/control/publisher.py
+++ b/control/publisher.py
@@ -11,15 +11,15 @@
 from consensus.views import Document, Member, View
 from control.announcer import Announcer
 from control.news_relay import NewsRelay
-from control.phase_controller import LOOK_S, Outrun, PhaseController, Prove
+from control.phase_controller import CONTROL_INTERVAL_S, Outrun, PhaseController, Prove
 from control.reports import Reports, Stamp
 from control.upstream_reader import UpstreamReader
-from dissemination.bulletin import Bulletin
+from dissemination.bulletin import LatestUpdates
 from dissemination.counting import Presence
 from dissemination.feed import Feed
-from dissemination.follower import PULSE_S
+from dissemination.follower import PULSE_INTERVAL_S
 from dissemination.holdings import Holdings
-from dissemination.lists import change_of
+from dissemination.lists import diff_lists
 from dissemination.messages import (
     Attach,
     ConfigurationNews,
@@ -39,7 +39,7 @@
     UpstreamNews,
 )
 from transport.links import Links
-from transport.tasks import keep_on
+from transport.tasks import run_forever
 from transport.wire import EDITION, Link
 
 SILENT_S = 2.5  # a balancer that says nothing for so long has gone
@@ -57,19 +57,19 @@
         """
         self._outrun = outrun
         self._settings = settings
-        self.bulletin = Bulletin()
-        self._feed = Feed(self.bulletin, links.kinds, lambda: None)
+        self.latest = LatestUpdates()
+        self._feed = Feed(self.latest, links.kinds, lambda: None)
         self._holdings = Holdings()
         self.relay = NewsRelay(
             settings.node,
             links,
             settings.control_port,
-            self.bulletin,
+            self.latest,
             self._feed,
             self._holdings,
-            lambda: self._reports.again(),
+            lambda: self._reports.resend(),
         )
-        self._reports = Reports(self.bulletin, self._feed, self._holdings, self.relay, self._stamp)
+        self._reports = Reports(self.latest, self._feed, self._holdings, self.relay, self._stamp)
         lease_s = settings.bounds.lease_ms / 1000
         self._phase_controller = PhaseController(
             settings.node, lease_s, prove, self._reports.loads, self._list, outrun
@@ -91,7 +91,7 @@
     def start(self) -> None:
         """Begin to beat and to read the list, both while we lead."""
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(keep_on(work)) for work in (self._pulse, self._read, self._move)]
+        self._tasks = [loop.create_task(run_forever(work)) for work in (self._pulse, self._read, self._move)]
 
     def stop(self) -> None:
         """End."""
@@ -103,9 +103,9 @@
         self._settings = settings
         self._upstreams.reconfigure(settings)
 
-    def told(self) -> tuple[tuple[Present, ...], dict[str, tuple[int, int]]]:
+    def reported_state(self) -> tuple[tuple[Present, ...], dict[str, tuple[int, int]]]:
         """For a report: who is present, as is told, and calls and tokens of all by upstream."""
-        members = self.bulletin.members
+        members = self.latest.members
         return tuple(members.balancers) if members is not None else (), self._reports.loads()
 
     def leads_ms(self) -> int | None:
@@ -127,8 +127,8 @@
             self._since = asyncio.get_running_loop().time()
             self._first_epoch = view.epoch
             self.take_overs += 1
-            self.bulletin.forget_loads()
-            self.bulletin.forget_doubts()
+            self.latest.clear_loads()
+            self.latest.clear_failures()
         if view is not None and self._first_epoch <= self._epoch_heard < view.epoch:
             self._first_epoch = view.epoch  # what was told before was not believed, and is told anew
         self._view = view
@@ -142,7 +142,7 @@
             self._tell(MemberNews(view.epoch, self._next(), self._members(), self._cores(view)))
             self._tell_pulse(view)  # before what only the fresh keep
             self._hear_waiting()
-            self._reports.again()
+            self._reports.resend()
             self._look_at_epochs(view)
 
     def committed(self, document: Document) -> None:
@@ -156,7 +156,7 @@
             return
         self.relay.look(leader.ip)
         if self._feed.present() and not self.relay.is_running():
-            self._feed.dismiss(Moved((leader.ip,)))
+            self._feed.redirect_all(Moved((leader.ip,)))
         self._hear_waiting()
 
     def _hear_waiting(self) -> None:
@@ -182,9 +182,9 @@
             case Roll(present=()):
                 self._forget(link)
             case Roll():
-                self._feed.roll(link, message)
+                self._feed.on_roll(link, message)
             case Speaks():
-                self._feed.speaks(link, message)
+                self._feed.on_hello(link, message)
                 link.send(Speaks(EDITION, b""))
             case EpochHeard(epoch):
                 self.relay.report(message)
@@ -225,8 +225,8 @@
 
     def _forget(self, link: Link) -> None:
         """Whoever speaks by this connection hears the news from us no longer."""
-        self._feed.ended(link)
-        self._reports.forget(link)
+        self._feed.on_closed(link)
+        self._reports.remove_child(link)
 
     def _next(self) -> int:
         self._number += 1
@@ -242,12 +242,12 @@
         return self._presence.members(self._feed.present(), asyncio.get_running_loop().time())
 
     def _tell(self, message: Any) -> None:
-        if self.bulletin.take(message):
-            self._feed.tell(message)
+        if self.latest.store(message):
+            self._feed.broadcast(message)
 
     def _tell_members(self, view: View) -> None:
         """Tell who is there if that has changed; all changes since the last time together."""
-        known, present = self.bulletin.members, self._members()
+        known, present = self.latest.members, self._members()
         if known is None or tuple(known.balancers) != present:
             self._tell(MemberNews(view.epoch, self._next(), present, self._cores(view)))
 
@@ -265,22 +265,22 @@
             view = self._view
             if view is not None:
                 self._announcer.look(view, self._settings, asyncio.get_running_loop().time())
-                self._feed.sweep(asyncio.get_running_loop().time(), SILENT_S)
+                self._feed.drop_silent(asyncio.get_running_loop().time(), SILENT_S)
                 self._tell_members(view)
                 self._tell_pulse(view)
-            await asyncio.sleep(PULSE_S)
+            await asyncio.sleep(PULSE_INTERVAL_S)
 
     def _list(self) -> None:
         """Tell the list if it is not what was told last; others may have told another since our last term."""
-        page = self._upstreams.page(self._phase_controller.dress)
-        known = self.bulletin.upstreams
+        page = self._upstreams.page(self._phase_controller.mark_moving)
+        known = self.latest.upstreams
         is_told = known is not None and known.epoch >= self._first_epoch and known.page == page
         if self._view is not None and not is_told:
-            self._phase_controller.listed(page)
+            self._phase_controller.set_list(page)
             self._holdings.keep_only({str(e.get("id")) for e in self._upstreams.entries})
             news = UpstreamNews(self._view.epoch, self._next(), page)
-            if self.bulletin.take(news):
-                self._feed.tell_list(news, change_of(known, news))
+            if self.latest.store(news):
+                self._feed.broadcast_list(news, diff_lists(known, news))
 
     async def _read(self) -> None:
         await self._upstreams.run(self._leads)
@@ -288,5 +288,5 @@
     async def _move(self) -> None:
         """See now and then whether an upstream should play another part."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self._phase_controller.look(asyncio.get_running_loop().time())
+            await asyncio.sleep(CONTROL_INTERVAL_S)
+            self._phase_controller.tick(asyncio.get_running_loop().time())
--- a/control/tally_calls.py
+++ b/control/tally_calls.py
@@ -9,12 +9,12 @@
 from urllib.parse import unquote
 
 from config.errors import InvalidTallyError
-from control.operators import AGAIN_S, HELD_S
+from control.operators import DECISION_TIMEOUT_S, RETRY_AFTER_S
 from control.tally_keeper import TallyKeeper
-from transport.calls import Call, Calls, Reply, say
+from transport.calls import Request, Response, Routes, json_response
 
-TALLY_CALLS = Calls()
-START = "/api/tallies/"
+TALLY_ROUTES = Routes()
+TALLIES_PREFIX = "/api/tallies/"
 AMOUNT = "actor"  # the field of a call that says how much is added
 MOST_NAME = 128  # characters of a tally's name and of an id
 MOST_AMOUNT = 2**53  # what JSON numbers tell exactly
@@ -59,36 +59,42 @@
     return TallyAdd(tally, parse_name(id_, "id"), amount)
 
 
-@TALLY_CALLS.on_named("POST", START)
-async def add_to_tally(control: Keeps, call: Call) -> Reply:
+@TALLY_ROUTES.route_prefix("POST", TALLIES_PREFIX)
+async def add_to_tally(control: Keeps, request: Request) -> Response:
     """Count an add once; the same id again, here or elsewhere, changes nothing and is acknowledged.
 
     429 and 503 promise that nothing was done, 504 promises nothing.
     """
     try:
-        asked = parse_add(call.name, call.body)
+        asked = parse_add(request.name, request.body)
     except InvalidTallyError as error:
-        return say(400, str(error))
+        return json_response(400, str(error))
     tallies = control.tallies
-    if not tallies.is_ready() or not tallies.takes_adds():
-        return say(503, "not ready to keep an add; ask again or elsewhere", Retry_After=AGAIN_S)
+    if not tallies.is_ready() or not tallies.accepts_adds():
+        return json_response(
+            503, "not ready to keep an add; ask again or elsewhere", Retry_After=RETRY_AFTER_S
+        )
     if not tallies.replica.has_room(asked.tally):
-        return say(429, "as many adds as can be told apart are kept; ask again later", Retry_After="1")
+        return json_response(
+            429, "as many adds as can be told apart are kept; ask again later", Retry_After="1"
+        )
     try:
-        async with asyncio.timeout(HELD_S):
+        async with asyncio.timeout(DECISION_TIMEOUT_S):
             await tallies.add(asked.tally, asked.id, asked.amount)
     except TimeoutError:
-        return say(504, "the add may have been taken; send it again with the same id")
-    return say(200)
+        return json_response(504, "the add may have been taken; send it again with the same id")
+    return json_response(200)
 
 
-@TALLY_CALLS.on_named("GET", START)
-async def get_tally(control: Keeps, call: Call) -> Reply:
+@TALLY_ROUTES.route_prefix("GET", TALLIES_PREFIX)
+async def get_tally(control: Keeps, request: Request) -> Response:
     """The sum of a tally as far as it is known here: at least what this process has acknowledged."""
     try:
-        tally = parse_name(unquote(call.name), "the tally")
+        tally = parse_name(unquote(request.name), "the tally")
     except InvalidTallyError as error:
-        return say(400, str(error))
+        return json_response(400, str(error))
     if not control.tallies.is_ready():
-        return say(503, "sums are not known here yet; ask again or elsewhere", Retry_After=AGAIN_S)
-    return Reply(200, json.dumps({"sum": control.tallies.total(tally)}).encode())
+        return json_response(
+            503, "sums are not known here yet; ask again or elsewhere", Retry_After=RETRY_AFTER_S
+        )
+    return Response(200, json.dumps({"sum": control.tallies.total(tally)}).encode())
--- a/control/tally_keeper.py
+++ b/control/tally_keeper.py
@@ -57,7 +57,7 @@
         """Whether calls may be answered from what is here."""
         return self._is_loaded and self.replica.is_ready(self._now())
 
-    def takes_adds(self) -> bool:
+    def accepts_adds(self) -> bool:
         """Whether the disk can be counted on for one more."""
         return self._journal.is_well()
 
--- a/control/upstream_reader.py
+++ b/control/upstream_reader.py
@@ -33,8 +33,8 @@
 
     def reconfigure(self, settings: Settings) -> None:
         """The settings file has changed."""
-        self._platform.move(parse_address(settings.cloud_api.addr))
-        self._platform.allow(settings.cloud_api.rate_per_s * RATE_SHARE)
+        self._platform.set_address(parse_address(settings.cloud_api.addr))
+        self._platform.set_rate(settings.cloud_api.rate_per_s * RATE_SHARE)
 
     def calls(self) -> int:
         """How often the platform was asked for a page of its list."""
--- a/dissemination/bulletin.py
+++ b/dissemination/bulletin.py
@@ -20,7 +20,7 @@
 News = ConfigurationNews | UpstreamNews | MemberNews | Pulse | LoadNews | LoadStep | DoubtNews
 
 
-class Bulletin:
+class LatestUpdates:
     """Keeps the newest news of each kind; nothing older ever takes its place."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         news = (self.upstreams, self.members, self.pulse, self.loads, self.table, self.doubts)
         return max((known.epoch for known in news if known is not None), default=0)
 
-    def take(self, message: Any) -> bool:
+    def store(self, message: Any) -> bool:
         """Keep a message if it is newer than what we have; whether it was."""
         match message:
             case ConfigurationNews():
@@ -68,7 +68,7 @@
                 return False
         return True
 
-    def step(self, message: LoadStep) -> Loads | None:
+    def apply_step(self, message: LoadStep) -> Loads | None:
         """Take a step of the loads: those that it tells of, as they were; None for one of an earlier term.
 
         Raises GapError for one that does not follow what we have.
@@ -77,7 +77,7 @@
         if known is not None and message.epoch < known.epoch:
             return None
         if message.base == 0:
-            table, before = LoadTable(message.epoch), dict(self.loads_known())
+            table, before = LoadTable(message.epoch), dict(self.current_loads())
             if table.take(message.number, 0, message.names, message.figures) is not None:
                 self.table, self.loads = table, None
                 return before | dict.fromkeys(table.loads.keys() - before.keys(), (0, 0))
@@ -87,19 +87,19 @@
                 return told
         raise GapError(f"step {message.number} of the loads follows {message.base}", "attach anew")
 
-    def loads_known(self) -> Loads:
+    def current_loads(self) -> Loads:
         """The sums as they are known."""
         if self.table is not None:
             return self.table.loads
         return {} if self.loads is None else {e.upstream: (e.calls, e.tokens) for e in self.loads.loads}
 
-    def loads_whole(self) -> LoadNews | None:
+    def full_loads(self) -> LoadNews | None:
         """The sums as those of an earlier edition hear them."""
         if self.table is None:
             return self.loads
         return LoadNews(self.table.epoch, self.table.number, pack(self.table.loads))
 
-    def everything(self, ver: int, list_stamp: tuple[int, int], steps: bool = False) -> list[News]:
+    def updates_since(self, ver: int, list_stamp: tuple[int, int], steps: bool = False) -> list[News]:
         """What somebody lacks who has this version and this list, in the order in which it is told.
 
         `steps`: it can hear what changes from now on.
@@ -113,15 +113,15 @@
         if steps and self.table is not None:
             loads = LoadStep(self.table.epoch, self.table.number, 0, *self.table.whole())
         else:
-            loads = self.loads_whole()
+            loads = self.full_loads()
         found += [news for news in (self.members, self.pulse, loads, self.doubts) if news is not None]
         return found
 
-    def forget_doubts(self) -> None:
+    def clear_failures(self) -> None:
         """What was held against upstreams under another primary is told anew by those who hold it."""
         self.doubts = None
 
-    def forget_loads(self) -> None:
+    def clear_loads(self) -> None:
         """What was told of others' work is no use any more; the same sums are news when they come again."""
         self.loads = self.table = None
 
--- a/dissemination/counting.py
+++ b/dissemination/counting.py
@@ -32,7 +32,7 @@
         return max(n for _, n in self._counts)
 
 
-class Headcount:
+class BalancerCount:
     """The number that the pulses tell; a new primary's holds only once what the last one told is old."""
 
     def __init__(self) -> None:
--- a/dissemination/doubts.py
+++ b/dissemination/doubts.py
@@ -10,54 +10,56 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from dissemination.bulletin import Bulletin
-from dissemination.messages import Doubt, DoubtNews, DoubtReport, Pulse
+from dissemination.bulletin import LatestUpdates
+from dissemination.messages import DoubtNews, DoubtReport, Pulse, UpstreamFailures
 
 PERIOD_S = 0.1  # a change goes on no sooner after the one before
 MOST = 2**31 - 1  # that a message holds
-Doubts = dict[tuple[str, str], tuple[int, int]]  # upstream and zone: balancers, failures that they saw
+FailureCounts = dict[tuple[str, str], tuple[int, int]]  # upstream and zone: balancers, failures that they saw
 
 
-def unpack(doubts: Iterable[Doubt]) -> Doubts:
+def unpack(doubts: Iterable[UpstreamFailures]) -> FailureCounts:
     """By upstream and zone."""
     return {(d.upstream, d.zone): (d.balancers, d.failures) for d in doubts}
 
 
-def pack(doubts: Doubts) -> tuple[Doubt, ...]:
+def pack(doubts: FailureCounts) -> tuple[UpstreamFailures, ...]:
     """For a message; where nothing is held against an upstream it is left out."""
     return tuple(
-        Doubt(upstream, zone, min(balancers, MOST), min(failures, MOST))
+        UpstreamFailures(upstream, zone, min(balancers, MOST), min(failures, MOST))
         for (upstream, zone), (balancers, failures) in sorted(doubts.items())
         if balancers > 0 and failures > 0
     )
 
 
-class DoubtSum:
+class FailureSum:
     """The doubts below one process: its own and what its children report."""
 
-    def __init__(self, own: Callable[[], Doubts], changed: Callable[[tuple[Doubt, ...]], None]) -> None:
+    def __init__(
+        self, own: Callable[[], FailureCounts], changed: Callable[[tuple[UpstreamFailures, ...]], None]
+    ) -> None:
         """`own`: what this process holds against upstreams. `changed`: told the sum, not too often."""
         self._own, self._changed = own, changed
-        self._children: dict[object, Doubts] = {}
-        self._told: tuple[Doubt, ...] = ()
+        self._children: dict[object, FailureCounts] = {}
+        self._told: tuple[UpstreamFailures, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
 
     def report(self, child: object, message: DoubtReport) -> None:
         """A child's report, in place of its last one."""
         self._children[child] = unpack(message.doubts)
-        self.touch()
+        self.schedule()
 
-    def forget(self, child: object) -> None:
+    def remove_child(self, child: object) -> None:
         """A child has gone; whoever it attaches to next hears of its doubts."""
         if self._children.pop(child, None):
-            self.touch()
+            self.schedule()
 
-    def touch(self) -> None:
+    def schedule(self) -> None:
         """Something has changed: tell it soon."""
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(PERIOD_S, self._tell)
 
-    def again(self) -> None:
+    def resend(self) -> None:
         """Somebody new is told, who knows of no doubts: say now what there is."""
         self._told = ()
         if self._timer is not None:
@@ -80,36 +82,36 @@
 class Judge(Protocol):
     """Who sees failures and heeds those that others saw: a balancer."""
 
-    def doubts(self) -> Doubts:
+    def failure_counts(self) -> FailureCounts:
         """What our own calls saw."""
 
-    def heed_doubts(self, told: Doubts) -> None:
+    def apply_failure_counts(self, told: FailureCounts) -> None:
         """What all balancers together saw."""
 
-    def tell_doubts(self, changed: Callable[[], None]) -> None:
+    def on_failures_changed(self, changed: Callable[[], None]) -> None:
         """`changed` is called whenever `doubts` would tell something new."""
 
 
-class DoubtExchange:
+class FailureExchange:
     """One balancer's part in it: what it and those below it saw goes up, what all saw comes down."""
 
-    def __init__(self, judge: Judge, bulletin: Bulletin, say: Callable[[Any], None]) -> None:
-        self._judge, self._bulletin = judge, bulletin
-        self.sum = DoubtSum(judge.doubts, lambda doubts: say(DoubtReport(doubts)))
-        judge.tell_doubts(self.sum.touch)
+    def __init__(self, judge: Judge, latest: LatestUpdates, say: Callable[[Any], None]) -> None:
+        self._judge, self._latest = judge, latest
+        self.sum = FailureSum(judge.failure_counts, lambda doubts: say(DoubtReport(doubts)))
+        judge.on_failures_changed(self.sum.schedule)
 
-    def told(self, message: DoubtNews) -> None:
+    def on_update(self, message: DoubtNews) -> None:
         """Newer news."""
-        self._judge.heed_doubts(unpack(message.doubts))
+        self._judge.apply_failure_counts(unpack(message.doubts))
 
-    def pulsed(self, message: Pulse) -> None:
+    def on_pulse(self, message: Pulse) -> None:
         """Under another primary all is told anew, unless nothing is held against anybody any more."""
-        known = self._bulletin.doubts
+        known = self._latest.doubts
         if known is not None and known.epoch < message.epoch:
-            self.lost()
+            self.clear()
 
-    def lost(self) -> None:
+    def clear(self) -> None:
         """What was told is no use any more; what our own calls saw stays."""
-        if self._bulletin.doubts is not None:
-            self._bulletin.forget_doubts()
-            self._judge.heed_doubts({})
+        if self._latest.doubts is not None:
+            self._latest.clear_failures()
+            self._judge.apply_failure_counts({})
--- a/dissemination/follower.py
+++ b/dissemination/follower.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from config.errors import GapError
-from dissemination.bulletin import Bulletin
+from dissemination.bulletin import LatestUpdates
 from dissemination.lists import ListCopy, digest_of
 from dissemination.messages import (
     Attach,
@@ -35,8 +35,8 @@
 from transport.links import Links
 from transport.wire import EDITION, STEPS_EDITION, Link
 
-PULSE_S = 0.3  # the control state is heard of so often
-STALE_S = 0.9  # without a newer pulse for so long whoever tells us is behind itself
+PULSE_INTERVAL_S = 0.3  # the control state is heard of so often
+STALE_AFTER_S = 0.9  # without a newer pulse for so long whoever tells us is behind itself
 PAUSE_S = 0.1  # between two attempts, more or less
 SOON = (0.1, 0.4)  # of it, where we were told whom to ask
 LED_S = 0.5  # whoever is sent on again sooner than this is sent in a circle, while nobody leads yet
@@ -63,7 +63,7 @@
         self,
         me: Present,
         links: Links,
-        bulletin: Bulletin,
+        latest: LatestUpdates,
         ports: Ports,
         seeds: tuple[str, ...],
         told: Callable[[Any, Any], None],
@@ -78,7 +78,7 @@
         `attached`: whoever tells us the news from now on knows nothing of us yet. `spoken`: it has said
         what edition it speaks.
         """
-        self._me, self._links, self._bulletin, self._told, self._below = me, links, bulletin, told, below
+        self._me, self._links, self._latest, self._told, self._below = me, links, latest, told, below
         self._attached, self._spoken = attached, spoken
         self._list_copy = ListCopy()
         self._takes_steps = False
@@ -99,7 +99,7 @@
         )  # the relay that the tree gives us, and since when
         self._shunned: dict[Endpoint, float] = {}  # when it was silent or out of reach
 
-    def is_fresh(self, within_s: float = STALE_S) -> bool:
+    def is_fresh(self, within_s: float = STALE_AFTER_S) -> bool:
         """Whether the control state was heard of a moment ago."""
         return asyncio.get_running_loop().time() - self._pulsed_at <= within_s
 
@@ -107,7 +107,7 @@
         """Seconds since the control state was last heard of; None if it never was."""
         return asyncio.get_running_loop().time() - self._pulsed_at if self._pulsed_at > 0 else None
 
-    def seeds(self, ips: tuple[str, ...]) -> None:
+    def set_seeds(self, ips: tuple[str, ...]) -> None:
         """The settings name other seeds."""
         self._seeds = self._controls(ips)
 
@@ -119,11 +119,11 @@
         """Whoever tells us the news; None if nobody does."""
         return self._parent if self._link is not None else None
 
-    def hears(self, link: Link) -> bool:
+    def is_parent_link(self, link: Link) -> bool:
         """Whether this is the connection by which the news come."""
         return link is self._link
 
-    def heard(self, link: Link, message: Any) -> None:
+    def on_message(self, link: Link, message: Any) -> None:
         """A message by that connection."""
         now = asyncio.get_running_loop().time()
         match message:
@@ -133,13 +133,13 @@
                 if self._parent is not None and (not ips or self._is_relay(self._parent)):
                     self._shun(self._parent)  # it is behind itself, or does not know who leads
                 self._leave()
-            case Pulse() if self._bulletin.take(message):
+            case Pulse() if self._latest.store(message):
                 self._pulsed_at = now
                 self._told(message, None)
             case HoldingNews():
                 self._told(message, None)
             case ConfigurationNews() | UpstreamNews() | MemberNews() | LoadNews() | DoubtNews():
-                if self._bulletin.take(message):
+                if self._latest.store(message):
                     self._told(message, None)
             case UpstreamChange() | LoadStep():
                 self._heard_change(link, message, now)
@@ -151,14 +151,14 @@
         """A change: in force if it follows what we have; else all is told again."""
         try:
             if isinstance(message, LoadStep):
-                before = self._bulletin.step(message)
+                before = self._latest.apply_step(message)
                 if before is not None:
                     self._told(message, before)
                 return
-            known = self._bulletin.upstreams
+            known = self._latest.upstreams
             if known is None or (message.epoch, message.number) > (known.epoch, known.number):
-                news = self._list_copy.changed(known, message)
-                self._bulletin.take(news)
+                news = self._list_copy.apply(known, message)
+                self._latest.store(news)
                 self._told(news, message)
         except GapError as error:
             if now - self._mended_at >= MEND_S:
@@ -170,7 +170,7 @@
         """Whether whoever tells us the news takes our loads as steps."""
         return self._takes_steps and self._link is not None
 
-    def ended(self, link: Link) -> None:
+    def on_closed(self, link: Link) -> None:
         """A connection is over."""
         if link is self._link:
             self._link = None
@@ -194,14 +194,14 @@
 
     def _pause(self) -> float:
         """In seconds; many balancers that look for a primary must not take the time of those who make one."""
-        members = self._bulletin.members
+        members = self._latest.members
         return PAUSE_S * max(1.0, len(members.balancers) / MANY if members is not None else 1.0)
 
     # ---- where to
 
     def _relay(self) -> Endpoint | None:
         """The balancer that the tree gives us; None: the control state itself tells us."""
-        members = self._bulletin.members
+        members = self._latest.members
         if members is None:
             return None
         parent = parent_of(self._me.node, self._me.zone, members.balancers)
@@ -211,7 +211,7 @@
         return None if self._is_shunned(relay) else relay
 
     def _is_relay(self, endpoint: Endpoint | None) -> bool:
-        members = self._bulletin.members
+        members = self._latest.members
         if members is None or endpoint is None or endpoint.port != self._ports.balancer:
             return False
         return any(m.ip == endpoint.ip for m in members.balancers)
@@ -221,12 +221,12 @@
 
         First the relay that the tree gives us, or the leader if we know it; then others of the control state.
         """
-        members = self._bulletin.members
+        members = self._latest.members
         cores = members.cores if members is not None else ()
         known = list(dict.fromkeys([*self._seeds, *self._controls(cores)]))
         self._random.shuffle(known)
         known.sort(key=self._is_shunned)
-        first = [relay] if (relay := self._relay()) and self.is_fresh(2 * STALE_S) else []
+        first = [relay] if (relay := self._relay()) and self.is_fresh(2 * STALE_AFTER_S) else []
         if not first and self._hints:
             first = [self._hints.pop(0)]
         return list(dict.fromkeys([*first, *known]))[:MOST_DIALLED]
@@ -242,16 +242,16 @@
         loop = asyncio.get_running_loop()
         since = loop.time()
         while self._link is not None:
-            stale_at = max(self._pulsed_at, since) + STALE_S
+            stale_at = max(self._pulsed_at, since) + STALE_AFTER_S
             try:
-                async with asyncio.timeout(max(min(PULSE_S, stale_at - loop.time()), 0.01)):
+                async with asyncio.timeout(max(min(PULSE_INTERVAL_S, stale_at - loop.time()), 0.01)):
                     await self._ended.wait()
                 return False
             except TimeoutError:
                 pass
             now = loop.time()
             self._call_roll(now)
-            if now - max(self._pulsed_at, since) >= STALE_S:
+            if now - max(self._pulsed_at, since) >= STALE_AFTER_S:
                 self._shun(parent)
                 self._leave()
                 return False
@@ -277,14 +277,14 @@
 
     # ---- what we say
 
-    def say(self, message: Any) -> None:
+    def send(self, message: Any) -> None:
         """Tell whoever tells us the news, if anybody does."""
         if self._link is not None:
             self._link.send(message)
 
     def _attach(self, link: Link, whole: bool = False) -> None:
         """Say what we have; `whole`: the list is to come as if we had none."""
-        known, listed = self._bulletin.configuration, None if whole else self._bulletin.upstreams
+        known, listed = self._latest.configuration, None if whole else self._latest.upstreams
         self._takes_steps = False  # until they say so
         link.send(Speaks(EDITION, digest_of(listed)))
         link.send(
@@ -297,7 +297,7 @@
                 listed.number if listed is not None else 0,
             )
         )
-        if epoch := self._bulletin.epoch():
+        if epoch := self._latest.epoch():
             link.send(EpochHeard(epoch))
         self._rolled = (None, -1e9)
         self._call_roll(asyncio.get_running_loop().time())
--- a/dissemination/holdings.py
+++ b/dissemination/holdings.py
@@ -10,9 +10,9 @@
 
 from dissemination.messages import Holding
 
-MOST_SUBJECTS = 4096  # those heard of longest ago give way
-MOST_HOLDERS = 6  # of one subject that are told of: more add little choice
-MOST_SEEN = 512  # first-hand news that a process repeats to somebody new
+MAX_SUBJECTS = 4096  # those heard of longest ago give way
+MAX_HOLDERS = 6  # of one subject that are told of: more add little choice
+MAX_FIRST_HAND = 512  # first-hand news that a process repeats to somebody new
 
 
 class Holdings:
@@ -28,15 +28,15 @@
         for holding in holdings:
             holders = self._by_subject.pop(holding.subject, {})
             self._by_subject[holding.subject] = holders  # the latest last
-            if holding.upstream in holders or len(holders) >= MOST_HOLDERS:
+            if holding.upstream in holders or len(holders) >= MAX_HOLDERS:
                 continue
             holders[holding.upstream] = None
             new.append(holding)
             if first_hand:
                 self._seen[holding] = None
-        while len(self._by_subject) > MOST_SUBJECTS:
+        while len(self._by_subject) > MAX_SUBJECTS:
             del self._by_subject[next(iter(self._by_subject))]
-        while len(self._seen) > MOST_SEEN:
+        while len(self._seen) > MAX_FIRST_HAND:
             del self._seen[next(iter(self._seen))]
         return tuple(new)
 
@@ -54,6 +54,6 @@
         """Everything, for somebody who hears the news from us."""
         return tuple(Holding(s, u) for s, holders in self._by_subject.items() for u in holders)
 
-    def seen(self) -> tuple[Holding, ...]:
+    def first_hand(self) -> tuple[Holding, ...]:
         """What we have seen ourselves, for whoever tells us the news and may know nothing."""
         return tuple(self._seen)
--- a/dissemination/list_reader.py
+++ b/dissemination/list_reader.py
@@ -31,7 +31,7 @@
         return entries
 
     def _apply(self, change: UpstreamChange) -> None:
-        """A change that has made a list already (`ListCopy.changed`), so it holds entries with ids."""
+        """A change that has made a list already (`ListCopy.apply`), so it holds entries with ids."""
         found, _ = parse_upstreams(b'{"upstreams":' + change.entries + b"}")
         for name in (*(str(entry["id"]) for entry in json.loads(change.entries)), *change.gone):
             self._by_id.pop(name, None)
--- a/dissemination/lists.py
+++ b/dissemination/lists.py
@@ -18,18 +18,18 @@
     return b"" if news is None else hashlib.blake2b(news.page, digest_size=DIGEST_BYTES).digest()
 
 
-def page_of(entries: list[Any]) -> bytes:
+def encode_list(entries: list[Any]) -> bytes:
     """The list as it goes to the balancers, alike for alike entries."""
     entries = sorted(entries, key=_id_of)
     return json.dumps({"upstreams": entries}, separators=(",", ":"), sort_keys=True).encode()
 
 
-def change_of(known: UpstreamNews | None, news: UpstreamNews) -> UpstreamChange | None:
+def diff_lists(known: UpstreamNews | None, news: UpstreamNews) -> UpstreamChange | None:
     """What is new in a list; None where that can't be told by ids alone, or is no shorter than the list."""
     if known is None:
         return None
     old, new = _by_id(known.page), _by_id(news.page)
-    if old is None or new is None or page_of(list(new.values())) != news.page:
+    if old is None or new is None or encode_list(list(new.values())) != news.page:
         return None
     entries = [e for i, e in new.items() if old.get(i) != e]
     gone = tuple(i for i in old if i not in new)
@@ -39,15 +39,15 @@
     return UpstreamChange(news.epoch, news.number, digest_of(known), digest_of(news), body, gone)
 
 
-def same_as(news: UpstreamNews) -> UpstreamChange:
+def unchanged_list(news: UpstreamNews) -> UpstreamChange:
     """For whoever has this list already, by an earlier stamp."""
     digest = digest_of(news)
     return UpstreamChange(news.epoch, news.number, digest, digest, b"[]", ())
 
 
-def changed(known: UpstreamNews | None, change: UpstreamChange) -> UpstreamNews:
+def apply_change(known: UpstreamNews | None, change: UpstreamChange) -> UpstreamNews:
     """The list after a change; raises GapError where it does not begin with what we have."""
-    return ListCopy().changed(known, change)
+    return ListCopy().apply(known, change)
 
 
 class ListCopy:
@@ -59,7 +59,7 @@
         self._encoded: dict[str, bytes] = {}  # by id
         self._order: list[str] = []  # the ids, sorted
 
-    def changed(self, known: UpstreamNews | None, change: UpstreamChange) -> UpstreamNews:
+    def apply(self, known: UpstreamNews | None, change: UpstreamChange) -> UpstreamNews:
         """The list after a change; raises GapError where it does not begin with what we have."""
         if known is None or self._digest_of(known) != change.base:
             raise GapError("a change of a list that we do not have", "attach anew and hear all of it")
--- a/dissemination/load_steps.py
+++ b/dissemination/load_steps.py
@@ -20,7 +20,7 @@
 Figures = tuple[tuple[str, ...], tuple[int, ...]]  # new names; place, calls, tokens, and so on
 
 
-class LoadTeller:
+class LoadStepEncoder:
     """What was told of the loads so far, and what is to be told next."""
 
     def __init__(self, bytes_s: float = BYTES_S) -> None:
--- a/dissemination/loads.py
+++ b/dissemination/loads.py
@@ -8,10 +8,10 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from dissemination.load_steps import MOST, Figures, Loads, LoadTable, LoadTeller
+from dissemination.load_steps import MOST, Figures, Loads, LoadStepEncoder, LoadTable
 from dissemination.messages import LoadNews, LoadReport, LoadReportStep, UpstreamLoad
 
-PERIOD_S = 0.04  # a change goes on no sooner after the one before
+REPORT_INTERVAL_S = 0.04  # a change goes on no sooner after the one before
 STEP_ENTRY_S = 0.00005  # and no sooner than to look at all that has changed takes a few hundredths of a core
 # Of one upstream in a whole message, and a second to each of an earlier edition: many wait longer.
 ENTRY_BYTES, BYTES_S = 24, 20_000
@@ -59,8 +59,8 @@
         self._own_known: Loads = {}
         self._told: tuple[UpstreamLoad, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
-        self._period = PERIOD_S
-        self._teller = LoadTeller()
+        self._period = REPORT_INTERVAL_S
+        self._teller = LoadStepEncoder()
         self._step_timer: asyncio.TimerHandle | None = None
 
     def report(self, child: object, message: LoadReport) -> None:
@@ -91,7 +91,7 @@
         self._children[child] = table
         self._move(dict.fromkeys(table.loads, (0, 0)), table.loads)
 
-    def forget(self, child: object) -> None:
+    def remove_child(self, child: object) -> None:
         """A child has gone; whoever it attaches to next hears of its load."""
         known = self._children.pop(child, None)
         if known is not None:
@@ -109,7 +109,7 @@
                 self._below[upstream] = total
         if self._stepped is not None:
             self._teller.mark(before)
-        self.touch()
+        self.schedule()
 
     def total(self) -> Loads:
         """The sum as it is now."""
@@ -117,7 +117,7 @@
         add(total, self._below)
         return total
 
-    def touch(self) -> None:
+    def schedule(self) -> None:
         """Something has changed: tell it soon."""
         loop = asyncio.get_running_loop()
         if self._timer is None and self._wants_whole():
@@ -126,17 +126,17 @@
             self._step_timer = loop.call_later(self._step_period(), self._step)
 
     def _step_period(self) -> float:
-        return max(PERIOD_S, STEP_ENTRY_S * len(self._teller.behind()))
+        return max(REPORT_INTERVAL_S, STEP_ENTRY_S * len(self._teller.behind()))
 
-    def again(self) -> None:
+    def resend(self) -> None:
         """Somebody new is told: say it now, even if it is the same."""
         self._told = ()
         if self._timer is not None:
             self._timer.cancel()
         self._tell()
-        self.begin_steps()
+        self.resend_steps()
 
-    def begin_steps(self) -> None:
+    def resend_steps(self) -> None:
         """Somebody new takes steps: tell all of it now."""
         if self._stepped is not None:
             self._own_known = self._own()
@@ -149,7 +149,7 @@
         if not self._wants_whole():
             return
         packed = pack(self.total())
-        self._period = max(PERIOD_S, ENTRY_BYTES * len(packed) / BYTES_S)
+        self._period = max(REPORT_INTERVAL_S, ENTRY_BYTES * len(packed) / BYTES_S)
         if packed != self._told:
             self._told = packed
             self._changed(packed)
@@ -162,21 +162,21 @@
         self._teller.mark(u for u in own.keys() | known.keys() if own.get(u) != known.get(u))
         self._own_known = own
         if self._teller.is_long(len(own) + len(self._below)):
-            self.begin_steps()
+            self.resend_steps()
             return
         loads = {u: self._sum_of(u) for u in self._teller.behind()}
         found = self._teller.step(loads, asyncio.get_running_loop().time())
         if found is not None:
             self._stepped(found, False)
         if self._teller.behind():
-            self.touch()
+            self.schedule()
 
     def _sum_of(self, upstream: str) -> tuple[int, int]:
         own, below = self._own_known.get(upstream, (0, 0)), self._below.get(upstream, (0, 0))
         return own[0] + below[0], own[1] + below[1]
 
 
-class OthersLoad:
+class PeerLoads:
     """What the other balancers have out, out of the sums that come down."""
 
     def __init__(self) -> None:
--- a/dissemination/messages.py
+++ b/dissemination/messages.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from transport.schema import Int32
-from transport.wire import Kinds
+from transport.wire import MessageKinds
 
-KINDS = Kinds()
+KINDS = MessageKinds()
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class UpstreamFailures:
     """So many balancers of a zone saw so many failures at an upstream in the last seconds."""
 
     upstream: str
@@ -201,22 +201,22 @@
     figures: tuple[int, ...]
 
 
-@KINDS.declare(116, nested=(Doubt,))
+@KINDS.declare(116, nested=(UpstreamFailures,))
 @dataclass(frozen=True, slots=True)
 class DoubtReport:
     """What a balancer and all below it hold against upstreams; what is not named is in good standing."""
 
-    doubts: tuple[Doubt, ...]
+    doubts: tuple[UpstreamFailures, ...]
 
 
-@KINDS.declare(117, nested=(Doubt,))
+@KINDS.declare(117, nested=(UpstreamFailures,))
 @dataclass(frozen=True, slots=True)
 class DoubtNews:
     """What all balancers together hold against upstreams."""
 
     epoch: int
     number: int
-    doubts: tuple[Doubt, ...]
+    doubts: tuple[UpstreamFailures, ...]
 
 
 @KINDS.declare(119)
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -235,7 +235,7 @@
     world = world_of(context)
 
     def is_gone() -> bool:
-        known = [m.role._bulletin.members for m in running(world)]
+        known = [m.role._latest.members for m in running(world)]
         return all(context.stopped not in [p.node for p in news.balancers] for news in known)
 
     context.stories.play(world.until(is_gone, float(seconds), "it is no member"))
--- a/mastturn/capacity/budget.py
+++ b/mastturn/capacity/budget.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from dissemination.load_steps import FIGURE_BYTES, STEP_BYTES
-from dissemination.loads import PERIOD_S
+from dissemination.loads import REPORT_INTERVAL_S
 from dissemination.relays import DEGREE
 from mastturn.capacity.foreseen import steps_down
 from mastturn.capacity.shapes import BUDGET, TARGET
@@ -82,20 +82,20 @@
 def costs(parts: Parts, frame_s: float) -> list[Cost]:
     """All kinds of news at the target; `frame_s`: of a core, for taking one frame from a socket."""
     entries, members, routes = float(TARGET.upstreams), float(TARGET.balancers), float(TARGET.routes)
-    step = (steps_down(TARGET) * PERIOD_S - STEP_BYTES) / FIGURE_BYTES  # upstreams in one
+    step = (steps_down(TARGET) * REPORT_INTERVAL_S - STEP_BYTES) / FIGURE_BYTES  # upstreams in one
 
     def at(part: str, what: str, x: float) -> float:
         return max(price(parts, part, what).at(x), 0.0)
 
     changes_s = 4 * REQUESTS_S  # a request is sent to be read, read, sent to be run, ended
-    reports_s = 1 / (PERIOD_S + 1 / changes_s)
+    reports_s = 1 / (REPORT_INTERVAL_S + 1 / changes_s)
     report = changes_s / reports_s
 
     def read(part: str, x: float, *work: str) -> float:
         return frame_s + sum(at(part, what, x) for what in work)
 
     return [
-        Cost("sums of load, down", 1 / PERIOD_S, at("steps", "bytes", step),
+        Cost("sums of load, down", 1 / REPORT_INTERVAL_S, at("steps", "bytes", step),
              read("steps", step, "decode_s", "take_s"), at("steps", "encode_s", step)),
         Cost("own report of load, up", reports_s, at("steps", "bytes", report),
              read("steps", report, "tell_s", "encode_s"), 0.0),
--- a/mastturn/capacity/days.py
+++ b/mastturn/capacity/days.py
@@ -40,7 +40,7 @@
     """What a program does at the moment, in standard words."""
     if machine.settings.machine_class == "core":
         replica = machine.role._replica
-        if machine.role.leads():
+        if machine.role.is_leader():
             return "primary"
         view = replica.acceptor.latest
         slot = view.slot_of(replica.me.identity) if view is not None else None
@@ -205,7 +205,7 @@
 
         In one process with all others the same work costs them more the more there are, up to a bound.
         """
-        idle = [m for m in fleet.cores.values() if not m.role.leads()]
+        idle = [m for m in fleet.cores.values() if not m.role.is_leader()]
         for machine in idle:
             machine.program.is_cold = True
         await asyncio.sleep(IDLE_S)
--- a/mastturn/capacity/fleet.py
+++ b/mastturn/capacity/fleet.py
@@ -216,13 +216,15 @@
     def primary(self) -> Machine:
         """Who leads."""
         return next(
-            m for m in self.cores.values() if m.role is not None and not m.program.is_dead and m.role.leads()
+            m
+            for m in self.cores.values()
+            if m.role is not None and not m.program.is_dead and m.role.is_leader()
         )
 
     def has_primary(self) -> bool:
         """Whether anybody leads."""
         return any(
-            m.role is not None and not m.program.is_dead and m.role.leads() for m in self.cores.values()
+            m.role is not None and not m.program.is_dead and m.role.is_leader() for m in self.cores.values()
         )
 
     def plane(self, machine: Machine) -> HollowBalancer:
--- a/mastturn/capacity/foreseen.py
+++ b/mastturn/capacity/foreseen.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from dissemination.load_steps import BYTES_S, FIGURE_BYTES, STEP_BYTES
-from dissemination.loads import PERIOD_S
+from dissemination.loads import REPORT_INTERVAL_S
 from dissemination.relays import DEGREE
 from mastturn.capacity.shapes import FITTED, HELD_OUT, TARGET, Shape
 from mastturn.capacity.slopes import Line, agrees, fit
@@ -49,8 +49,8 @@
     """Bytes a second of steps that tell so many balancers' load: what changes, up to what may be told."""
     loaded = _loaded(shape, balancers)
     changes_s = 4 * shape.requests_s * balancers / 350
-    changed = loaded * (1 - math.exp(-changes_s * PERIOD_S / loaded))
-    return min((STEP_BYTES + FIGURE_BYTES * changed) / PERIOD_S, BYTES_S)
+    changed = loaded * (1 - math.exp(-changes_s * REPORT_INTERVAL_S / loaded))
+    return min((STEP_BYTES + FIGURE_BYTES * changed) / REPORT_INTERVAL_S, BYTES_S)
 
 
 def steps_down(shape: Shape) -> float:
--- a/mastturn/capacity/memory.py
+++ b/mastturn/capacity/memory.py
@@ -15,7 +15,7 @@
 from balancer.kept import MOST_PAIRS
 from config.settings import CloudApi, Limits, Settings
 from control.platform import pack
-from dissemination.holdings import MOST_HOLDERS, MOST_SUBJECTS
+from dissemination.holdings import MAX_HOLDERS, MAX_SUBJECTS
 from dissemination.loads import pack as pack_loads
 from dissemination.messages import (
     ConfigurationNews,
@@ -76,7 +76,7 @@
     for name, frame in frames:
         began = time.process_time()
         message: Any = KINDS.decode(int.from_bytes(frame[4:6], "big"), frame[6:])
-        if role._bulletin.take(message):
+        if role._latest.store(message):
             role._told(message)
         spent = time.process_time() - began
         del message
@@ -86,7 +86,7 @@
     for name, batches in (("holdings", 1), ("kept, full", _full(shape))):
         began = time.process_time()
         for batch in range(batches):
-            role._told(_holdings(names, round(MOST_SUBJECTS * share), f"{name[0]}{batch:x}"))
+            role._told(_holdings(names, round(MAX_SUBJECTS * share), f"{name[0]}{batch:x}"))
         gc.collect()
         pipe.send((name, resident_mb(), time.process_time() - began))
     pipe.send(None)
@@ -97,9 +97,9 @@
     frame = KINDS.encode(
         HoldingNews(
             tuple(
-                Holding(f"{mark}{i:07x}".encode(), names[(i * MOST_HOLDERS + k) % len(names)])
+                Holding(f"{mark}{i:07x}".encode(), names[(i * MAX_HOLDERS + k) % len(names)])
                 for i in range(subjects)
-                for k in range(MOST_HOLDERS)
+                for k in range(MAX_HOLDERS)
             )
         )
     )
@@ -109,7 +109,7 @@
 
 def _full(shape: Shape) -> int:
     """After so many of those news the table of what upstreams have read has been filled twice."""
-    told = MOST_SUBJECTS * MOST_HOLDERS * shape.upstreams / TARGET.upstreams
+    told = MAX_SUBJECTS * MAX_HOLDERS * shape.upstreams / TARGET.upstreams
     return math.ceil(2 * MOST_PAIRS / told)
 
 
--- a/mastturn/capacity/network.py
+++ b/mastturn/capacity/network.py
@@ -15,10 +15,10 @@
 
 import consensus.messages
 import dissemination.messages
-from transport.wire import PACKED, Kinds
+from transport.wire import COMPRESSED_KIND, MessageKinds
 
 HEAD = struct.Struct(">IH")
-KINDS = Kinds().include(consensus.messages.KINDS).include(dissemination.messages.KINDS)
+KINDS = MessageKinds().include(consensus.messages.KINDS).include(dissemination.messages.KINDS)
 NAMES = {number: kind.cls.__name__ for number, kind in KINDS._by_number.items()}
 STATION_PORT, CTL_PORT, PLATFORM_PORT = 7720, 8166, 8169
 IN_ZONE_S, CROSS_ZONE_S, CROSS_REGION_S = 0.0001, 0.0014, 0.012  # one way
@@ -34,7 +34,7 @@
         return "operator"
     if len(data) >= HEAD.size:
         size, number = HEAD.unpack_from(data)
-        if number == PACKED and size + HEAD.size == len(data):
+        if number == COMPRESSED_KIND and size + HEAD.size == len(data):
             return NAMES.get(int.from_bytes(data[HEAD.size : HEAD.size + 2], "big"), "other")
         if size + HEAD.size == len(data) and number in NAMES:
             return NAMES[number]
--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -16,9 +16,9 @@
 from config.checking import check, parse_configuration, parse_upstreams
 from control.platform import pack
 from dissemination.holdings import Holdings
-from dissemination.lists import change_of, changed
-from dissemination.load_steps import Loads, LoadTable, LoadTeller
-from dissemination.loads import OthersLoad, add, unpack
+from dissemination.lists import apply_change, diff_lists
+from dissemination.load_steps import Loads, LoadStepEncoder, LoadTable
+from dissemination.loads import PeerLoads, add, unpack
 from dissemination.loads import pack as pack_loads
 from dissemination.messages import (
     ConfigurationNews,
@@ -79,7 +79,7 @@
     takes = iter([other, parsed] * repeats)
     drains = [e | {"state": "draining"} if i == entries // 2 else e for i, e in enumerate(raw)]
     later = UpstreamNews(1, 2, pack(drains))
-    change = change_of(news, later)
+    change = diff_lists(news, later)
     assert change is not None
     return {
         "bytes": len(frame),
@@ -92,8 +92,8 @@
         "first_take_s": cost_s(lambda: Tiers(random.Random(1), lambda name: True).take(parsed, 0.0), repeats),
         "take_s": cost_s(lambda: tiers.take(next(takes), 1.0), repeats),
         "change_bytes": len(KINDS.encode(change)),
-        "change_s": cost_s(lambda: changed(news, change), repeats),
-        "change_tell_s": cost_s(lambda: change_of(news, later), repeats),
+        "change_s": cost_s(lambda: apply_change(news, change), repeats),
+        "change_tell_s": cost_s(lambda: diff_lists(news, later), repeats),
     }
 
 
@@ -104,7 +104,7 @@
     loads: Loads = {name: (chance.randint(1, 40), chance.randint(0, 40_000)) for name in names}
     news = LoadNews(1, 1, pack_loads(loads))
     frame = KINDS.encode(news)
-    others = OthersLoad()
+    others = PeerLoads()
 
     def total() -> None:
         sums: Loads = {}
@@ -126,8 +126,8 @@
     chance = random.Random(changes)
     names = [e["id"] for e in list_entries(TARGET)]
     loads: Loads = {name: (chance.randint(1, 40), chance.randint(0, 40_000)) for name in names}
-    table, others, numbers = LoadTable(), OthersLoad(), itertools.count(1)
-    whole = LoadTeller().whole(loads)
+    table, others, numbers = LoadTable(), PeerLoads(), itertools.count(1)
+    whole = LoadStepEncoder().whole(loads)
     table.take(1, 0, *whole)
     told = sorted(chance.sample(range(len(names)), changes))
     figures = [x for place in told for x in (place, chance.randint(1, 40), chance.randint(0, 40_000))]
@@ -141,7 +141,7 @@
         others.step(table.loads, before, {})
 
     def tell() -> None:
-        teller = LoadTeller(1e9)
+        teller = LoadStepEncoder(1e9)
         teller.whole({})
         teller.mark(names[:changes])
         teller.step(loads, 1.0)
--- a/mastturn/capacity/remedies.py
+++ b/mastturn/capacity/remedies.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from dissemination.follower import PULSE_S
-from dissemination.loads import PERIOD_S
+from dissemination.follower import PULSE_INTERVAL_S
+from dissemination.loads import REPORT_INTERVAL_S
 from dissemination.relays import DEGREE
 from mastturn.capacity import budget
 from mastturn.capacity.foreseen import one_report_entries, steps_down, told_entries
@@ -65,9 +65,10 @@
     return [
         Remedy("sums of load", "in force: by place, the most wrong first, 40 ms or 6 kB a second",
                steps_down(TARGET), "what is told of a reader is a second old at the peak"),
-        Remedy("sums of load", "all by name, every 40 ms", bytes_of("loads", told) / PERIOD_S, ""),
+        Remedy("sums of load", "all by name, every 40 ms", bytes_of("loads", told) / REPORT_INTERVAL_S, ""),
         Remedy("sums of load", "what has changed, every 40 ms",
-               bytes_of("loads", changed_entries(PERIOD_S)) / PERIOD_S, "a whole one for whoever comes"),
+               bytes_of("loads", changed_entries(REPORT_INTERVAL_S)) / REPORT_INTERVAL_S,
+               "a whole one for whoever comes"),
         Remedy("sums of load", "all by name, every 1 s", bytes_of("loads", told),
                "older than a prompt's reading"),
         Remedy("sums of load", f"all by place in the list, a byte each, every {SLOW_S} s", dense / SLOW_S,
@@ -93,7 +94,7 @@
         Remedy("members", "whole at each change, a balancer's start and end",
                budget.MEMBER_CHANGES / budget.DAY_S * bytes_of("members", TARGET.balancers), ""),
         Remedy("members", "a rolling restart of all: with each pulse",
-               bytes_of("members", TARGET.balancers) / PULSE_S, "for as long as that goes on"),
+               bytes_of("members", TARGET.balancers) / PULSE_INTERVAL_S, "for as long as that goes on"),
     ]  # fmt: skip
 
 
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -17,7 +17,7 @@
 from config.settings import Bounds, CloudApi, Limits, Settings
 from dissemination.holdings import Holdings
 from dissemination.load_steps import Loads
-from dissemination.loads import ENTRY_BYTES, LoadSum, OthersLoad
+from dissemination.loads import ENTRY_BYTES, LoadSum, PeerLoads
 from dissemination.messages import Holding, HoldingNews, HoldingReport, LoadNews, LoadReport, UpstreamLoad
 from mastturn.engines.demand import Asked
 from mastturn.engines.engine import Engine
@@ -92,11 +92,11 @@
             self.zone, self.network, self._handshake_ms, self._job, self._size_of, self._figures
         )
         self.plane = DataPlane(self._settings, self._seed, self.upstreams, self._tiers)
-        self._others = OthersLoad()
+        self._others = PeerLoads()
         self.loads = LoadSum(self._own, self._loaded)
         self._reported: Loads = {}
         self.plane.heed_others(self._others.of)
-        self.plane.tell_load(self.loads.touch)
+        self.plane.tell_load(self.loads.schedule)
         self.plane.tell_kept(self._kept)
         self.holdings = Holdings()
         self._unsaid: list[Holding] = []
@@ -205,7 +205,7 @@
         for client in clients.values():
             client.break_off()
         if self.parent is not None:
-            self.parent.loads.forget(self)
+            self.parent.loads.remove_child(self)
 
     def start(self, configuration: Configuration, entries: tuple[Upstream, ...], balancers: int) -> None:
         """A new process in its place."""
--- a/mastturn/engines/control.py
+++ b/mastturn/engines/control.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from config.configuration import Upstream
-from control.phase_controller import LOOK_S, PhaseController
-from dissemination.follower import STALE_S
+from control.phase_controller import CONTROL_INTERVAL_S, PhaseController
+from dissemination.follower import STALE_AFTER_S
 from mastturn.engines.balancer import Node, Root
 from mastturn.engines.engine import Engine
 from mastturn.engines.wire import Network
@@ -88,7 +88,7 @@
 
     def _list(self) -> None:
         loop = asyncio.get_running_loop()
-        shown = self._phase_controller.dress(self._read, loop.time())
+        shown = self._phase_controller.mark_moving(self._read, loop.time())
         if shown == self._told or loop.time() < self._silent_until:
             return
         self._told = shown
@@ -111,8 +111,8 @@
 
     def _look(self) -> None:
         loop = asyncio.get_running_loop()
-        self._phase_controller.look(loop.time())
-        loop.call_later(LOOK_S, self._look)
+        self._phase_controller.tick(loop.time())
+        loop.call_later(CONTROL_INTERVAL_S, self._look)
 
     async def _prove(self) -> int:
         return 1
@@ -124,8 +124,8 @@
         self._root.silent_until = self._silent_until
         self._phase_controller.lead(False, loop.time())
         loop.call_later(for_s, self._lead_again)
-        if for_s >= STALE_S:
-            loop.call_later(STALE_S, self._forget_loads)
+        if for_s >= STALE_AFTER_S:
+            loop.call_later(STALE_AFTER_S, self._forget_loads)
 
     def _lead_again(self) -> None:
         now = asyncio.get_running_loop().time()
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -17,13 +17,13 @@
 from config.errors import GapError
 from control.cold_times import ColdTimes
 from control.platform import PlatformError, PlatformList, pack
-from dissemination.bulletin import Bulletin
-from dissemination.lists import change_of, changed, same_as
+from dissemination.bulletin import LatestUpdates
+from dissemination.lists import apply_change, diff_lists, unchanged_list
 from dissemination.messages import Present, UpstreamChange, UpstreamNews
 from dissemination.relays import heads_of
 from transport.endpoint import Endpoint
 from transport.links import Links
-from transport.wire import packed
+from transport.wire import compress_frame
 
 ALONE_S = 1.8  # without news for so long we read the platform's list ourselves
 SHARE = 0.25  # of the platform's rate that all balancers may use when they are alone
@@ -69,7 +69,7 @@
         self,
         me: Present,
         platform: PlatformList,
-        bulletin: Bulletin,
+        latest: LatestUpdates,
         links: Links,
         is_fresh: Callable[[float], bool],
         told: Callable[[UpstreamNews, UpstreamChange | None], None],
@@ -80,7 +80,7 @@
         `told`: a list that is new here, and what has changed in it. `port`: where balancers hear each other.
         """
         self._port = port
-        self._me, self._platform, self._bulletin, self._links = me, platform, bulletin, links
+        self._me, self._platform, self._latest, self._links = me, platform, latest, links
         self._is_fresh, self._told = is_fresh, told
         self._calls_s = math.inf
         self._cold_times = ColdTimes()
@@ -91,7 +91,7 @@
     def allow(self, calls_s: float) -> None:
         """So many pages a second of the platform's list may be asked for by all."""
         self._calls_s = calls_s * SHARE
-        self._platform.allow(self._calls_s)
+        self._platform.set_rate(self._calls_s)
 
     def wait_s(self, now: float, most: float) -> float:
         """How long there is nothing to do."""
@@ -99,7 +99,7 @@
 
     async def look(self, now: float) -> None:
         """Read the list if we are alone and it is our turn."""
-        if self._is_fresh(ALONE_S) or self._bulletin.configuration is None:
+        if self._is_fresh(ALONE_S) or self._latest.configuration is None:
             self._due = None
             return
         turn = self._turn()
@@ -113,7 +113,7 @@
 
     def _turn(self) -> Turn:
         pages = max(self._platform.pages, math.ceil(self.listed / PAGE))
-        members = self._bulletin.members
+        members = self._latest.members
         return turn_of(self._me, members.balancers if members is not None else (), pages, self._calls_s)
 
     async def _read(self, turn: Turn) -> None:
@@ -125,10 +125,10 @@
         if self._is_fresh(ALONE_S):
             return
         page = pack(self._cold_times.settle(entries, asyncio.get_running_loop().time()))
-        is_new, news, kinds = self._take(page), self._bulletin.upstreams, self._links.kinds
+        is_new, news, kinds = self._take(page), self._latest.upstreams, self._links.kinds
         if news is None or not turn.tells:
             return
-        frame = packed(kinds.encode(news)) if is_new else kinds.encode(same_as(news))
+        frame = compress_frame(kinds.encode(news)) if is_new else kinds.encode(unchanged_list(news))
         for ip in turn.tells:
             self._links.send_frame(Endpoint(ip, self._port), frame)
 
@@ -138,7 +138,7 @@
             return
         if isinstance(message, UpstreamChange):
             try:
-                message = changed(self._bulletin.upstreams, message)
+                message = apply_change(self._latest.upstreams, message)
             except GapError:
                 return  # we have another: its next change comes whole, or we read it ourselves
         self._spared_at = asyncio.get_running_loop().time()
@@ -146,12 +146,12 @@
 
     def _take(self, page: bytes) -> bool:
         """A list as the platform gave it, under a stamp of our own; whether it was new here."""
-        known = self._bulletin.upstreams
+        known = self._latest.upstreams
         if known is not None and known.page == page:
             return False
         epoch, number = (known.epoch, known.number) if known is not None else (0, 0)
         news = UpstreamNews(epoch, number + 1, page)
-        is_new = self._bulletin.take(news)
+        is_new = self._latest.store(news)
         if is_new:
-            self._told(news, change_of(known, news))
+            self._told(news, diff_lists(known, news))
         return is_new
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -16,11 +16,11 @@
 from config.settings import Settings, parse_address
 from control.platform import PlatformList
 from dissemination import messages
-from dissemination.bulletin import Bulletin
-from dissemination.counting import Headcount
-from dissemination.doubts import DoubtExchange
+from dissemination.bulletin import LatestUpdates
+from dissemination.counting import BalancerCount
+from dissemination.doubts import FailureExchange
 from dissemination.feed import Feed
-from dissemination.follower import STALE_S, Follower, Ports
+from dissemination.follower import STALE_AFTER_S, Follower, Ports
 from dissemination.holdings import Holdings
 from dissemination.list_reader import ListReader
 from dissemination.messages import (
@@ -50,10 +50,10 @@
 from mastturnd.load_exchange import LoadExchange
 from transport.endpoint import Endpoint
 from transport.links import Links
-from transport.tasks import keep_on
-from transport.wire import EDITION, Kinds, Link
+from transport.tasks import run_forever
+from transport.wire import EDITION, Link, MessageKinds
 
-KINDS = Kinds().include(messages.KINDS)
+KINDS = MessageKinds().include(messages.KINDS)
 HOLDINGS_S = 0.1  # what was seen read is reported no sooner after the report before
 SILENT_S = 2.5  # a balancer below us that says nothing for so long has gone
 
@@ -65,16 +65,16 @@
         """`listener`: the socket for clients, where it listens already."""
         self.settings = settings
         self.balancer = Balancer(settings, secrets.randbits(32), listener)
-        self._bulletin = Bulletin()
+        self._latest = LatestUpdates()
         self._list_reader = ListReader()
         self._reader = ConfigurationReader()
         own = Endpoint(settings.ip, settings.balancer_port)
         self._links = Links(KINDS, own, self._heard, self._ended)
-        self._feed = Feed(self._bulletin, KINDS, lambda: None)
-        self._loads = LoadExchange(self.balancer.loads, self._bulletin, self._feed, lambda: self._follower)
+        self._feed = Feed(self._latest, KINDS, lambda: None)
+        self._loads = LoadExchange(self.balancer.loads, self._latest, self._feed, lambda: self._follower)
         self._others = self._loads.others
         self.balancer.heed_others(self._others.of)
-        self.balancer.tell_load(self._loads.sum.touch)
+        self.balancer.tell_load(self._loads.sum.schedule)
         self._holdings = Holdings()
         self._unsaid: list[Holding] = []  # seen here or below, and not reported yet
         self.balancer.tell_kept(self._kept)
@@ -82,21 +82,21 @@
         self._follower = Follower(
             me,
             self._links,
-            self._bulletin,
+            self._latest,
             Ports(settings.control_port, settings.balancer_port),
             settings.seed_ips,
             self._told,
             self._feed.present,
             self._attached,
-            self._loads.sum.begin_steps,
+            self._loads.sum.resend_steps,
             secrets.randbits(32),
         )
-        self._doubts = DoubtExchange(self.balancer, self._bulletin, self._follower.say)
+        self._doubts = FailureExchange(self.balancer, self._latest, self._follower.send)
         self._platform = PlatformList(parse_address(settings.cloud_api.addr), settings.cloud_api.rate_per_s)
         self._lone = LoneReader(
             me,
             self._platform,
-            self._bulletin,
+            self._latest,
             self._links,
             self._follower.is_fresh,
             self._told,
@@ -104,7 +104,7 @@
         )
         self._lone.allow(settings.cloud_api.rate_per_s)
         self._tasks: list[asyncio.Task[None]] = []
-        self._headcount = Headcount()
+        self._headcount = BalancerCount()
         self._drained = False  # the configuration has us take no new clients
         self._tap: Any = None  # while every step of a request is logged
         self.balancer.other_calls = self._asked
@@ -115,7 +115,7 @@
         await self.balancer.start()
         self._log_steps()
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(keep_on(work)) for work in (self._follower.run, self._watch)]
+        self._tasks = [loop.create_task(run_forever(work)) for work in (self._follower.run, self._watch)]
 
     async def stop(self) -> None:
         """Answer what is held, and end."""
@@ -127,8 +127,8 @@
     def reconfigure(self, settings: Settings) -> None:
         """The settings file has changed."""
         self.settings = settings
-        self._follower.seeds(settings.seed_ips)
-        self._platform.move(parse_address(settings.cloud_api.addr))
+        self._follower.set_seeds(settings.seed_ips)
+        self._platform.set_address(parse_address(settings.cloud_api.addr))
         self._lone.allow(settings.cloud_api.rate_per_s)
         self._log_steps()
 
@@ -153,7 +153,7 @@
 
     def standing(self) -> dict[str, Any]:
         """What this process knows and is told, for a report."""
-        known = self._bulletin
+        known = self._latest
         return {
             "drained": self._drained,
             "fresh": self._follower.is_fresh(),
@@ -169,8 +169,8 @@
     # ---- news
 
     def _heard(self, link: Link, message: Any) -> None:
-        if self._follower.hears(link):
-            self._follower.heard(link, message)
+        if self._follower.is_parent_link(link):
+            self._follower.on_message(link, message)
             return
         match message:
             case Attach():
@@ -180,9 +180,9 @@
                 else:
                     link.send(Moved(()))  # what we know may be old
             case Roll():
-                self._feed.roll(link, message)
+                self._feed.on_roll(link, message)
             case Speaks():
-                self._feed.speaks(link, message)
+                self._feed.on_hello(link, message)
                 link.send(Speaks(EDITION, b""))
             case LoadReport() | LoadReportStep():
                 self._loads.heard_below(link, message)
@@ -190,16 +190,16 @@
                 self._doubts.sum.report(link, message)
             case HoldingReport(holdings):
                 self._say_later(self._hold(holdings))
-            case EpochHeard(epoch) if epoch > self._bulletin.epoch():
-                self._follower.say(message)
+            case EpochHeard(epoch) if epoch > self._latest.epoch():
+                self._follower.send(message)
             case UpstreamNews() | UpstreamChange():
                 self._lone.heard(link.peer, message)
 
     def _ended(self, link: Link) -> None:
-        self._follower.ended(link)
-        self._feed.ended(link)
-        self._loads.sum.forget(link)
-        self._doubts.sum.forget(link)
+        self._follower.on_closed(link)
+        self._feed.on_closed(link)
+        self._loads.sum.remove_child(link)
+        self._doubts.sum.remove_child(link)
 
     # ---- what upstreams have read
 
@@ -213,7 +213,7 @@
         for holding in new:
             self.balancer.heed_kept(holding.subject, holding.upstream)
         if new:
-            self._feed.tell(HoldingNews(new))
+            self._feed.broadcast(HoldingNews(new))
         return new
 
     def _say_later(self, new: tuple[Holding, ...]) -> None:
@@ -223,42 +223,42 @@
 
     def _say_holdings(self) -> None:
         unsaid, self._unsaid = tuple(self._unsaid), []
-        self._follower.say(HoldingReport(unsaid))
-        self._feed.tell(HoldingNews(unsaid))
+        self._follower.send(HoldingReport(unsaid))
+        self._feed.broadcast(HoldingNews(unsaid))
 
     def _attached(self) -> None:
         """Whoever tells us the news from now on knows nothing of us yet."""
-        self._loads.sum.again()
-        self._doubts.sum.again()
-        self._follower.say(HoldingReport(self._holdings.seen()))
+        self._loads.sum.resend()
+        self._doubts.sum.resend()
+        self._follower.send(HoldingReport(self._holdings.first_hand()))
 
     def _told(self, message: Any, new: Any = None) -> None:
         """A newer piece of news: on to whoever hears it from us, and in force here. `new`: see `Follower`."""
         match message:
             case UpstreamNews():
-                self._feed.tell_list(message, new)
+                self._feed.broadcast_list(message, new)
                 self._list(message, new)
             case LoadNews() | LoadStep():
                 self._loads.heard(message, new)
             case DoubtNews():
-                self._feed.tell(message)
-                self._doubts.told(message)
+                self._feed.broadcast(message)
+                self._doubts.on_update(message)
             case HoldingNews(holdings):
                 self._hold(holdings)
             case ConfigurationNews(ver, body):
-                self._feed.tell(message)
+                self._feed.broadcast(message)
                 self._configure(ver, body)
             case MemberNews(balancers=present):
-                self._feed.tell(message)
+                self._feed.broadcast(message)
                 nodes = sorted(one.node for one in present)
                 self.balancer.stand_among(Place.among(self.settings.node, nodes))
             case Pulse():
-                self._feed.tell(message)
-                self._doubts.pulsed(message)
+                self._feed.broadcast(message)
+                self._doubts.on_pulse(message)
                 if number := self._headcount.take(message, asyncio.get_running_loop().time()):
                     self.balancer.count_balancers(number)
             case _:
-                self._feed.tell(message)
+                self._feed.broadcast(message)
 
     def _configure(self, ver: int, body: bytes) -> None:
         try:
@@ -282,7 +282,7 @@
         self._allow()
 
     def _allow(self) -> None:
-        known = self._bulletin
+        known = self._latest
         equipped = known.configuration is not None and known.upstreams is not None
         self.balancer.allow_ready(equipped and not self._drained)
 
@@ -297,11 +297,11 @@
         """Without the control state the list is read here, or by another balancer of the zone for us."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(self._lone.wait_s(loop.time(), STALE_S / 2))
+            await asyncio.sleep(self._lone.wait_s(loop.time(), STALE_AFTER_S / 2))
             now = loop.time()
-            self._feed.sweep(now, SILENT_S)
+            self._feed.drop_silent(now, SILENT_S)
             if not self._follower.is_fresh():
                 self._others.clear()
-                self._bulletin.forget_loads()
-                self._doubts.lost()
+                self._latest.clear_loads()
+                self._doubts.clear()
             await self._lone.look(now)
--- a/mastturnd/control_calls.py
+++ b/mastturnd/control_calls.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING
 from weakref import WeakKeyDictionary
 
-from control.operators import CALLS
+from control.operators import OPERATOR_ROUTES
 from mastturnd.pace import Pace
-from transport.calls import Call, Reply, say
+from transport.calls import Request, Response, json_response
 
 if TYPE_CHECKING:
     from control.node import ControlNode
@@ -29,33 +29,33 @@
     return not pace.allows(asyncio.get_running_loop().time())
 
 
-def _wait() -> Reply:
-    return say(429, "asked too often; ask again in a second", Retry_After="1")
+def _wait() -> Response:
+    return json_response(429, "asked too often; ask again in a second", Retry_After="1")
 
 
-@CALLS.on("GET", "/api/status")
-async def get_status(control: ControlNode, call: Call) -> Reply:
+@OPERATOR_ROUTES.route("GET", "/api/status")
+async def get_status(control: ControlNode, request: Request) -> Response:
     """This process's own word on who leads, what is kept here and who is present."""
     if _is_too_often(_STATUS):
         return _wait()
     from mastturnd import control_report
 
-    return Reply(200, json.dumps(control_report.status(control)).encode())
+    return Response(200, json.dumps(control_report.status(control)).encode())
 
 
-@CALLS.on("GET", "/metrics")
-async def get_metrics(control: ControlNode, call: Call) -> Reply:
+@OPERATOR_ROUTES.route("GET", "/metrics")
+async def get_metrics(control: ControlNode, request: Request) -> Response:
     """The same as figures for a collector."""
     if _is_too_often(_METRICS):
         return _wait()
     from mastturnd import figures
 
     found = await figures.text("mastturnd.control_figures", control)
-    return Reply(200, found, content_type=figures.CONTENT_TYPE)
+    return Response(200, found, content_type=figures.CONTENT_TYPE)
 
 
-@CALLS.on("GET", "/dashboard")
-async def get_dashboard(control: ControlNode, call: Call) -> Reply:
+@OPERATOR_ROUTES.route("GET", "/dashboard")
+async def get_dashboard(control: ControlNode, request: Request) -> Response:
     """A page for a browser on the whole fleet, as this process finds it."""
     if _is_too_often(_DASHBOARD):
         return _wait()
--- a/mastturnd/control_report.py
+++ b/mastturnd/control_report.py
@@ -29,7 +29,7 @@
 
 def status(node: ControlNode) -> dict[str, Any]:
     """All that an operator may want of one control process; times in milliseconds."""
-    replica, publisher, keeper = node.parts()
+    replica, publisher, keeper = node.components()
     settings = node.settings
     found: dict[str, Any] = {
         "role": CONTROL,
@@ -86,11 +86,11 @@
             if member is not None
         ]
     if replica.primary is not None:
-        present, loads = publisher.told()
+        present, loads = publisher.reported_state()
         found["present"] = [
             {"node": p.node, "ip": p.ip, "zone": p.zone} for p in sorted(present, key=lambda p: p.node)
         ]
-        found["upstreams"] = _upstreams(publisher.bulletin.upstreams, loads)
+        found["upstreams"] = _upstreams(publisher.latest.upstreams, loads)
     return found
 
 
@@ -100,7 +100,7 @@
     adds = replica.adds
     return {
         "ready": node.tallies.is_ready(),
-        "disk_well": node.tallies.takes_adds(),
+        "disk_well": node.tallies.accepts_adds(),
         "tallies": adds.tallies(),
         "ids": adds.live,
         "folded": adds.folded()[0],
--- a/mastturnd/dashboard.py
+++ b/mastturnd/dashboard.py
@@ -15,7 +15,7 @@
 from mastturnd import fleet_status
 from mastturnd.tables import is_number, shown
 from mastturnd.wrong import UnansweredError
-from transport.calls import Reply, say
+from transport.calls import Response, json_response
 
 FRESH_S = 2.0  # a page is shown to all who ask within this
 RELOAD_S = 5  # a browser asks again
@@ -42,10 +42,10 @@
     """The page of one control process: made for whoever is first, and shown to all who ask meanwhile."""
 
     def __init__(self) -> None:
-        self._making: asyncio.Task[Reply] | None = None
-        self._made, self._at = say(503), float("-inf")
+        self._making: asyncio.Task[Response] | None = None
+        self._made, self._at = json_response(503), float("-inf")
 
-    async def page(self, settings: Settings) -> Reply:
+    async def page(self, settings: Settings) -> Response:
         """The page, at most FRESH_S old."""
         loop = asyncio.get_running_loop()
         if loop.time() - self._at > FRESH_S:
@@ -54,7 +54,7 @@
             return await asyncio.shield(self._making)
         return self._made
 
-    async def _make(self, settings: Settings) -> Reply:
+    async def _make(self, settings: Settings) -> Response:
         try:
             self._made = await asyncio.to_thread(reply, settings)
             self._at = asyncio.get_running_loop().time()
@@ -63,7 +63,7 @@
             self._making = None
 
 
-def reply(settings: Settings) -> Reply:
+def reply(settings: Settings) -> Response:
     """Ask the whole fleet, and answer with the page; it takes a few seconds where some are silent."""
     own = settings.listen.ctl
     ctl = list(dict.fromkeys([*([own] if own else []), *settings.seed_addrs]))
@@ -71,9 +71,9 @@
     try:
         found = fleet_status.gather(places, settings.readyz_port or None, MOST_BALANCERS)
     except UnansweredError as error:
-        return say(503, str(error))
+        return json_response(503, str(error))
     at = time.strftime("%H:%M:%S")
-    return Reply(200, page(found, settings.node, at).encode(), HEADERS, "text/html; charset=utf-8")
+    return Response(200, page(found, settings.node, at).encode(), HEADERS, "text/html; charset=utf-8")
 
 
 def page(found: dict[str, Any], by: str, at: str) -> str:
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -21,22 +21,22 @@
 from consensus.messages import Answer, Ask, Join, Known
 from consensus.primary import Command
 from consensus.views import Member, View
-from control.operators import CALLS, HELD_S, LOOK_S
-from control.tally_calls import START as TALLIES
+from control.operators import DECISION_TIMEOUT_S, OPERATOR_ROUTES, POLL_INTERVAL_S
+from control.tally_calls import TALLIES_PREFIX as TALLIES
 from dissemination import messages as news
 from dissemination.messages import Attach, Moved
 from tallies import messages as tallies
-from transport.calls import Call, Calls, CallServer, Reply, say
+from transport.calls import HttpServer, Request, Response, Routes, json_response
 from transport.endpoint import Endpoint
 from transport.links import Links
-from transport.tasks import keep_on
-from transport.wire import Kinds, Link
+from transport.tasks import run_forever
+from transport.wire import Link, MessageKinds
 
 ASK_S = 0.25  # the members are asked no sooner after the last time
 HEARD_S = 1.5  # a leader that was heard within this is there
 KEEP_S = 5.0  # the members are asked so often while nobody wants to know: whom to ask is in memory alone
-KINDS = Kinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
-REFERRED = Calls().include(CALLS)  # operators' calls find no primary here, and are led on
+KINDS = MessageKinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
+REFERRED = Routes().include(OPERATOR_ROUTES)  # operators' calls find no primary here, and are led on
 
 
 class ReferralNode:
@@ -48,7 +48,7 @@
         self._identity = f"referral-{secrets.token_hex(8)}"
         own = Endpoint(settings.ip, settings.control_port)
         self._links = Links(KINDS, own, self._heard, lambda link: None, callers_share_port=False)
-        self._calls = CallServer(REFERRED, self)
+        self._calls = HttpServer(REFERRED, self)
         self._view: View | None = None  # the latest that a member has told
         self._heard_at: dict[str, float] = {}  # by member's identity: when it answered last
         self._callers: set[str] = set()  # IPs of newcomers, where all seeds are as we are
@@ -60,7 +60,7 @@
         await self._links.start()
         if self.settings.listen.ctl:
             await self._calls.start(parse_address(self.settings.listen.ctl))
-        self._task = asyncio.get_running_loop().create_task(keep_on(self._keep_in_touch))
+        self._task = asyncio.get_running_loop().create_task(run_forever(self._keep_in_touch))
 
     async def stop(self) -> None:
         """Close everything: nothing rests on us."""
@@ -75,7 +75,7 @@
 
     # ---- what operators' calls need
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether we are the primary: never."""
         return False
 
@@ -104,7 +104,7 @@
         """No command is carried out here."""
         raise NotImplementedError("a process without a disk leads nothing")
 
-    def token(self) -> int:
+    def next_token(self) -> int:
         """A number for a command that is not carried out here."""
         return 0
 
@@ -164,35 +164,35 @@
             self._heard_at = {i: at for i, at in self._heard_at.items() if i in named}
 
 
-async def _lead_on(find: Callable[[], Member | None], call: Call) -> Reply:
+async def _lead_on(find: Callable[[], Member | None], request: Request) -> Response:
     """Where the call is answered; a member that answers it is waited for a little."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + HELD_S
+    until = loop.time() + DECISION_TIMEOUT_S
     while loop.time() < until:
         if (member := find()) is not None:
-            return say(307, "another answers this", Location=f"http://{member.ctl}{call.path}")
-        await asyncio.sleep(LOOK_S)
-    return say(503, "nobody who answers this at the moment; ask again", Retry_After="0.2")
+            return json_response(307, "another answers this", Location=f"http://{member.ctl}{request.path}")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return json_response(503, "nobody who answers this at the moment; ask again", Retry_After="0.2")
 
 
-async def _lead_to_leader(node: ReferralNode, call: Call) -> Reply:
-    return await _lead_on(node.leader, call)
+async def _lead_to_leader(node: ReferralNode, request: Request) -> Response:
+    return await _lead_on(node.leader, request)
 
 
-async def _lead_to_member(node: ReferralNode, call: Call) -> Reply:
+async def _lead_to_member(node: ReferralNode, request: Request) -> Response:
     """Every member answers for tallies, also on a side of a cut where nobody leads."""
-    return await _lead_on(node.member_in_reach, call)
+    return await _lead_on(node.member_in_reach, request)
 
 
-REFERRED.on_named("POST", TALLIES)(_lead_to_member)
-REFERRED.on_named("GET", TALLIES)(_lead_to_member)
-REFERRED.on("GET", "/api/status")(_lead_to_leader)
-REFERRED.on("GET", "/dashboard")(_lead_to_leader)
+REFERRED.route_prefix("POST", TALLIES)(_lead_to_member)
+REFERRED.route_prefix("GET", TALLIES)(_lead_to_member)
+REFERRED.route("GET", "/api/status")(_lead_to_leader)
+REFERRED.route("GET", "/dashboard")(_lead_to_leader)
 
 
-@REFERRED.on("GET", "/metrics")
-async def _metrics(node: ReferralNode, call: Call) -> Reply:
+@REFERRED.route("GET", "/metrics")
+async def _metrics(node: ReferralNode, request: Request) -> Response:
     from mastturnd import figures
 
     found = await figures.text("mastturnd.referral_figures", node)
-    return Reply(200, found, content_type=figures.CONTENT_TYPE)
+    return Response(200, found, content_type=figures.CONTENT_TYPE)
--- a/tallies/messages.py
+++ b/tallies/messages.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 
 from transport.schema import Int32
-from transport.wire import Kinds
+from transport.wire import MessageKinds
 
-KINDS = Kinds()
+KINDS = MessageKinds()
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/fabric_callers.py
+++ b/tests/fabric_callers.py
@@ -295,13 +295,13 @@
     def tell_load(self, changed: Callable[[], None]) -> None:
         self.changed = changed
 
-    def tell_doubts(self, changed: Callable[[], None]) -> None:
+    def on_failures_changed(self, changed: Callable[[], None]) -> None:
         self.doubts_changed = changed
 
-    def doubts(self) -> dict[tuple[str, str], tuple[int, int]]:
+    def failure_counts(self) -> dict[tuple[str, str], tuple[int, int]]:
         return dict(self.held_against)
 
-    def heed_doubts(self, told: dict[tuple[str, str], tuple[int, int]]) -> None:
+    def apply_failure_counts(self, told: dict[tuple[str, str], tuple[int, int]]) -> None:
         self.told_doubts = told
 
     def tell_kept(self, tell: Callable[[bytes, str], None]) -> None:
--- a/tests/fabric_world.py
+++ b/tests/fabric_world.py
@@ -232,7 +232,7 @@
 
     def primary(self) -> str:
         """Who leads; empty if nobody does."""
-        leading = [m.name for m in self.cores() if self.running(m) and m.role.leads()]
+        leading = [m.name for m in self.cores() if self.running(m) and m.role.is_leader()]
         return leading[-1] if leading else ""
 
     def backup(self) -> str:
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -13,8 +13,8 @@
 from balancer.tiers import Tiers
 from balancer.trust import HARD, KEPT, SILENT, WARY_S, WINDOW_S, is_failure
 from config.configuration import Upstream
-from dissemination.doubts import DoubtSum, pack, unpack
-from dissemination.messages import Doubt, DoubtReport
+from dissemination.doubts import FailureSum, pack, unpack
+from dissemination.messages import DoubtReport, UpstreamFailures
 from passpost.http1 import Answer
 from tests.balancer_stage import Stage as Stand
 from tests.balancer_stage import answer, configuration, playing, route
@@ -181,15 +181,15 @@
 
 def test_sums_of_doubts_hold_each_child_once_and_forget_the_gone() -> None:
     async def scene() -> None:
-        told: list[tuple[Doubt, ...]] = []
-        total = DoubtSum(lambda: {("a", "z"): (1, 2)}, told.append)
-        total.report("x", DoubtReport((Doubt("a", "z", 2, 3), Doubt("b", "y", 1, 1))))
-        total.report("x", DoubtReport((Doubt("a", "z", 1, 1),)))
+        told: list[tuple[UpstreamFailures, ...]] = []
+        total = FailureSum(lambda: {("a", "z"): (1, 2)}, told.append)
+        total.report("x", DoubtReport((UpstreamFailures("a", "z", 2, 3), UpstreamFailures("b", "y", 1, 1))))
+        total.report("x", DoubtReport((UpstreamFailures("a", "z", 1, 1),)))
         total._tell()
-        total.forget("x")
+        total.remove_child("x")
         total._tell()
         total._tell()
-        assert told == [(Doubt("a", "z", 2, 3),), (Doubt("a", "z", 1, 2),)]
+        assert told == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
 
     asyncio.run(scene())
     assert unpack(pack({("a", "z"): (1, 2), ("b", "z"): (0, 0)})) == {("a", "z"): (1, 2)}
@@ -246,7 +246,7 @@
             stage.list(gone, *good)
             for n in range(30):
                 await stage.ask(f"r{n}")
-            assert stage.balancer.doubts() == {("i-0", "a"): (1, HARD)}
+            assert stage.balancer.failure_counts() == {("i-0", "a"): (1, HARD)}
 
     asyncio.run(scene())
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -26,7 +26,7 @@
 from mastturn.capacity.slopes import agrees, fit, quantile
 from mastturn.capacity.troubles import run_troubles
 from mastturn.files import LabError
-from transport.wire import packed
+from transport.wire import compress_frame
 
 SMALL = Shape(balancers=8, upstreams=40, zones=2, regions=2, services=3, routes=6, requests_s=2_400.0)
 
@@ -173,7 +173,7 @@
 def test_what_one_sends_another_gets(small_day: dict[str, Any]) -> None:
     roles = small_day["phases"]["configuration"]["roles"]
     frames = [
-        packed(KINDS.encode(ConfigurationNews(ver, configuration(ver, SMALL.routes, SMALL.services))))
+        compress_frame(KINDS.encode(ConfigurationNews(ver, configuration(ver, SMALL.routes, SMALL.services))))
         for ver in (2, 3, 4)
     ]
     for role in ("head", "leaf"):
--- a/tests/test_consensus_spread.py
+++ b/tests/test_consensus_spread.py
@@ -14,7 +14,7 @@
 from consensus.replica import Replica
 from consensus.spread import Spread
 from consensus.views import Member, Memory, View
-from control.node import spec_of
+from control.node import spec_from_settings
 from mastturn.control_check.history import play
 from mastturn.control_check.shape import Shape
 
@@ -109,7 +109,7 @@
 def test_where_zones_may_be_lost_there_are_slots_for_it() -> None:
     def of(faults: Faults) -> Spec:
         zones = {"a": "east", "b": "west"}
-        return spec_of(
+        return spec_from_settings(
             Settings("n", "10.0.0.1", "a", "core", (1, 2), CloudApi("10.0.0.9:1"), zones=zones, faults=faults)
         )
 
--- a/tests/test_control_host_cuts.py
+++ b/tests/test_control_host_cuts.py
@@ -151,9 +151,9 @@
                 world.cut(others, [old], both_ways=False)
             case _:
                 world.cut([old], others, both_ways=trouble == "cut")
-        await world.until(lambda: any(world.node(n).leads() for n in others), 3.0, "another leads")
-        new = next(n for n in others if world.node(n).leads())
-        assert trouble != "cut" or world.node(old).leads()  # it does not know yet
+        await world.until(lambda: any(world.node(n).is_leader() for n in others), 3.0, "another leads")
+        new = next(n for n in others if world.node(n).is_leader())
+        assert trouble != "cut" or world.node(old).is_leader()  # it does not know yet
         ended = await world.operator("operator", new).put(configuration(6), 5)
         assert ended.status == 200 and ended.tries == 1
         await world.wait(1.0)
--- a/tests/test_control_host_losses.py
+++ b/tests/test_control_host_losses.py
@@ -206,7 +206,7 @@
         await world.wait(1.5)
         world.boot(gone)
         await world.wait(1.5)
-    heard = [m.role._bulletin.epoch() for m in world.edges()]
+    heard = [m.role._latest.epoch() for m in world.edges()]
     assert min(heard) >= 4
     cores = [m.name for m in world.cores()]
     world.power_off(*cores)
--- a/tests/test_days_found_moves.py
+++ b/tests/test_days_found_moves.py
@@ -57,7 +57,7 @@
         "core-1", LEASE_S, epoch, lambda: loads or {}, lambda: None, lambda epoch: None
     )
     controller.lead(True, 0.0)
-    controller.listed(pack(list(entries)))
+    controller.set_list(pack(list(entries)))
     return controller
 
 
@@ -69,7 +69,7 @@
 
 async def look(controller: PhaseController, first: float, last: float) -> None:
     for tick in range(round(first * 10), round(last * 10)):
-        controller.look(tick / 10)
+        controller.tick(tick / 10)
         await settle()
 
 
@@ -91,10 +91,10 @@
         controller = controller_of(entry("r1", "prefill"), entry("r2", "prefill"), entry("r3", "prefill"))
         await look(controller, 0.0, 8.0)
         assert len(given) == 2
-        page = controller.dress([entry(f"r{n}", "prefill") for n in (1, 2, 3)], 8.0)
+        page = controller.mark_moving([entry(f"r{n}", "prefill") for n in (1, 2, 3)], 8.0)
         assert [e["phase"] for e in page] == ["moving", "moving", "prefill"]
-        controller.dress([entry("r1", "decode"), entry("r2", "decode"), entry("r3", "prefill")], 8.5)
-        controller.listed(pack([entry("r3", "prefill")]))  # both are gone again
+        controller.mark_moving([entry("r1", "decode"), entry("r2", "decode"), entry("r3", "prefill")], 8.5)
+        controller.set_list(pack([entry("r3", "prefill")]))  # both are gone again
         await look(controller, 8.5, 9.0)
         assert given[2:] == [("r3", "decode", 7)]
 
@@ -117,9 +117,9 @@
         lease = LEASE_SPARE * LEASE_S
         await look(controller, 0.0, lease + 0.2)
         assert [name for name, _, _ in given] == ["r1", "r2"]
-        page = controller.dress(entries, lease + 0.2)
+        page = controller.mark_moving(entries, lease + 0.2)
         assert [e["phase"] for e in page] == ["moving", "moving", "prefill", "decode"]
-        controller.listed(pack(page))
+        controller.set_list(pack(page))
         await look(controller, lease + 0.2, lease + 7.0)
         assert len(given) == 2  # the second one moves
 
@@ -166,10 +166,12 @@
         controller.lead(False, lease + 3.0)
         await look(controller, lease + 3.0, lease + 3.2)
         controller.lead(True, lease + 3.2, goes_on=True)
-        page = controller.dress(entries, lease + 3.2)
+        page = controller.mark_moving(entries, lease + 3.2)
         assert [e["phase"] for e in page] == ["moving", "moving", "prefill"]
-        controller.dress([entry("r1", "decode"), entry("r2", "decode"), entry("r3", "prefill")], lease + 3.3)
-        controller.listed(pack([entry("r3", "prefill")]))  # both are gone again
+        controller.mark_moving(
+            [entry("r1", "decode"), entry("r2", "decode"), entry("r3", "prefill")], lease + 3.3
+        )
+        controller.set_list(pack([entry("r3", "prefill")]))  # both are gone again
         await look(controller, lease + 3.3, lease + 4.3)  # only the pause after the first two is waited for
         assert given[2:] == [("r3", "decode", 7)]
 
@@ -184,7 +186,7 @@
         assert len(given) == 2
         controller.lead(False, lease + 0.2)
         controller.lead(True, 20.0)
-        page = controller.dress([entry("r1", "prefill")], 20.0)
+        page = controller.mark_moving([entry("r1", "prefill")], 20.0)
         assert [e["phase"] for e in page] == ["prefill"]
         await look(controller, 20.0, 20.0 + lease)
         assert len(given) == 2
@@ -205,7 +207,7 @@
 
         controller = PhaseController("core-1", LEASE_S, prove, lambda: {}, lambda: None, lambda epoch: None)
         controller.lead(True, 0.0)
-        controller.listed(pack([entry("r1", "prefill"), entry("r2", "prefill"), entry("r3", "prefill")]))
+        controller.set_list(pack([entry("r1", "prefill"), entry("r2", "prefill"), entry("r3", "prefill")]))
         lease = LEASE_SPARE * LEASE_S
         await look(controller, 0.0, lease + 0.1)
         assert given == [] and epochs == [8]
@@ -235,7 +237,7 @@
         await look(controller, lease + 0.9, lease + 1.5)
         assert asked == ["r1"]
         assert [name for name, _, _ in given] == ["r1", "r2"]
-        page = controller.dress(entries, lease + 1.5)
+        page = controller.mark_moving(entries, lease + 1.5)
         assert [e["phase"] for e in page] == ["moving", "moving", "prefill", "decode"]
         await look(controller, lease + 1.5, lease + 6.9)
         assert set(asked) == {"r1", "r2"} and len(asked) <= 7  # one look a second, none at what is lost
@@ -272,7 +274,7 @@
         monkeypatch.setattr(control.phase_controller, "change_phase", fenced)
         controller = PhaseController("core-1", LEASE_S, prove, lambda: {}, lambda: None, outrun.append)
         controller.lead(True, 0.0)
-        controller.listed(pack([entry(name, "prefill") for name in ("r1", "r2", "r3")]))
+        controller.set_list(pack([entry(name, "prefill") for name in ("r1", "r2", "r3")]))
         for first in range(0, 60, 3):
             await look(controller, float(first), first + 3.0)
             if outrun and outrun[-1] >= epochs[-1]:
--- a/tests/test_dissemination_feed.py
+++ b/tests/test_dissemination_feed.py
@@ -5,12 +5,12 @@
 from typing import Any, cast
 
 from dissemination import messages
-from dissemination.bulletin import Bulletin
+from dissemination.bulletin import LatestUpdates
 from dissemination.feed import Feed
 from dissemination.messages import Attach, ConfigurationNews, Moved, Present, Pulse, Roll
-from transport.wire import Kinds, Link
+from transport.wire import Link, MessageKinds
 
-KINDS = Kinds().include(messages.KINDS)
+KINDS = MessageKinds().include(messages.KINDS)
 
 
 class Wire:
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.sent: list[Any] = []
         self.is_closed = False
-        self.last_heard = 0.0
+        self.last_received_at = 0.0
 
     def send(self, message: Any) -> None:
         self.sent.append(message)
@@ -49,8 +49,8 @@
 
     def __init__(self) -> None:
         self.changes = 0
-        self.bulletin = Bulletin()
-        self.bulletin.take(ConfigurationNews(5, b"five"))
+        self.bulletin = LatestUpdates()
+        self.bulletin.store(ConfigurationNews(5, b"five"))
         self.feed = Feed(self.bulletin, KINDS, self._changed)
 
     def _changed(self) -> None:
@@ -63,7 +63,7 @@
     desk.feed.attach(a, attach("a"))
     desk.feed.attach(b, attach("b", ver=5))
     assert wire_a.sent == [ConfigurationNews(5, b"five")] and wire_b.sent == []
-    desk.feed.tell(Pulse(1, 1, 0))
+    desk.feed.broadcast(Pulse(1, 1, 0))
     assert wire_a.sent[-1] == wire_b.sent[-1] == Pulse(1, 1, 0)
     assert desk.feed.present() == {"a": present("a"), "b": present("b")} and desk.changes == 2
 
@@ -72,14 +72,14 @@
     desk = Desk()
     (old, wire), (new, later) = link(), link()
     desk.feed.attach(old, attach("a"))
-    desk.feed.roll(old, Roll("a", (present("a"), present("x"))))
+    desk.feed.on_roll(old, Roll("a", (present("a"), present("x"))))
     desk.feed.attach(new, attach("a"))
     assert wire.is_closed and not later.is_closed
     assert desk.feed.present() == {"a": present("a")}
     told = len(wire.sent)
-    desk.feed.tell(Pulse(1, 1, 0))
+    desk.feed.broadcast(Pulse(1, 1, 0))
     assert len(wire.sent) == told and later.sent[-1] == Pulse(1, 1, 0)
-    desk.feed.ended(old)  # the end of the old one is no news
+    desk.feed.on_closed(old)  # the end of the old one is no news
     assert desk.feed.present() == {"a": present("a")}
     desk.feed.attach(new, attach("a"))  # once more by the same one
     assert not later.is_closed and desk.feed.present() == {"a": present("a")}
@@ -90,12 +90,12 @@
     (relay, _), (stranger, _) = link(), link()
     desk.feed.attach(relay, attach("r"))
     below = (present("r"), present("x"), present("y"))
-    desk.feed.roll(relay, Roll("r", below))
-    desk.feed.roll(relay, Roll("r", below))  # nothing new
-    desk.feed.roll(stranger, Roll("s", (present("s"),)))  # has not attached
+    desk.feed.on_roll(relay, Roll("r", below))
+    desk.feed.on_roll(relay, Roll("r", below))  # nothing new
+    desk.feed.on_roll(stranger, Roll("s", (present("s"),)))  # has not attached
     assert sorted(desk.feed.present()) == ["r", "x", "y"] and desk.changes == 2
-    desk.feed.ended(relay)
-    desk.feed.ended(relay)
+    desk.feed.on_closed(relay)
+    desk.feed.on_closed(relay)
     assert desk.feed.present() == {} and desk.changes == 3
 
 
@@ -104,8 +104,8 @@
     (quiet, wire), (loud, other) = link(), link()
     desk.feed.attach(quiet, attach("q"))
     desk.feed.attach(loud, attach("l"))
-    other.last_heard = 9.0
-    desk.feed.sweep(10.0, 2.5)
+    other.last_received_at = 9.0
+    desk.feed.drop_silent(10.0, 2.5)
     assert wire.is_closed and not other.is_closed and list(desk.feed.present()) == ["l"]
 
 
@@ -113,6 +113,6 @@
     desk = Desk()
     a, wire = link()
     desk.feed.attach(a, attach("a", ver=5))
-    desk.feed.dismiss(Moved(("10.2.0.1",)))
-    desk.feed.tell(Pulse(1, 1, 0))
+    desk.feed.redirect_all(Moved(("10.2.0.1",)))
+    desk.feed.broadcast(Pulse(1, 1, 0))
     assert wire.sent == [Moved(("10.2.0.1",))] and desk.feed.present() == {}
--- a/tests/test_dissemination_holdings.py
+++ b/tests/test_dissemination_holdings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dissemination.holdings import MOST_HOLDERS, MOST_SUBJECTS, Holdings
+from dissemination.holdings import MAX_HOLDERS, MAX_SUBJECTS, Holdings
 from dissemination.messages import KINDS, Holding, HoldingNews, HoldingReport
 
 
@@ -19,7 +19,7 @@
     table.add((Holding(b"a", "u1"),))
     table.add((Holding(b"a", "u2"),), first_hand=True)
     assert table.all() == (Holding(b"a", "u1"), Holding(b"a", "u2"))
-    assert table.seen() == (Holding(b"a", "u2"),)
+    assert table.first_hand() == (Holding(b"a", "u2"),)
 
 
 def test_upstreams_that_left_the_list_hold_nothing() -> None:
@@ -27,14 +27,14 @@
     table.add((Holding(b"a", "u1"), Holding(b"a", "u2"), Holding(b"b", "u1")), first_hand=True)
     table.keep_only({"u2"})
     assert table.all() == (Holding(b"a", "u2"),)
-    assert table.seen() == (Holding(b"a", "u2"),)
+    assert table.first_hand() == (Holding(b"a", "u2"),)
 
 
 def test_the_table_is_bounded() -> None:
     table = Holdings()
-    table.add(Holding(b"%d" % n, "u") for n in range(2 * MOST_SUBJECTS))
-    table.add(Holding(b"hot", f"u{n}") for n in range(2 * MOST_HOLDERS))
-    assert len(table.all()) == MOST_SUBJECTS - 1 + MOST_HOLDERS
+    table.add(Holding(b"%d" % n, "u") for n in range(2 * MAX_SUBJECTS))
+    table.add(Holding(b"hot", f"u{n}") for n in range(2 * MAX_HOLDERS))
+    assert len(table.all()) == MAX_SUBJECTS - 1 + MAX_HOLDERS
 
 
 def test_news_cross_the_wire() -> None:
--- a/tests/test_dissemination_lists.py
+++ b/tests/test_dissemination_lists.py
@@ -15,13 +15,13 @@
 from control.node import KINDS
 from control.platform import pack
 from dissemination.list_reader import ListReader
-from dissemination.lists import ListCopy, change_of, changed, digest_of, same_as
+from dissemination.lists import ListCopy, apply_change, diff_lists, digest_of, unchanged_list
 from dissemination.messages import Attach, ConfigurationNews, Pulse, Speaks, UpstreamChange, UpstreamNews
 from tests.fabric_callers import upstream
 from tests.fabric_scenes import begun
 from tests.fabric_world import World, play
 from tests.test_dissemination_feed import Desk, Wire, attach, link
-from transport.wire import MOST_FRAME, PACKED, packed, unpacked
+from transport.wire import COMPRESSED_KIND, MAX_FRAME_BYTES, compress_frame, decompress_frame
 
 
 def news(entries: list[dict[str, Any]], number: int = 1) -> UpstreamNews:
@@ -39,25 +39,25 @@
             name = f"i-{dice.randint(0, 90)}"
             entries[name] = upstream(name, state=dice.choice(["up", "draining"]))
         now = news(dice.sample(list(entries.values()), len(entries)), number)
-        change = change_of(here, now)
+        change = diff_lists(here, now)
         assert change is not None and len(change.entries) < len(now.page) / 4
-        here, there = now, changed(there, change)
+        here, there = now, apply_change(there, change)
         assert there == here
 
 
 def test_what_can_not_be_told_as_a_change_is_told_whole() -> None:
     some = news([upstream(f"i-{n}") for n in range(9)])
-    assert change_of(None, some) is None
-    assert change_of(some, news([upstream("x"), upstream("x")], 2)) is None  # one id twice
-    assert change_of(some, news([{"no": "id"}], 2)) is None
-    assert change_of(some, UpstreamNews(1, 2, b"no list")) is None
-    assert change_of(some, news([upstream(f"j-{n}") for n in range(9)], 2)) is None  # no shorter
+    assert diff_lists(None, some) is None
+    assert diff_lists(some, news([upstream("x"), upstream("x")], 2)) is None  # one id twice
+    assert diff_lists(some, news([{"no": "id"}], 2)) is None
+    assert diff_lists(some, UpstreamNews(1, 2, b"no list")) is None
+    assert diff_lists(some, news([upstream(f"j-{n}") for n in range(9)], 2)) is None  # no shorter
 
 
 @pytest.mark.parametrize("spoil", ["base", "digest", "entries", "none"])
 def test_a_change_that_does_not_fit_is_a_gap(spoil: str) -> None:
     known = news([upstream(f"i-{n}") for n in range(9)])
-    change = change_of(known, news([upstream(f"i-{n}") for n in range(1, 9)], 2))
+    change = diff_lists(known, news([upstream(f"i-{n}") for n in range(1, 9)], 2))
     assert change is not None
     fields = {"base": change.base, "digest": change.digest, "entries": change.entries}
     fields |= {"base": {"base": b"other"}, "digest": {"digest": b"other"}, "entries": {"entries": b"[5"}}.get(
@@ -65,13 +65,13 @@
     )
     bad = UpstreamChange(1, 2, **fields, gone=change.gone)
     with pytest.raises(GapError, match="attach anew"):
-        changed(None if spoil == "none" else known, bad)
+        apply_change(None if spoil == "none" else known, bad)
 
 
 def test_the_same_list_by_a_later_stamp() -> None:
     known = news([upstream("a")])
     later = UpstreamNews(2, 7, known.page)
-    assert changed(known, same_as(later)) == later
+    assert apply_change(known, unchanged_list(later)) == later
     assert digest_of(None) == b"" and digest_of(known) == digest_of(later)
 
 
@@ -80,7 +80,7 @@
 
 def hears(desk: Desk, node: str, edition: int, digest: bytes) -> Wire:
     to, wire = link()
-    desk.feed.speaks(to, Speaks(edition, digest))
+    desk.feed.on_hello(to, Speaks(edition, digest))
     desk.feed.attach(to, attach(node, ver=5))
     return wire
 
@@ -88,17 +88,17 @@
 def test_each_child_is_told_of_a_list_what_it_lacks() -> None:
     desk = Desk()
     old = news([upstream(f"i-{n}") for n in range(30)])
-    desk.bulletin.take(old)
+    desk.bulletin.store(old)
     has, lacks = hears(desk, "has", 3, digest_of(old)), hears(desk, "lacks", 3, b"")
     before = hears(desk, "before", 2, digest_of(old))
-    assert has.sent == [same_as(old)] and lacks.sent == [old] and before.sent == [old]
+    assert has.sent == [unchanged_list(old)] and lacks.sent == [old] and before.sent == [old]
     new = news([upstream(f"i-{n}") for n in range(1, 30)], 2)
-    change = change_of(old, new)
-    desk.bulletin.take(new)
-    desk.feed.tell_list(new, change)
+    change = diff_lists(old, new)
+    desk.bulletin.store(new)
+    desk.feed.broadcast_list(new, change)
     assert has.sent[-1] == lacks.sent[-1] == change and before.sent[-1] == new
     other = news([upstream("x")], 3)
-    desk.feed.tell_list(other, None)
+    desk.feed.broadcast_list(other, None)
     assert has.sent[-1] == lacks.sent[-1] == before.sent[-1] == other
 
 
@@ -123,12 +123,12 @@
 def test_long_frames_go_packed_to_those_that_take_them() -> None:
     body = json.dumps([upstream(f"i-{n}") for n in range(200)]).encode()
     frame = KINDS.encode(ConfigurationNews(9, body))
-    short = packed(frame)
+    short = compress_frame(frame)
     size, number = struct.unpack_from(">IH", short)
-    assert number == PACKED and size == len(short) - 6 and len(short) < len(frame) / 4
+    assert number == COMPRESSED_KIND and size == len(short) - 6 and len(short) < len(frame) / 4
     assert KINDS.decode(number, short[6:]) == ConfigurationNews(9, body)
     little = KINDS.encode(Pulse(1, 1, 1))
-    assert packed(little) == little
+    assert compress_frame(little) == little
 
 
 @pytest.mark.parametrize(
@@ -141,25 +141,25 @@
         b"\0\x65" + zlib.compress(b"abc")[:-2],
         b"\0\x65" + zlib.compress(b"abc") + b"more",
         b"\0\x70" + zlib.compress(b"\0\x65"),  # packed twice
-        b"\0\x65" + zlib.compress(bytes(MOST_FRAME + 1)),
+        b"\0\x65" + zlib.compress(bytes(MAX_FRAME_BYTES + 1)),
     ],
 )
 def test_what_is_no_packed_frame_is_refused(body: bytes) -> None:
     with pytest.raises(WireError):
-        unpacked(body)
+        decompress_frame(body)
     with pytest.raises(WireError):
-        KINDS.decode(PACKED, body)
+        KINDS.decode(COMPRESSED_KIND, body)
 
 
 def test_attaching_again_by_the_same_connection_tells_all() -> None:
     desk = Desk()
     listed = news([upstream(f"i-{n}") for n in range(30)])
-    desk.bulletin.take(listed)
+    desk.bulletin.store(listed)
     to, wire = link()
-    desk.feed.speaks(to, Speaks(3, digest_of(listed)))
+    desk.feed.on_hello(to, Speaks(3, digest_of(listed)))
     desk.feed.attach(to, Attach("a", "ip", "hall-a", 5, 1, 1))
     assert wire.sent == []
-    desk.feed.speaks(to, Speaks(3, b""))
+    desk.feed.on_hello(to, Speaks(3, b""))
     desk.feed.attach(to, Attach("a", "ip", "hall-a", 5, 0, 0))
     assert wire.sent == [listed] and not wire.is_closed
 
@@ -176,14 +176,12 @@
             name = f"i-{dice.randint(0, 60)}"
             entries[name] = upstream(name, state=dice.choice(["up", "draining", "no state"]))
         now = news(list(entries.values()), number)
-        change = change_of(known, now)
+        change = diff_lists(known, now)
         assert change is not None
         if dice.random() < 0.2:  # one that does not fit comes between
             with pytest.raises(GapError):
-                copy.changed(
-                    known, UpstreamChange(1, number, change.base, b"other", change.entries, ("i-1",))
-                )
-        assert copy.changed(known, change) == now
+                copy.apply(known, UpstreamChange(1, number, change.base, b"other", change.entries, ("i-1",)))
+        assert copy.apply(known, change) == now
         whole, _ = parse_upstreams(now.page)
         assert reader.read(now, change if dice.random() < 0.8 else None) == whole
         known = now
@@ -197,11 +195,11 @@
     third = news([upstream(f"i-{n}") for n in range(7)], 3)
     reader = ListReader()
     reader.read(first, None)
-    change = change_of(second, third)
+    change = diff_lists(second, third)
     assert change is not None
     assert reader.read(third, change) == parse_upstreams(third.page)[0]
     again = UpstreamNews(2, 4, third.page)
-    assert reader.read(again, same_as(again)) == parse_upstreams(third.page)[0]
+    assert reader.read(again, unchanged_list(again)) == parse_upstreams(third.page)[0]
     with pytest.raises(WireError):
         reader.read(UpstreamNews(2, 5, b"no list"), None)
 
@@ -210,7 +208,7 @@
     """Entries that stay are the same objects and the same bytes: nothing of them is read or encoded again."""
     known = news([upstream(f"i-{n}") for n in range(50)])
     now = news([upstream(f"i-{n}", state="draining" if n == 7 else "up") for n in range(50)], 2)
-    change = change_of(known, now)
+    change = diff_lists(known, now)
     assert change is not None
     reader = ListReader()
     before, after = reader.read(known, None), reader.read(now, change)
--- a/tests/test_dissemination_loads.py
+++ b/tests/test_dissemination_loads.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dissemination.load_steps import Loads
-from dissemination.loads import BYTES_S, ENTRY_BYTES, LoadSum, OthersLoad, add, pack, unpack
+from dissemination.loads import BYTES_S, ENTRY_BYTES, LoadSum, PeerLoads, add, pack, unpack
 from dissemination.messages import Attach, LoadNews, LoadReport, LoadStep, UpstreamLoad
 from tests.fabric_scenes import begun
 from tests.fabric_world import Machine, World, play
@@ -197,7 +197,7 @@
 
 
 def test_others_are_the_sum_without_our_own_part() -> None:
-    others = OthersLoad()
+    others = PeerLoads()
     others.take(
         LoadNews(1, 1, (UpstreamLoad("a", 5, 50), UpstreamLoad("b", 1, 1))), {"a": (2, 60), "b": (1, 1)}
     )
@@ -214,7 +214,7 @@
         await world.wait(0.1)
         loads.report("x", LoadReport((UpstreamLoad("a", 2, 2),)))
         await world.wait(0.1)
-        loads.forget("x")
+        loads.remove_child("x")
         await world.wait(0.1)
         assert [t[0].calls for t in told] == [5, 3, 1]
 
@@ -229,8 +229,8 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         total = LoadSum(lambda: loads, lambda packed: None)
-        total.again()
-        total.touch()
+        total.resend()
+        total.schedule()
         assert total._timer is not None
         wait = total._timer.when() - loop.time()
         total._timer.cancel()
--- a/tests/test_dissemination_steps.py
+++ b/tests/test_dissemination_steps.py
@@ -11,7 +11,7 @@
 from config.errors import GapError
 from control.node import KINDS
 from control.publisher import Publisher
-from dissemination.bulletin import Bulletin
+from dissemination.bulletin import LatestUpdates
 from dissemination.load_steps import (
     BYTES_S,
     MOST,
@@ -19,10 +19,10 @@
     SAVED_S,
     Figures,
     Loads,
+    LoadStepEncoder,
     LoadTable,
-    LoadTeller,
 )
-from dissemination.loads import LoadSum, OthersLoad
+from dissemination.loads import LoadSum, PeerLoads
 from dissemination.messages import (
     Attach,
     LoadNews,
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("bytes_s", [2_000, BYTES_S, 1e9])
 def test_the_other_side_follows_and_is_right_once_there_is_time(bytes_s: float) -> None:
     dice, loads = random.Random(1), {f"u{n}": (n % 3, n % 5 * 100) for n in range(120)}
-    teller, table, now, number = LoadTeller(bytes_s), LoadTable(), 10.0, 1
+    teller, table, now, number = LoadStepEncoder(bytes_s), LoadTable(), 10.0, 1
     assert table.take(1, 0, *teller.whole(loads)) is not None
     assert clean(table.loads) == clean(loads)
     for _ in range(500):
@@ -82,7 +82,7 @@
     """The capacity page's first gap: all by name were 77 times what a balancer may spend."""
     dice, names = random.Random(2), [f"i-{n:08x}" for n in range(2_800)]
     loads = dict.fromkeys(names, (9, 9_000))
-    teller, now, sent, number = LoadTeller(), 0.0, 0, 1
+    teller, now, sent, number = LoadStepEncoder(), 0.0, 0, 1
     teller.whole(loads)
     for _ in range(250):
         now += 0.04
@@ -97,7 +97,7 @@
 
 def test_what_is_most_wrong_goes_first() -> None:
     loads = {f"u{n:03d}": (20, 0) for n in range(400)}
-    teller = LoadTeller()
+    teller = LoadStepEncoder()
     teller.whole(loads)
     for name in loads:
         loads[name] = (21, 0)
@@ -114,7 +114,7 @@
     """Found by the hollow fleet: readers' changes, one of one call, kept all other news from being told."""
     dice, busy, calm = random.Random(3), [f"r{n}" for n in range(1_200)], [f"d{n}" for n in range(1_600)]
     loads = dict.fromkeys(calm, (20, 0)) | dict.fromkeys(busy, (0, 0))
-    teller, table, now, number = LoadTeller(), LoadTable(), 0.0, 1
+    teller, table, now, number = LoadStepEncoder(), LoadTable(), 0.0, 1
     table.take(1, 0, *teller.whole({}))
     teller.mark(loads)
     while now < 4.0:
@@ -130,7 +130,7 @@
 
 
 def test_a_name_crosses_once_and_places_of_what_is_gone_begin_anew() -> None:
-    teller, loads = LoadTeller(1e9), {"a": (1, 1)}
+    teller, loads = LoadStepEncoder(1e9), {"a": (1, 1)}
     assert teller.whole(loads) == (("a",), (0, 1, 1))
     loads |= {"a": (2, 1), "b": (5, 0)}
     teller.mark(["a", "b"])
@@ -167,24 +167,27 @@
 
 
 def test_the_bulletin_keeps_steps_and_tells_both_editions() -> None:
-    bulletin = Bulletin()
-    assert bulletin.step(LoadStep(2, 5, 0, ("a", "b"), (0, 1, 10, 1, 2, 20))) == {"a": (0, 0), "b": (0, 0)}
-    assert bulletin.step(LoadStep(2, 6, 5, ("c",), (0, 0, 0, 2, 4, 0))) == {"a": (1, 10), "c": (0, 0)}
+    bulletin = LatestUpdates()
+    assert bulletin.apply_step(LoadStep(2, 5, 0, ("a", "b"), (0, 1, 10, 1, 2, 20))) == {
+        "a": (0, 0),
+        "b": (0, 0),
+    }
+    assert bulletin.apply_step(LoadStep(2, 6, 5, ("c",), (0, 0, 0, 2, 4, 0))) == {"a": (1, 10), "c": (0, 0)}
     whole = LoadNews(2, 6, (UpstreamLoad("b", 2, 20), UpstreamLoad("c", 4, 0)))
-    assert bulletin.loads_whole() == whole
-    assert bulletin.everything(0, (0, 0)) == [whole]
-    newcomer = Bulletin()
-    (step,) = bulletin.everything(0, (0, 0), steps=True)
-    assert isinstance(step, LoadStep) and newcomer.step(step) is not None
+    assert bulletin.full_loads() == whole
+    assert bulletin.updates_since(0, (0, 0)) == [whole]
+    newcomer = LatestUpdates()
+    (step,) = bulletin.updates_since(0, (0, 0), steps=True)
+    assert isinstance(step, LoadStep) and newcomer.apply_step(step) is not None
     later = LoadStep(2, 9, 6, (), (1, 7, 7))
-    assert newcomer.step(later) == bulletin.step(later) == {"b": (2, 20)}
-    assert newcomer.loads_known() == clean(bulletin.loads_known())
+    assert newcomer.apply_step(later) == bulletin.apply_step(later) == {"b": (2, 20)}
+    assert newcomer.current_loads() == clean(bulletin.current_loads())
     with pytest.raises(GapError, match="attach anew"):
-        bulletin.step(LoadStep(2, 11, 10, (), ()))
-    assert bulletin.step(LoadStep(1, 99, 0, ("z",), (0, 1, 1))) is None  # of an earlier term
-    assert bulletin.take(LoadNews(3, 1, ())) and bulletin.loads_known() == {}
+        bulletin.apply_step(LoadStep(2, 11, 10, (), ()))
+    assert bulletin.apply_step(LoadStep(1, 99, 0, ("z",), (0, 1, 1))) is None  # of an earlier term
+    assert bulletin.store(LoadNews(3, 1, ())) and bulletin.current_loads() == {}
     with pytest.raises(GapError):
-        bulletin.step(LoadStep(3, 2, 1, (), ()))
+        bulletin.apply_step(LoadStep(3, 2, 1, (), ()))
 
 
 def test_sums_of_steps_and_whole_reports_are_the_same() -> None:
@@ -198,19 +201,19 @@
         assert total.total() == {"a": (5, 5), "b": (1, 0), "c": (9, 9)}
         assert not total.report_step("y", LoadReportStep(9, 8, (), ()))
         assert not total.report_step("z", LoadReportStep(2, 1, (), ()))
-        total.forget("x")
-        total.forget("y")
+        total.remove_child("x")
+        total.remove_child("y")
         assert total.total() == {"a": (1, 1)}
         await world.wait(0.1)
         assert told == [((("a",), (0, 1, 1)), False)]
-        total.begin_steps()
+        total.resend_steps()
         assert told[1:] == [((("a",), (0, 1, 1)), True)]
 
     play(scene, starts=False)
 
 
 def test_others_follow_steps_and_our_own_reports() -> None:
-    others = OthersLoad()
+    others = PeerLoads()
     others.step({"a": (5, 50), "b": (1, 1)}, ["a", "b"], {"a": (2, 60)})
     assert others.of("a") == (3, 0) and others.of("b") == (1, 1)
     others.step({"a": (5, 50), "b": (1, 1)}, [], {"b": (1, 1)})  # one of ours ended, another's began
@@ -227,7 +230,7 @@
         work(world)
         await world.until(lambda: is_right(world), UP_S)
         for machine in world.edges():
-            machine.role._bulletin.table.number -= 1  # as if one had been lost
+            machine.role._latest.table.number -= 1  # as if one had been lost
         work(world, 2)
         await world.until(lambda: is_right(world), 2.0, seen(world))
         assert any("event=gap" in line for line in world.transcript.logs)
@@ -242,8 +245,8 @@
         relay = await settled(world)
         await listed(world, [upstream(f"i-{n}") for n in range(20)])
         victim = next(m for m in world.edges() if m.name != relay).role
-        known = victim._bulletin.upstreams
-        victim._bulletin.upstreams = UpstreamNews(known.epoch, known.number, b'{"upstreams":[]}')
+        known = victim._latest.upstreams
+        victim._latest.upstreams = UpstreamNews(known.epoch, known.number, b'{"upstreams":[]}')
         since = world.now()
         await listed(world, [upstream(f"i-{n}") for n in range(1, 20)])
         whole = [entry for entry in world.transcript.said(UpstreamNews) if entry[0] > since]
@@ -308,7 +311,7 @@
         assert not [m for m in got if isinstance(m, UpstreamChange | LoadStep | Speaks)]
         assert [m for m in got if isinstance(m, Pulse)]
         lists = [m for m in got if isinstance(m, UpstreamNews)]
-        assert len(lists) == 2 and lists[-1].page == world.edges()[0].role._bulletin.upstreams.page
+        assert len(lists) == 2 and lists[-1].page == world.edges()[0].role._latest.upstreams.page
         sums = [m for m in got if isinstance(m, LoadNews)][-1]
         assert {e.upstream: e.calls for e in sums.loads} == {"i-1": calls}
         old.transport.abort()
--- a/tests/test_dissemination_tables.py
+++ b/tests/test_dissemination_tables.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dissemination.bulletin import Bulletin
-from dissemination.counting import COUNT_S, Headcount
+from dissemination.bulletin import LatestUpdates
+from dissemination.counting import COUNT_S, BalancerCount
 from dissemination.messages import (
     ConfigurationNews,
     LoadNews,
@@ -33,40 +33,40 @@
 def test_whatever_the_order_the_newest_stays(kind: str) -> None:
     stamps = [(1, 1), (1, 2), (1, 30), (2, 1), (2, 2), (7, 1)]
     for order in itertools.islice(itertools.permutations(stamps), 0, 720, 7):
-        bulletin, newest = Bulletin(), (0, 0)
+        bulletin, newest = LatestUpdates(), (0, 0)
         for stamp in order:
-            assert bulletin.take(KINDS[kind](*stamp)) == (stamp > newest)
-            assert not bulletin.take(KINDS[kind](*stamp))  # the same once more
+            assert bulletin.store(KINDS[kind](*stamp)) == (stamp > newest)
+            assert not bulletin.store(KINDS[kind](*stamp))  # the same once more
             newest = max(newest, stamp)
             assert getattr(bulletin, kind) == KINDS[kind](*newest)
 
 
 def test_configurations_go_by_their_version_alone() -> None:
-    bulletin = Bulletin()
-    assert bulletin.take(ConfigurationNews(5, b"five"))
-    assert not bulletin.take(ConfigurationNews(5, b"other")) and not bulletin.take(
+    bulletin = LatestUpdates()
+    assert bulletin.store(ConfigurationNews(5, b"five"))
+    assert not bulletin.store(ConfigurationNews(5, b"other")) and not bulletin.store(
         ConfigurationNews(4, b"four")
     )
     assert bulletin.configuration == ConfigurationNews(5, b"five")
-    assert bulletin.take(ConfigurationNews(9, b"nine"))
+    assert bulletin.store(ConfigurationNews(9, b"nine"))
 
 
 def test_what_is_no_news_is_not_taken() -> None:
-    assert not Bulletin().take(Moved(()))
+    assert not LatestUpdates().store(Moved(()))
 
 
 def test_everything_is_what_somebody_lacks_the_configuration_first() -> None:
-    bulletin = Bulletin()
-    assert bulletin.everything(0, (0, 0)) == []
+    bulletin = LatestUpdates()
+    assert bulletin.updates_since(0, (0, 0)) == []
     news = [ConfigurationNews(5, b""), *(make(2, 3) for make in KINDS.values())]
     for message in news:
-        bulletin.take(message)
-    assert bulletin.everything(0, (0, 0)) == news
-    assert bulletin.everything(5, (2, 2)) == news[1:]
-    assert bulletin.everything(5, (2, 3)) == bulletin.everything(9, (3, 0)) == news[2:]
-    bulletin.forget_loads()
-    assert bulletin.everything(5, (2, 3)) == news[2:4]
-    assert bulletin.take(news[-1])  # the same sums are news again
+        bulletin.store(message)
+    assert bulletin.updates_since(0, (0, 0)) == news
+    assert bulletin.updates_since(5, (2, 2)) == news[1:]
+    assert bulletin.updates_since(5, (2, 3)) == bulletin.updates_since(9, (3, 0)) == news[2:]
+    bulletin.clear_loads()
+    assert bulletin.updates_since(5, (2, 3)) == news[2:4]
+    assert bulletin.store(news[-1])  # the same sums are news again
 
 
 def members(count: int, zones: int) -> list[Present]:
@@ -115,7 +115,7 @@
 
 
 def test_the_number_of_an_earlier_epoch_holds_for_a_while() -> None:
-    count = Headcount()
+    count = BalancerCount()
     assert count.take(Pulse(1, 1, 0), 0.0) == 0
     assert count.take(Pulse(1, 2, 6), 1.0) == 6
     assert count.take(Pulse(1, 3, 5), 2.0) == 5  # the primary itself knows how long the sixth counts
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -36,7 +36,7 @@
 from consensus.codec import RECORDS, read_record, revive
 from consensus.files import OsFiles
 from consensus.slots import Store
-from control.operators import CALLS
+from control.operators import OPERATOR_ROUTES
 from control.orders import change_phase
 from control.platform import PlatformError, PlatformList, pack
 from dissemination import messages as news
@@ -49,10 +49,10 @@
 from tests.fuzz_inputs import LIMITS, as_text, changed, deep, json_of, of_schema, spoilt
 from tests.test_config_settings import WHOLE
 from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, _balancer, _control
-from transport.calls import _Caller
-from transport.wire import MOST_FRAME, FrameReader, Kinds, Link, plain
+from transport.calls import _HttpConnection
+from transport.wire import MAX_FRAME_BYTES, FrameReader, Link, MessageKinds, to_avro
 
-BETWEEN = Kinds().include(control.KINDS).include(news.KINDS)
+BETWEEN = MessageKinds().include(control.KINDS).include(news.KINDS)
 CONVERSATIONS = {"between processes": BETWEEN, "on disk": RECORDS}
 CASES = [(kinds, cls) for kinds in CONVERSATIONS.values() for cls in kinds._by_type]
 NAMES = [cls.__name__ for _, cls in CASES]
@@ -68,13 +68,13 @@
     fuzz_inputs.tried[name] += 1
 
 
-def message_of(kinds: Kinds, cls: type) -> st.SearchStrategy[Any]:
+def message_of(kinds: MessageKinds, cls: type) -> st.SearchStrategy[Any]:
     """Messages of a kind as a hostile peer may form them: fit for the schema, with any values."""
     schema = kinds._by_type[cls].schema
     return of_schema({"type": "record", "fields": schema["fields"]}).map(lambda raw: cls(**raw))
 
 
-def any_message(kinds: Kinds) -> st.SearchStrategy[Any]:
+def any_message(kinds: MessageKinds) -> st.SearchStrategy[Any]:
     return st.one_of([message_of(kinds, cls) for cls in kinds._by_type])
 
 
@@ -84,19 +84,19 @@
 @pytest.mark.parametrize(("kinds", "cls"), CASES, ids=NAMES)
 @LIMITS
 @given(data=st.data())
-def test_a_message_comes_as_it_went(kinds: Kinds, cls: type, data: st.DataObject) -> None:
+def test_a_message_comes_as_it_went(kinds: MessageKinds, cls: type, data: st.DataObject) -> None:
     count("message")
     message = data.draw(message_of(kinds, cls))
     (frame,) = FrameReader().feed(kinds.encode(message))
     again = kinds.decode(frame.number, frame.body)
-    assert plain(again) == plain(message)
+    assert to_avro(again) == to_avro(message)
 
 
 @pytest.mark.parametrize(("kinds", "cls"), CASES, ids=NAMES)
 @LIMITS
 @given(data=st.data())
 def test_a_spoilt_record_is_a_wire_error_or_goes_on_as_it_came(
-    kinds: Kinds, cls: type, data: st.DataObject
+    kinds: MessageKinds, cls: type, data: st.DataObject
 ) -> None:
     count("record")
     number = kinds._by_type[cls].number
@@ -179,7 +179,7 @@
     count("frame")
     reader = FrameReader()
     head = size.to_bytes(4, "big") + number.to_bytes(2, "big")
-    if size > MOST_FRAME:
+    if size > MAX_FRAME_BYTES:
         with pytest.raises(WireError):
             reader.feed(head)
     else:
@@ -471,7 +471,7 @@
 
     async def talk() -> None:
         transport = Transport()
-        caller = _Caller(CALLS, Control(), set())
+        caller = _HttpConnection(OPERATOR_ROUTES, Control(), set())
         caller.connection_made(transport)  # type: ignore[arg-type]
         for piece in cut(raw, places):
             caller.data_received(piece)
--- a/tests/test_leader_out_of_reach.py
+++ b/tests/test_leader_out_of_reach.py
@@ -15,7 +15,7 @@
 import pytest
 
 from control.news_relay import RETURN_S, Referrals
-from dissemination.follower import STALE_S
+from dissemination.follower import STALE_AFTER_S
 from tests.fabric_callers import configuration
 from tests.fabric_scenes import begun, in_force
 from tests.fabric_world import World, play
@@ -53,7 +53,7 @@
 
 def heard_by_leader(world: World) -> set[str]:
     """The balancers that are present, as the leader tells it."""
-    return {balancer.node for balancer in world.node(world.primary()).parts()[1].told()[0]}
+    return {balancer.node for balancer in world.node(world.primary()).components()[1].reported_state()[0]}
 
 
 def test_balancers_of_a_zone_without_a_path_to_the_leader_go_on() -> None:
@@ -70,7 +70,7 @@
         await in_force(world, 6)
         assert heard_by_leader(world) == {m.name for m in world.edges()}
         world.heal()
-        passing_on = [world.node(m.name).parts()[1].relay for m in world.cores()]
+        passing_on = [world.node(m.name).components()[1].relay for m in world.cores()]
         await world.until(lambda: not any(r.is_running() for r in passing_on), 20.0, "nothing is passed on")
         await world.served()
         assert heard_by_leader(world) == {m.name for m in world.edges()}
@@ -105,7 +105,7 @@
         follower._leave()
         for _ in range(30):
             await world.wait(0.1)
-            assert follower.is_fresh(STALE_S)
+            assert follower.is_fresh(STALE_AFTER_S)
 
     play(scene, edges=1)
 
--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -96,7 +96,7 @@
         ConfigurationNews(5, document(5, **changes)),
         UpstreamNews(1, 1, json.dumps({"upstreams": [entry]}).encode()),
     ):
-        assert role._bulletin.take(news)
+        assert role._latest.store(news)
         role._told(news)
 
 
@@ -135,7 +135,7 @@
             assert (await say(role, last)).startswith(b"HTTP/1.1 503 ")
             assert (await get(role, "/api/status"))[1]["drained"]
             news = ConfigurationNews(6, document(6))
-            role._bulletin.take(news)
+            role._latest.store(news)
             role._told(news)
             assert (await say(role, last)).startswith(b"HTTP/1.1 200 ")
 
--- a/tests/test_mastturnd_dashboard.py
+++ b/tests/test_mastturnd_dashboard.py
@@ -13,7 +13,7 @@
 import pytest
 
 from config.settings import Listen, Settings, parse
-from control.operators import CALLS
+from control.operators import OPERATOR_ROUTES
 from mastturn.standins.ports import free_port
 from mastturnd import control_calls, dashboard, fleet_status
 from mastturnd.pace import MOST, Pace
@@ -21,7 +21,7 @@
 from tests.fabric_world import approve
 from tests.loopback import run
 from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, Ctl, _balancer, _control
-from transport.calls import CallServer, Reply
+from transport.calls import HttpServer, Response
 
 
 class Node:
@@ -64,7 +64,7 @@
 async def served(owner: Node, times: int = 1) -> list[Any]:
     """What so many askers at once get from the operators' door."""
     control_calls.declare()
-    port, server = free_port(), CallServer(CALLS, owner)
+    port, server = free_port(), HttpServer(OPERATOR_ROUTES, owner)
     await server.start(("127.0.0.1", port))
     try:
         return list(await asyncio.gather(*(ask(("127.0.0.1", port), call("GET", "/dashboard"), 10.0)
@@ -103,9 +103,9 @@
 def test_a_page_is_made_anew_once_it_is_old(monkeypatch: pytest.MonkeyPatch) -> None:
     made: list[Settings] = []
 
-    def reply(settings: Settings) -> Reply:
+    def reply(settings: Settings) -> Response:
         made.append(settings)
-        return Reply(200)
+        return Response(200)
 
     monkeypatch.setattr(dashboard, "reply", reply)
     monkeypatch.setattr(dashboard, "FRESH_S", -1.0)
@@ -120,9 +120,9 @@
 
 
 def test_a_fault_is_told_and_the_next_who_asks_has_another_try(monkeypatch: pytest.MonkeyPatch) -> None:
-    ways: list[Exception | Reply] = [ValueError("hostile"), Reply(200, b"page")]
+    ways: list[Exception | Response] = [ValueError("hostile"), Response(200, b"page")]
 
-    def reply(settings: Settings) -> Reply:
+    def reply(settings: Settings) -> Response:
         if isinstance(found := ways.pop(0), Exception):
             raise found
         return found
@@ -146,9 +146,9 @@
 def test_the_fleet_is_asked_beside_the_loop(monkeypatch: pytest.MonkeyPatch) -> None:
     threads: list[threading.Thread] = []
 
-    def reply(settings: Settings) -> Reply:
+    def reply(settings: Settings) -> Response:
         threads.append(threading.current_thread())
-        return Reply(200)
+        return Response(200)
 
     monkeypatch.setattr(dashboard, "reply", reply)
     run_with(dashboard.Dashboard().page(settings()))
--- a/tests/test_news_in_cuts.py
+++ b/tests/test_news_in_cuts.py
@@ -72,7 +72,7 @@
             await put_and_heard(world, version, [m for m in world.edges() if reached[m.name]])
             world.heal()
             await in_force(world, version, CONTACT_S)
-        relays = [world.node(m.name).parts()[1].relay for m in world.cores()]
+        relays = [world.node(m.name).components()[1].relay for m in world.cores()]
         await world.until(lambda: not any(r.is_running() for r in relays), 20.0, "nothing is passed on")
 
     play(scene, cores=5, edges=6, faults=2, seed=seed + 1)
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -8,7 +8,7 @@
 import pytest
 
 from transport.schema import Int32, fields_of, reader_of
-from transport.wire import FrameReader, Kinds
+from transport.wire import FrameReader, MessageKinds
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 def test_a_message_with_nested_ones_comes_as_it_went() -> None:
-    kinds = Kinds()
+    kinds = MessageKinds()
     kinds.declare(1, nested=(Leaf,))(Tree)
     for tree in (Tree(1, b"b", True, (), ()), Tree(-1, b"", False, ("a",), (Leaf("x", 3), Leaf("y", 4)))):
         (frame,) = FrameReader().feed(kinds.encode(tree))
--- a/tests/test_transport_later_kinds.py
+++ b/tests/test_transport_later_kinds.py
@@ -8,9 +8,9 @@
 
 from dissemination import messages
 from dissemination.messages import Pulse
-from transport.wire import MOST_NUMBER, Kinds, Link
+from transport.wire import MAX_KIND_NUMBER, Link, MessageKinds
 
-KINDS = Kinds().include(messages.KINDS)
+KINDS = MessageKinds().include(messages.KINDS)
 
 
 class Wire(asyncio.Transport):
@@ -47,10 +47,10 @@
 def test_a_later_release_is_understood_as_far_as_it_says_what_we_know() -> None:
     """Found by hand: a balancer of the release before holdings was cut off seven times a second."""
     pulse = Pulse(1, 2, 3)
-    later = struct.pack(">IH", 5, MOST_NUMBER) + b"later"
+    later = struct.pack(">IH", 5, MAX_KIND_NUMBER) + b"later"
     assert hear(later + KINDS.encode(pulse) + later) == ([pulse], True)
 
 
 def test_what_is_beyond_our_numbers_is_no_message_of_ours() -> None:
-    assert hear(struct.pack(">IH", 3, MOST_NUMBER + 1) + b"abc") == ([], False)
+    assert hear(struct.pack(">IH", 3, MAX_KIND_NUMBER + 1) + b"abc") == ([], False)
     assert hear(struct.pack(">IH", 3, 0) + b"abc") == ([], False)
--- a/tests/test_transport_links.py
+++ b/tests/test_transport_links.py
@@ -17,9 +17,9 @@
 from tests.fabric_world import World, play
 from transport.endpoint import Endpoint
 from transport.links import DIAL_S, DROP_S, HELD_FRAMES, STAGGER_S, USER_TIMEOUT_MS, Links, harden
-from transport.wire import Kinds, Link
+from transport.wire import Link, MessageKinds
 
-KINDS = Kinds().include(messages.KINDS)
+KINDS = MessageKinds().include(messages.KINDS)
 PORT = 7720
 
 
@@ -304,9 +304,9 @@
             caller.context.copy().run(theirs.send, own, Pulse(1, number, 0))
             await world.wait(0.05)
         first, second = came
-        assert links.to(Endpoint("10.3.0.1", PORT)) is None
+        assert links.find(Endpoint("10.3.0.1", PORT)) is None
         links.identify(first, Endpoint("10.3.0.1", PORT))
-        assert links.to(Endpoint("10.3.0.1", PORT)) is first and second.endpoint is None
+        assert links.find(Endpoint("10.3.0.1", PORT)) is first and second.endpoint is None
         listener.context.copy().run(links.send, Endpoint("10.3.0.1", PORT), Pulse(1, 7, 0))
         listener.context.copy().run(links.send, Endpoint("10.3.0.1", PORT + 1), Pulse(1, 8, 0))
         await world.wait(0.05)
--- a/tests/test_transport_strangers.py
+++ b/tests/test_transport_strangers.py
@@ -17,8 +17,8 @@
 from tests.fabric_callers import Answer, ask, call, configuration
 from tests.fabric_scenes import begun, in_force
 from tests.fabric_world import BALANCER_PORT, CONTROL_PORT, CTL_PORT, World, play
-from transport.calls import MOST_BODY
-from transport.wire import MOST_FRAME, FrameReader
+from transport.calls import MAX_BODY_BYTES
+from transport.wire import MAX_FRAME_BYTES, FrameReader
 
 
 class Stranger(asyncio.Protocol):
@@ -59,7 +59,7 @@
     "http": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
     "zeros": b"\0" * 600,
     "ones": b"\xff" * 600,
-    "too long": struct.pack(">IH", MOST_FRAME + 1, 101),
+    "too long": struct.pack(">IH", MAX_FRAME_BYTES + 1, 101),
     "unknown kind": struct.pack(">IH", 3, 999) + b"abc",
     "a pulse of nothing": struct.pack(">IH", 0, 101),
     "a pulse of too much": struct.pack(">IH", 9, 101) + b"\1" * 9,
@@ -116,8 +116,13 @@
         news.Roll("x", (news.Present("x", "10.9.9.9", "hall-a"),)),
         news.LoadReport((news.UpstreamLoad("i-1", 2**31 - 1, 2**31 - 1),)),
         news.LoadNews(big, big, (news.UpstreamLoad("i-1", -5, -5),)),
-        news.DoubtReport((news.Doubt("i-1", "", 2**31 - 1, 2**31 - 1), news.Doubt("", "hall-a", -5, -5))),
-        news.DoubtNews(big, big, (news.Doubt("i-1", "hall-z", 2**31 - 1, -5),)),
+        news.DoubtReport(
+            (
+                news.UpstreamFailures("i-1", "", 2**31 - 1, 2**31 - 1),
+                news.UpstreamFailures("", "hall-a", -5, -5),
+            )
+        ),
+        news.DoubtNews(big, big, (news.UpstreamFailures("i-1", "hall-z", 2**31 - 1, -5),)),
         news.Speaks(-1, b""),
         news.Speaks(2**31 - 1, b"x" * 1_000),
         news.UpstreamChange(big, big, b"", b"", b"no list", ("i-1",)),
@@ -371,8 +376,8 @@
     async def scene(world: World) -> None:
         await begun(world)
         empty = len(configuration(6, padding=""))
-        body = configuration(6, padding="x" * (MOST_BODY - empty))
-        assert len(body) == MOST_BODY
+        body = configuration(6, padding="x" * (MAX_BODY_BYTES - empty))
+        assert len(body) == MAX_BODY_BYTES
         answer = await say(world, call("PUT", "/api/config", body, If_Match="5"), silence_s=10.0)
         assert answer is not None and answer.status == 200
         await in_force(world, 6)
@@ -381,7 +386,7 @@
         await world.wait(1.0)
         read = await say(world, call("GET", "/api/config"), world.primary(), 10.0)
         assert read is not None and read.body == body
-        more = configuration(7, padding="x" * (MOST_BODY - empty + 1))
+        more = configuration(7, padding="x" * (MAX_BODY_BYTES - empty + 1))
         answer = await say(world, call("PUT", "/api/config", more, If_Match="6"), world.primary(), 10.0)
         assert answer is not None and answer.status == 413
         await goes_on(world, 8, 6)
--- a/tests/test_wire_held.py
+++ b/tests/test_wire_held.py
@@ -16,7 +16,7 @@
 from dissemination.messages import KINDS as NEWS
 from tallies.messages import KINDS as TALLIES
 from tests.fabric_world import APPROVED, approve
-from transport.wire import EDITION, FrameReader, Kinds, plain
+from transport.wire import EDITION, FrameReader, MessageKinds, to_avro
 
 TABLES = {"control": CONTROL, "news": NEWS, "disk": RECORDS, "tallies": TALLIES}
 
@@ -56,7 +56,7 @@
     return schema["type"]
 
 
-def kinds_of(kinds: Kinds) -> list[tuple[int, type, Any]]:
+def kinds_of(kinds: MessageKinds) -> list[tuple[int, type, Any]]:
     return sorted((kind.number, cls, kind.schema) for cls, kind in kinds._by_type.items())
 
 
@@ -87,7 +87,7 @@
         assert kinds.encode(message) == raw
         schema = kinds._by_number[number].schema
         told = a_value({"type": "record", "fields": schema["fields"]}, type(message).__name__)
-        assert json.loads(json.dumps(plain(message), default=list_of)) == json.loads(
+        assert json.loads(json.dumps(to_avro(message), default=list_of)) == json.loads(
             json.dumps(told, default=list_of)
         )
 
--- a/transport/calls.py
+++ b/transport/calls.py
@@ -27,7 +27,7 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-MOST_BODY = 4 * 1024 * 1024  # a quarter of what a frame and a record of the disk hold
+MAX_BODY_BYTES = 4 * 1024 * 1024  # a quarter of what a frame and a record of the disk hold
 HEAD_S = 5.0  # a call has to be whole so long after its first byte
 IDLE_S = 60.0  # a connection with nothing under way is ended after this
 MOST_SHOWN = 80  # of a path, in the log
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class Request:
     """One whole call."""
 
     method: str
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """Its answer."""
 
     status: int
@@ -59,23 +59,23 @@
     content_type: str = "application/json"
 
 
-def say(status: int, error: str = "", **headers: str) -> Reply:
+def json_response(status: int, error: str = "", **headers: str) -> Response:
     """An answer in a few words."""
     body = json.dumps({"error": error} if error else {"ok": status < 300}).encode()
-    return Reply(status, body, {k.replace("_", "-"): v for k, v in headers.items()})
+    return Response(status, body, {k.replace("_", "-"): v for k, v in headers.items()})
 
 
-Handler = Callable[[Any, Call], Awaitable[Reply]]
+Handler = Callable[[Any, Request], Awaitable[Response]]
 
 
-class Calls:
+class Routes:
     """The calls that a program answers, each declared beside its handler."""
 
     def __init__(self) -> None:
         self._handlers: dict[tuple[str, str], Handler] = {}
         self._named: dict[tuple[str, str], Handler] = {}  # by method and what the path begins with
 
-    def on(self, method: str, path: str) -> Callable[[Handler], Handler]:
+    def route(self, method: str, path: str) -> Callable[[Handler], Handler]:
         """Declare the handler of a call."""
 
         def take(handler: Handler) -> Handler:
@@ -84,7 +84,7 @@
 
         return take
 
-    def on_named(self, method: str, start: str) -> Callable[[Handler], Handler]:
+    def route_prefix(self, method: str, start: str) -> Callable[[Handler], Handler]:
         """Declare the handler of calls whose path is `start`, which ends with a slash, and a name."""
 
         def take(handler: Handler) -> Handler:
@@ -93,7 +93,7 @@
 
         return take
 
-    def include(self, other: Calls) -> Calls:
+    def include(self, other: Routes) -> Routes:
         """Answer the other's calls too, as they are declared by now."""
         self._handlers |= other._handlers
         self._named |= other._named
@@ -110,24 +110,24 @@
         known = any(at == path for _, at in self._handlers)
         return known or (bool(name) and any(at == f"{start}/" for _, at in self._named))
 
-    async def answer(self, owner: object, call: Call) -> Reply:
+    async def answer(self, owner: object, call: Request) -> Response:
         """The answer to a call; a handler's fault costs that call alone."""
         handler = self._find(call.method, call.path)
         if handler is None:
             known = self._is_known(call.path)
             logger.info("event=call_unknown method={} path={!r}", call.method, call.path[:MOST_SHOWN])
-            return say(405 if known else 404, "no such call")
+            return json_response(405 if known else 404, "no such call")
         try:
             return await handler(owner, call)
         except Exception:
             logger.exception("event=call_failed path={}", call.path)
-            return say(500, "the call failed; see the log")
+            return json_response(500, "the call failed; see the log")
 
 
-class _Caller(asyncio.Protocol):
+class _HttpConnection(asyncio.Protocol):
     """One connection: a call, its answer, the next call."""
 
-    def __init__(self, calls: Calls, owner: object, open_now: set[_Caller]) -> None:
+    def __init__(self, calls: Routes, owner: object, open_now: set[_HttpConnection]) -> None:
         self._calls, self._owner, self._open = calls, owner, open_now
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -136,7 +136,7 @@
         self._is_begun = False  # a call is not whole yet
         self._is_paused = False  # we read no further
         self._task: asyncio.Task[None] | None = None
-        self._waiting: list[tuple[Call, bool]] = []
+        self._waiting: list[tuple[Request, bool]] = []
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -201,13 +201,13 @@
         """The head is there."""
         self._in_head, self._head = False, 0
         length = self._headers.get("content-length", "0")
-        if length.isdigit() and int(length) > MOST_BODY:
+        if length.isdigit() and int(length) > MAX_BODY_BYTES:
             self._bad = 413
 
     def on_body(self, data: bytes) -> None:
         """A piece of the body."""
         self._body += data
-        if len(self._body) > MOST_BODY:
+        if len(self._body) > MAX_BODY_BYTES:
             self._bad = 413
 
     def on_message_complete(self) -> None:
@@ -215,7 +215,7 @@
         self._in_head, self._is_begun = True, False
         path = self._url.partition(b"?")[0].decode("latin-1")
         method = self._parser.get_method().decode("latin-1")
-        call = Call(method, path, self._headers, bytes(self._body))
+        call = Request(method, path, self._headers, bytes(self._body))
         self._waiting.append((call, self._parser.should_keep_alive()))
 
     def _next(self) -> None:
@@ -231,16 +231,16 @@
             call, keep = self._waiting.pop(0)
             self._task = asyncio.get_running_loop().create_task(self._answer(call, keep))
         elif self._bad:
-            self._write(say(self._bad, "the call can't be read"), False)
+            self._write(json_response(self._bad, "the call can't be read"), False)
 
-    async def _answer(self, call: Call, keep: bool) -> None:
+    async def _answer(self, call: Request, keep: bool) -> None:
         reply = await self._calls.answer(self._owner, call)
         self._task = None
         self._write(reply, keep)
         if keep:
             self._next()
 
-    def _write(self, reply: Reply, keep: bool) -> None:
+    def _write(self, reply: Response, keep: bool) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         more = "".join(f"{name}: {value}\r\n" for name, value in reply.headers.items())
@@ -254,19 +254,19 @@
             self._transport.close()
 
 
-class CallServer:
+class HttpServer:
     """Listens for calls."""
 
-    def __init__(self, calls: Calls, owner: object) -> None:
+    def __init__(self, calls: Routes, owner: object) -> None:
         self._calls, self._owner = calls, owner
-        self._open: set[_Caller] = set()
+        self._open: set[_HttpConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
         """Listen; raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Caller(self._calls, self._owner, self._open), *address, backlog=256
+            lambda: _HttpConnection(self._calls, self._owner, self._open), *address, backlog=256
         )
 
     def stop(self) -> None:
--- a/transport/links.py
+++ b/transport/links.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from transport.endpoint import Endpoint
-from transport.wire import Kinds, Link
+from transport.wire import Link, MessageKinds
 
 DIAL_S = 0.5  # a connection comes up within this, or the peer is out of reach
 STAGGER_S = 0.1  # where one of several is wanted, the next is dialled if the one before is not up by then
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        kinds: Kinds,
+        kinds: MessageKinds,
         own: Endpoint,
         heard: Heard,
         ended: Callable[[Link], None],
@@ -98,10 +98,10 @@
                 self._by_endpoint.pop(link.endpoint, None)
         self._told_end(link)
 
-    def to(self, endpoint: Endpoint) -> Link | None:
+    def find(self, endpoint: Endpoint) -> Link | None:
         """The connection to a process that was heard of last, if one is up."""
         links = [k for k in self._by_endpoint.get(endpoint, ()) if k.is_up()]
-        return max(links, key=lambda k: k.last_heard, default=None)
+        return max(links, key=lambda k: k.last_received_at, default=None)
 
     def send(self, endpoint: Endpoint, message: Any) -> None:
         """Send to a process, by what connection there is or a new one; it may be lost."""
@@ -112,13 +112,13 @@
         if self._is_stopped:
             return
         now = asyncio.get_running_loop().time()
-        link = self.to(endpoint)
+        link = self.find(endpoint)
         if link is not None:
             for old in list(self._by_endpoint.get(endpoint, ())):
-                if now - old.last_heard > DROP_S and old is not link:
+                if now - old.last_received_at > DROP_S and old is not link:
                     old.close()
             link.send_bytes(frame)
-            if now - link.last_heard <= SILENT_S:
+            if now - link.last_received_at <= SILENT_S:
                 return
         waiting = self._dialing.get(endpoint)
         if waiting is not None:
--- a/transport/tasks.py
+++ b/transport/tasks.py
@@ -10,7 +10,7 @@
 AGAIN_S = 0.5  # after a fault
 
 
-async def keep_on(work: Callable[[], Awaitable[None]]) -> None:
+async def run_forever(work: Callable[[], Awaitable[None]]) -> None:
     """Do endless work; a fault in it is logged, and it begins anew: a process without it would look well."""
     while True:
         try:
--- a/transport/wire.py
+++ b/transport/wire.py
@@ -25,10 +25,10 @@
 
 EDITION = 7  # of all kinds together, as reports show it: the next number with each new kind
 STEPS_EDITION = 3  # and later ones take packed frames, changes of the list and steps of loads
-PACKED = 112  # a frame within a frame, compressed: the inner one's kind (2 bytes) and zlib's bytes
+COMPRESSED_KIND = 112  # a frame within a frame, compressed: the inner one's kind (2 bytes) and zlib's bytes
 PACK_LEVEL = 1  # of zlib: the list of 2,800 upstreams in some milliseconds, to a tenth
-MOST_NUMBER = 255  # of a kind, in this release and later ones
-MOST_FRAME = 16 * 1024 * 1024  # a whole configuration fits four times
+MAX_KIND_NUMBER = 255  # of a kind, in this release and later ones
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # a whole configuration fits four times
 _HEAD = struct.Struct(">IH")
 _INNER = struct.Struct(">H")
 
@@ -60,7 +60,7 @@
         return reader_of(self.cls, self._nested)
 
 
-class Kinds:
+class MessageKinds:
     """The kinds of message of one conversation, by number, with their Avro schemas."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
 
         return take
 
-    def include(self, other: Kinds) -> Kinds:
+    def include(self, other: MessageKinds) -> MessageKinds:
         """Speak the other conversation too."""
         self._by_type |= other._by_type
         self._by_number |= other._by_number
@@ -92,7 +92,7 @@
         kind = self._by_type[type(message)]
         out = io.BytesIO()
         out.write(b"\0" * _HEAD.size)
-        fastavro.schemaless_writer(out, kind.schema, plain(message))
+        fastavro.schemaless_writer(out, kind.schema, to_avro(message))
         size = out.tell() - _HEAD.size
         out.seek(0)
         out.write(_HEAD.pack(size, kind.number))
@@ -100,12 +100,12 @@
 
     def may_be_later(self, number: int) -> bool:
         """Whether only a later release may know this number; beyond `MOST_NUMBER` is no message of ours."""
-        return max(self._by_number, default=0) < number <= MOST_NUMBER
+        return max(self._by_number, default=0) < number <= MAX_KIND_NUMBER
 
     def decode(self, number: int, body: bytes) -> Any:
         """The message of a frame, packed or not; raises WireError."""
-        if number == PACKED:
-            number, body = unpacked(body)
+        if number == COMPRESSED_KIND:
+            number, body = decompress_frame(body)
         kind = self._by_number.get(number)
         if kind is None:
             raise WireError(
@@ -121,34 +121,34 @@
             raise WireError(f"a {kind.cls.__name__} can't be read ({error})", "drop the connection") from None
 
 
-def packed(frame: bytes) -> bytes:
+def compress_frame(frame: bytes) -> bytes:
     """The same frame, compressed; as it is where that makes it no smaller."""
     _, number = _HEAD.unpack_from(frame)
     body = _INNER.pack(number) + zlib.compress(frame[_HEAD.size :], PACK_LEVEL)
-    return _HEAD.pack(len(body), PACKED) + body if len(body) + _HEAD.size < len(frame) else frame
+    return _HEAD.pack(len(body), COMPRESSED_KIND) + body if len(body) + _HEAD.size < len(frame) else frame
 
 
-def unpacked(body: bytes) -> tuple[int, bytes]:
+def decompress_frame(body: bytes) -> tuple[int, bytes]:
     """The kind and the body of the frame within; raises WireError."""
     try:
         (number,) = _INNER.unpack_from(body)
         unpack = zlib.decompressobj()
-        inner = unpack.decompress(body[_INNER.size :], MOST_FRAME)
+        inner = unpack.decompress(body[_INNER.size :], MAX_FRAME_BYTES)
     except (struct.error, zlib.error) as error:
         raise WireError(f"a packed frame can't be read ({error})", "drop the connection") from None
-    if number == PACKED or not unpack.eof or unpack.unused_data:
+    if number == COMPRESSED_KIND or not unpack.eof or unpack.unused_data:
         raise WireError("a packed frame holds no frame of ours", "drop the connection")
     return number, inner
 
 
-def plain(value: Any) -> Any:
+def to_avro(value: Any) -> Any:
     """A message as Avro's writer takes it."""
     if isinstance(value, str | int | float | bytes) or value is None:
         return value
     if isinstance(value, list | tuple):
-        return [plain(item) for item in value]
+        return [to_avro(item) for item in value]
     if is_dataclass(value) and not isinstance(value, type):
-        return {name: plain(getattr(value, name)) for name in _field_names(type(value))}
+        return {name: to_avro(getattr(value, name)) for name in _field_names(type(value))}
     return value
 
 
@@ -168,7 +168,7 @@
 class FrameReader:
     """Cuts a stream of bytes into frames."""
 
-    def __init__(self, most: int = MOST_FRAME) -> None:
+    def __init__(self, most: int = MAX_FRAME_BYTES) -> None:
         self._held = bytearray()
         self._most = most
 
@@ -193,38 +193,38 @@
 
     def __init__(
         self,
-        kinds: Kinds,
+        kinds: MessageKinds,
         heard: Callable[[Link, Any], None],
         ended: Callable[[Link], None],
         begun: Callable[[Link], None] | None = None,
-        most_unsent: int = 4 * MOST_FRAME,
-        most_frame: int = MOST_FRAME,
+        max_unsent_bytes: int = 4 * MAX_FRAME_BYTES,
+        max_frame_bytes: int = MAX_FRAME_BYTES,
     ) -> None:
         self._kinds, self._heard, self._ended, self._begun = kinds, heard, ended, begun
-        self._reader = FrameReader(most_frame)
+        self._reader = FrameReader(max_frame_bytes)
         self._transport: asyncio.Transport | None = None
-        self._most_unsent = most_unsent
+        self._most_unsent = max_unsent_bytes
         self.peer = ""  # the IP of the other side
         self.endpoint: Endpoint | None = None  # of the process on the other side, once it is known
-        self.last_heard = 0.0  # on the loop's clock
+        self.last_received_at = 0.0  # on the loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """It is up."""
         assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
         self._transport = transport  # type: ignore[assignment]
         self.peer = (transport.get_extra_info("peername") or ("",))[0]
-        self.last_heard = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         if self._begun is not None:
             self._begun(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of messages, cut anywhere; what is no message ends the connection."""
-        self.last_heard = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         try:
             for frame in self._reader.feed(data):
                 number, body = frame.number, frame.body
-                if number == PACKED:
-                    number, body = unpacked(body)
+                if number == COMPRESSED_KIND:
+                    number, body = decompress_frame(body)
                 if self._kinds.may_be_later(number):
                     continue
                 self._heard(self, self._kinds.decode(number, body))
