--- a/control/cold_times.py
+++ b/control/cold_times.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._told: dict[str, _Told] = {}  # by id
 
-    def settle(self, entries: list[dict[str, Any]], now: float) -> list[dict[str, Any]]:
+    def stabilize(self, entries: list[dict[str, Any]], now: float) -> list[dict[str, Any]]:
         """The entries as they are to be told at `now` (s); those that are not cold stay as they are."""
         self._told = {name: told for name, told in self._told.items() if now < told.ends}
         return [self._settled(entry, now) for entry in entries]
--- a/control/node.py
+++ b/control/node.py
@@ -62,7 +62,7 @@
         self._replica: Replica | None = None
         self._clock = AwakeClock(self._stalled)
         own = Endpoint(settings.ip, settings.control_port)
-        self._links = Links(KINDS, own, self._heard, self._ended, callers_share_port=False)
+        self._links = Links(KINDS, own, self._heard, self._ended, peers_share_port=False)
         self._publisher = Publisher(settings, self._links, self._prove, self._outrun)
         copies, ready_ms = spec_from_settings(settings).holders, settings.bounds.merge_ms
         self.tallies = TallyKeeper(settings.data_dir, copies, ready_ms, self.now, self._send)
--- a/control/phase_controller.py
+++ b/control/phase_controller.py
@@ -61,9 +61,9 @@
         self._unheard, self._unheard_at = 0, 0.0  # orders in a row without an answer, and since when
         self._looked_at = 0.0
 
-    def lead(self, leads: bool, now: float, goes_on: bool = False) -> None:
-        """We lead, or no longer; `goes_on`: nobody else has led since we did, so all that we know stands."""
-        if leads and not self._leads and not goes_on:
+    def set_leading(self, leads: bool, now: float, is_continued: bool = False) -> None:
+        """We lead, or no longer; `is_continued`: nobody else has led since we did, so all that we know stands."""
+        if leads and not self._leads and not is_continued:
             self._since = now
             self._moving.clear()
             self._unclear.clear()
--- a/control/publisher.py
+++ b/control/publisher.py
@@ -136,7 +136,7 @@
             self._leads.set()
         else:
             self._leads.clear()
-        self._phase_controller.lead(view is not None, asyncio.get_running_loop().time(), goes_on)
+        self._phase_controller.set_leading(view is not None, asyncio.get_running_loop().time(), goes_on)
         logger.info("event=lead epoch={}", view.epoch if view is not None else 0)
         if view is not None:
             self._tell(MemberNews(view.epoch, self._next(), self._members(), self._cores(view)))
--- a/control/upstream_reader.py
+++ b/control/upstream_reader.py
@@ -56,7 +56,7 @@
             began = loop.time()
             try:
                 entries = await self._platform.read()
-                self.entries = self._cold_times.settle(entries, loop.time())
+                self.entries = self._cold_times.stabilize(entries, loop.time())
             except PlatformError as error:
                 if str(error) != unread:
                     unread = str(error)
--- a/mastturn/engines/control.py
+++ b/mastturn/engines/control.py
@@ -77,7 +77,7 @@
 
     def start(self) -> None:
         """Lead, read the list and look after the parts from now on."""
-        self._phase_controller.lead(True, asyncio.get_running_loop().time())
+        self._phase_controller.set_leading(True, asyncio.get_running_loop().time())
         self._read_list()
         self._look()
 
@@ -122,7 +122,7 @@
         loop = asyncio.get_running_loop()
         self._silent_until = max(self._silent_until, loop.time() + for_s)
         self._root.silent_until = self._silent_until
-        self._phase_controller.lead(False, loop.time())
+        self._phase_controller.set_leading(False, loop.time())
         loop.call_later(for_s, self._lead_again)
         if for_s >= STALE_AFTER_S:
             loop.call_later(STALE_AFTER_S, self._forget_loads)
@@ -130,7 +130,7 @@
     def _lead_again(self) -> None:
         now = asyncio.get_running_loop().time()
         if now >= self._silent_until:
-            self._phase_controller.lead(True, now)
+            self._phase_controller.set_leading(True, now)
             self._list()
 
     def _forget_loads(self) -> None:
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -124,7 +124,7 @@
             return
         if self._is_fresh(ALONE_S):
             return
-        page = pack(self._cold_times.settle(entries, asyncio.get_running_loop().time()))
+        page = pack(self._cold_times.stabilize(entries, asyncio.get_running_loop().time()))
         is_new, news, kinds = self._take(page), self._latest.upstreams, self._links.kinds
         if news is None or not turn.tells:
             return
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -47,7 +47,7 @@
         self.reader = ConfigurationReader()
         self._identity = f"referral-{secrets.token_hex(8)}"
         own = Endpoint(settings.ip, settings.control_port)
-        self._links = Links(KINDS, own, self._heard, lambda link: None, callers_share_port=False)
+        self._links = Links(KINDS, own, self._heard, lambda link: None, peers_share_port=False)
         self._calls = HttpServer(REFERRED, self)
         self._view: View | None = None  # the latest that a member has told
         self._heard_at: dict[str, float] = {}  # by member's identity: when it answered last
--- a/tests/test_control_host_platform.py
+++ b/tests/test_control_host_platform.py
@@ -175,7 +175,7 @@
     times = ColdTimes()
 
     def told(left_ms: float, at: float) -> bytes:
-        return pack(times.settle([upstream("a"), upstream("b", cold_left_ms=left_ms)], at))
+        return pack(times.stabilize([upstream("a"), upstream("b", cold_left_ms=left_ms)], at))
 
     first = told(3000, 10.0)
     assert [e.get("cold_left_ms") for e in json.loads(first)["upstreams"]] == [None, 3000]
@@ -189,14 +189,14 @@
     anew = told(2800, 22.4)  # it has turned cold once more in between
     assert anew != again
     assert told(1000, 24.2) == anew
-    times.settle([], 60.0)
+    times.stabilize([], 60.0)
     assert not times._told
 
 
 @pytest.mark.parametrize("odd", [None, True, "soon", -5, [], {}])
 def test_a_cold_time_that_is_none_is_left_as_it_stands(odd: Any) -> None:
     entries = [upstream("a", cold_left_ms=odd)]
-    assert ColdTimes().settle(entries, 1.0) == entries
+    assert ColdTimes().stabilize(entries, 1.0) == entries
 
 
 def test_entries_that_make_no_sense_cost_only_themselves() -> None:
--- a/tests/test_days_found_moves.py
+++ b/tests/test_days_found_moves.py
@@ -56,7 +56,7 @@
     controller = PhaseController(
         "core-1", LEASE_S, epoch, lambda: loads or {}, lambda: None, lambda epoch: None
     )
-    controller.lead(True, 0.0)
+    controller.set_leading(True, 0.0)
     controller.set_list(pack(list(entries)))
     return controller
 
@@ -163,9 +163,9 @@
         lease = LEASE_SPARE * LEASE_S
         await look(controller, 0.0, lease + 0.2)
         assert given == [("r1", "decode", 7), ("r2", "decode", 7)]
-        controller.lead(False, lease + 3.0)
+        controller.set_leading(False, lease + 3.0)
         await look(controller, lease + 3.0, lease + 3.2)
-        controller.lead(True, lease + 3.2, goes_on=True)
+        controller.set_leading(True, lease + 3.2, is_continued=True)
         page = controller.mark_moving(entries, lease + 3.2)
         assert [e["phase"] for e in page] == ["moving", "moving", "prefill"]
         controller.mark_moving(
@@ -184,8 +184,8 @@
         lease = LEASE_SPARE * LEASE_S
         await look(controller, 0.0, lease + 0.2)
         assert len(given) == 2
-        controller.lead(False, lease + 0.2)
-        controller.lead(True, 20.0)
+        controller.set_leading(False, lease + 0.2)
+        controller.set_leading(True, 20.0)
         page = controller.mark_moving([entry("r1", "prefill")], 20.0)
         assert [e["phase"] for e in page] == ["prefill"]
         await look(controller, 20.0, 20.0 + lease)
@@ -206,13 +206,13 @@
             return epochs.pop(0)
 
         controller = PhaseController("core-1", LEASE_S, prove, lambda: {}, lambda: None, lambda epoch: None)
-        controller.lead(True, 0.0)
+        controller.set_leading(True, 0.0)
         controller.set_list(pack([entry("r1", "prefill"), entry("r2", "prefill"), entry("r3", "prefill")]))
         lease = LEASE_SPARE * LEASE_S
         await look(controller, 0.0, lease + 0.1)
         assert given == [] and epochs == [8]
-        controller.lead(False, lease + 0.1)
-        controller.lead(True, lease + 0.2, goes_on=True)
+        controller.set_leading(False, lease + 0.1)
+        controller.set_leading(True, lease + 0.2, is_continued=True)
         await look(controller, lease + 0.2, lease + 0.4)
         assert [fence for _, _, fence in given] == [8, 8]
 
@@ -250,7 +250,7 @@
     async def scene() -> None:
         controller = controller_of(entry("r1", "prefill"), entry("r2", "prefill"))
         await look(controller, 0.0, 3.0)
-        controller.lead(False, 3.0)
+        controller.set_leading(False, 3.0)
         await look(controller, 3.0, 20.0)
         assert given == []
 
@@ -273,13 +273,13 @@
     async def scene() -> None:
         monkeypatch.setattr(control.phase_controller, "change_phase", fenced)
         controller = PhaseController("core-1", LEASE_S, prove, lambda: {}, lambda: None, outrun.append)
-        controller.lead(True, 0.0)
+        controller.set_leading(True, 0.0)
         controller.set_list(pack([entry(name, "prefill") for name in ("r1", "r2", "r3")]))
         for first in range(0, 60, 3):
             await look(controller, float(first), first + 3.0)
             if outrun and outrun[-1] >= epochs[-1]:
                 epochs.append(outrun[-1] + 1)
-                controller.lead(True, float(first), goes_on=True)
+                controller.set_leading(True, float(first), is_continued=True)
 
     run(scene())
     fences = [fence for _, _, fence in given]
--- a/tests/test_transport_links.py
+++ b/tests/test_transport_links.py
@@ -294,7 +294,7 @@
         own = Endpoint("10.4.0.1", PORT)
         listener = Process(world.network, "listener", own.ip)
         links = Links(
-            KINDS, own, lambda link, m: came.append(link), lambda link: None, callers_share_port=False
+            KINDS, own, lambda link, m: came.append(link), lambda link: None, peers_share_port=False
         )
         await world.loop.create_task(links.start(), context=listener.context)
         for number, caller in enumerate(callers):
--- a/transport/links.py
+++ b/transport/links.py
@@ -37,14 +37,14 @@
         own: Endpoint,
         heard: Heard,
         ended: Callable[[Link], None],
-        callers_share_port: bool = True,
+        peers_share_port: bool = True,
     ) -> None:
-        """`callers_share_port`: whoever calls us listens on our port of its own machine.
+        """`peers_share_port`: whoever calls us listens on our port of its own machine.
 
         Else a caller is nobody that is spoken to by name until `identify` says who it is.
         """
         self.kinds, self._own, self._heard, self._told_end = kinds, own, heard, ended
-        self._callers_share_port = callers_share_port
+        self._peers_share_port = peers_share_port
         self._by_endpoint: dict[Endpoint, list[Link]] = {}
         self._unidentified: set[Link] = set()
         self._dialing: dict[Endpoint, list[bytes]] = {}
@@ -73,7 +73,7 @@
     def _called(self, link: Link) -> None:
         """Somebody has called us."""
         harden(link.socket())
-        if self._callers_share_port:
+        if self._peers_share_port:
             self._file(link, Endpoint(link.peer, self._own.port))
         else:
             self._unidentified.add(link)
