--- a/features/environment.py
+++ b/features/environment.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
-from tests.fabric_story import Stories
+from tests.fabric_story import ScenarioRunner
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
     """A fabric of its own."""
-    context.stories = Stories()
+    context.stories = ScenarioRunner()
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -26,7 +26,9 @@
 
 
 async def _in_force(world: World, ver: int, within_s: float) -> None:
-    await world.until(lambda: all(m.plane.ver == ver for m in running(world)), within_s, f"version {ver}")
+    await world.wait_until(
+        lambda: all(m.plane.ver == ver for m in running(world)), within_s, f"version {ver}"
+    )
 
 
 @given("a fleet of {cores:d} control machines and {edges:d} balancers")
@@ -48,7 +50,7 @@
 
     async def step() -> None:
         world.platform.entries = world.platform.entries or [upstream("i-1"), upstream("i-2")]
-        await world.served()
+        await world.wait_served()
         base = max((m.plane.ver for m in world.edges()), default=0)
         ended = await world.operator().put(configuration(ver), base)
         assert ended.status == 200
@@ -193,7 +195,9 @@
 def another_leads(context: Any, seconds: float) -> None:
     """Somebody else takes orders."""
     world = world_of(context)
-    context.stories.play(world.until(lambda: world.primary() not in ("", context.lost), seconds, "a primary"))
+    context.stories.play(
+        world.wait_until(lambda: world.primary() not in ("", context.lost), seconds, "a primary")
+    )
 
 
 @then("no balancer has been without news for longer than {seconds:f} seconds")
@@ -238,7 +242,7 @@
         known = [m.role._latest.members for m in running(world)]
         return all(context.stopped not in [p.node for p in news.balancers] for news in known)
 
-    context.stories.play(world.until(is_gone, float(seconds), "it is no member"))
+    context.stories.play(world.wait_until(is_gone, float(seconds), "it is no member"))
 
 
 @then("all balancers know of it within {seconds:d} seconds")
@@ -249,7 +253,7 @@
     def is_known() -> bool:
         return all(m.plane.listed[-1][1][0].state == "draining" for m in running(world))
 
-    context.stories.play(world.until(is_known, float(seconds), "the list is known"))
+    context.stories.play(world.wait_until(is_known, float(seconds), "the list is known"))
 
 
 @then("they have asked the platform within a quarter of its rate")
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -111,7 +111,9 @@
 def all_serve_it(context: Any, seconds: int) -> None:
     """And not the other."""
     world: World = context.stories.world
-    everywhere = world.until(lambda: all(m.plane.ver == context.ver for m in world.edges()), float(seconds))
+    everywhere = world.wait_until(
+        lambda: all(m.plane.ver == context.ver for m in world.edges()), float(seconds)
+    )
     context.stories.play(everywhere)
     assert all(c.ver in (5, context.ver) for m in world.edges() for _, c in m.plane.configured)
 
--- a/tests/fabric_scenes.py
+++ b/tests/fabric_scenes.py
@@ -9,18 +9,18 @@
 APPLY_S = 2.0  # and in force everywhere within this
 
 
-async def begun(world: World, ver: int = 5) -> None:
+async def start_fleet(world: World, ver: int = 5) -> None:
     """A fleet that serves a first configuration; the transcript begins after that."""
     world.transcript.is_quiet = True
     world.platform.entries = [upstream("i-1"), upstream("i-2")]
-    await world.served()
+    await world.wait_served()
     ended = await world.operator().put(configuration(ver), 0)
     assert ended.status == 200
     await world.wait(3.0)
     world.transcript.is_quiet = False
 
 
-async def in_force(world: World, ver: int, within_s: float = APPLY_S) -> None:
+async def wait_in_force(world: World, ver: int, within_s: float = APPLY_S) -> None:
     """All balancers that run have this version within the time."""
     planes = [m.plane for m in world.edges() if world.running(m)]
-    await world.until(lambda: all(p.ver == ver for p in planes), within_s, f"version {ver} everywhere")
+    await world.wait_until(lambda: all(p.ver == ver for p in planes), within_s, f"version {ver} everywhere")
--- a/tests/fabric_story.py
+++ b/tests/fabric_story.py
@@ -18,7 +18,7 @@
 then: Callable[[str], Callable[[Step], Step]] = behave.then
 
 
-class Stories:
+class ScenarioRunner:
     """One world; time goes by only while a step is played."""
 
     def __init__(self) -> None:
--- a/tests/fabric_world.py
+++ b/tests/fabric_world.py
@@ -160,7 +160,7 @@
     def kill(self, *names: str) -> None:
         """End processes at once."""
         for name in names:
-            self.say(f"{name} is killed")
+            self.note(f"{name} is killed")
             process = self.machines[name].process
             assert process is not None
             process.kill()
@@ -168,7 +168,7 @@
     def power_off(self, *names: str) -> None:
         """Machines lose power: nobody hears of it, and what was not synced is lost."""
         for name in names:
-            self.say(f"{name} loses power")
+            self.note(f"{name} loses power")
             machine = self.machines[name]
             assert machine.process is not None
             self.network.off.add(machine.ip)
@@ -177,37 +177,37 @@
 
     def freeze(self, name: str) -> None:
         """A machine stands still."""
-        self.say(f"{name} freezes")
+        self.note(f"{name} freezes")
         process = self.machines[name].process
         assert process is not None
         process.freeze()
 
     def thaw(self, name: str) -> None:
         """It goes on."""
-        self.say(f"{name} wakes")
+        self.note(f"{name} wakes")
         process = self.machines[name].process
         assert process is not None
         process.thaw()
 
     async def terminate(self, name: str) -> None:
         """SIGTERM: the process ends in order."""
-        self.say(f"{name} is told to stop")
+        self.note(f"{name} is told to stop")
         machine = self.machines[name]
         process = machine.process
         assert process is not None
         await self.loop.create_task(machine.role.stop(), context=process.context)
-        self.say(f"{name} has ended")
+        self.note(f"{name} has ended")
         process.exit()
 
     def cut(self, here: list[str], there: list[str], both_ways: bool = True) -> None:
         """Nothing gets through between machines any more."""
         way = "between" if both_ways else "from"
-        self.say(f"nothing gets {way} {','.join(here)} {'and' if both_ways else 'to'} {','.join(there)}")
+        self.note(f"nothing gets {way} {','.join(here)} {'and' if both_ways else 'to'} {','.join(there)}")
         self.network.cut([self.machines[n].ip for n in here], [self.machines[n].ip for n in there], both_ways)
 
     def heal(self) -> None:
         """All paths are there again."""
-        self.say("all links are back")
+        self.note("all links are back")
         self.network.heal()
 
     # ---- what they know
@@ -252,7 +252,7 @@
         """Let time go by."""
         await asyncio.sleep(seconds)
 
-    async def until(self, is_so: Callable[[], object], within_s: float, what: str = "") -> float:
+    async def wait_until(self, is_so: Callable[[], object], within_s: float, what: str = "") -> float:
         """Let time go by until something is so; how long it took, in seconds."""
         since = self.loop.time()
         while not is_so():
@@ -261,27 +261,27 @@
             await asyncio.sleep(0.005)
         return self.loop.time() - since
 
-    async def served(self, within_s: float = 5.0) -> None:
+    async def wait_served(self, within_s: float = 5.0) -> None:
         """Until there is a primary and all balancers hear the news."""
 
         def is_served() -> bool:
             return bool(self.primary()) and all(m.role and m.role._follower.is_fresh() for m in self.edges())
 
-        await self.until(is_served, within_s, "a primary that all balancers hear")
+        await self.wait_until(is_served, within_s, "a primary that all balancers hear")
 
     def operator(self, name: str = "operator", *order: str) -> Operator:
         """An operator who knows these machines, in this order; all of the core if none is named."""
         ctl = [self.machines[n].ctl for n in order] or [m.ctl for m in self.cores()]
-        return Operator(name, ctl, self.name_of, self.say)
+        return Operator(name, ctl, self.name_of, self.note)
 
     def name_of(self, ip: str) -> str:
         """The machine at an IP."""
         known = {m.ip: m.name for m in self.machines.values()}
         return known.get(ip, {PLATFORM[0]: "platform", OUTSIDE: "stranger"}.get(ip, ip))
 
-    def say(self, text: str) -> None:
+    def note(self, text: str) -> None:
         """A line of the transcript."""
-        self.transcript.say(text)
+        self.transcript.add_line(text)
 
 
 class Transcript:
@@ -291,11 +291,11 @@
         self._world = world
         self._readers: dict[End, FrameReader] = {}
         self.lines: list[str] = []
-        self.heard: list[tuple[float, str, str, Any]] = []  # ms, from, to, message: all of them
+        self.received: list[tuple[float, str, str, Any]] = []  # ms, from, to, message: all of them
         self.logs: list[str] = []
         self.is_quiet = False
 
-    def say(self, text: str) -> None:
+    def add_line(self, text: str) -> None:
         """One line, now."""
         if not self.is_quiet:
             self.lines.append(f"{self._world.now():8.0f}  {text}")
@@ -320,15 +320,15 @@
                 message = KINDS.decode(frame.number, frame.body)
                 if isinstance(message, control.Message):
                     message = revive(message)
-                self.heard.append((self._world.now(), here, there, message))
+                self.received.append((self._world.now(), here, there, message))
                 if (text := describe(message)) is not None:
-                    self.say(f"{here} -> {there}: {text}")
+                    self.add_line(f"{here} -> {there}: {text}")
         except (WireError, ValueError):
-            self.say(f"{here} -> {there}: bytes that are no message")
+            self.add_line(f"{here} -> {there}: bytes that are no message")
 
-    def said(self, kind: type) -> list[tuple[float, str, str, Any]]:
+    def messages(self, kind: type) -> list[tuple[float, str, str, Any]]:
         """All messages of a kind: when (ms), from whom, to whom, what."""
-        return [entry for entry in self.heard if isinstance(entry[3], kind)]
+        return [entry for entry in self.received if isinstance(entry[3], kind)]
 
 
 def describe(message: Any) -> str | None:
@@ -477,7 +477,7 @@
     loop.faults[:] = faults
 
 
-def approve(name: str, text: str) -> None:
+def assert_approved(name: str, text: str) -> None:
     """Compare a transcript with the approved one; a run with APPROVE=1 writes it anew."""
     path = APPROVED / f"{name}.txt"
     if os.environ.get("APPROVE") == "1":
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -18,7 +18,7 @@
 from passpost.http1 import Answer
 from tests.balancer_stage import Stage as Stand
 from tests.balancer_stage import answer, configuration, playing, route
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
 from tests.test_dissemination_news import settled
 from umberworks.interface import Outcome
@@ -197,38 +197,38 @@
 
 def test_failures_are_known_to_all_balancers_and_gone_when_they_are_taken_back() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         first, second, *others = world.edges()
         for machine in (first, second):
             machine.plane.held_against = {("i-1", "z"): (1, 2)}
             machine.plane.doubts_changed()
         wanted = {("i-1", "z"): (2, 4)}
-        await world.until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 1.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 1.0)
         world.kill(first.name)
         wanted = {("i-1", "z"): (1, 2)}
-        await world.until(lambda: all(m.plane.told_doubts == wanted for m in others), 4.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in others), 4.0)
         second.plane.held_against = {}
         second.plane.doubts_changed()
-        await world.until(lambda: all(m.plane.told_doubts == {} for m in others), 1.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == {} for m in others), 1.0)
 
     play(scene, edges=12, zones=1)
 
 
 def test_a_take_over_keeps_what_is_held_and_drops_what_nobody_holds() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         first, second = world.edges()[:2]
         for machine, upstream in ((first, "i-1"), (second, "i-2")):
             machine.plane.held_against = {(upstream, "z"): (1, 2)}
             machine.plane.doubts_changed()
-        await world.until(lambda: all(len(m.plane.told_doubts) == 2 for m in world.edges()), 1.0)
+        await world.wait_until(lambda: all(len(m.plane.told_doubts) == 2 for m in world.edges()), 1.0)
         world.kill(world.primary())
         second.plane.held_against = {}
         second.plane.doubts_changed()
         wanted = {("i-1", "z"): (1, 2)}
-        await world.until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 6.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 6.0)
 
     play(scene, edges=5, zones=1)
 
--- a/tests/test_balancer_versions.py
+++ b/tests/test_balancer_versions.py
@@ -15,7 +15,7 @@
 from config.configuration import LoadedModel, Upstream
 from config.errors import InvalidConfigurationError
 from tests.fabric_callers import configuration
-from tests.fabric_scenes import begun, in_force
+from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import World, play
 
 PROMPT = Prompt(0, 0, b"")
@@ -79,14 +79,14 @@
 
 def test_such_a_configuration_is_acknowledged_in_time_and_in_force() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         sent = world.loop.time()
         told = json.loads(configuration(6))
         for service in told["svcs"]:
             service["backend"] = {"models": [{"name": "m", "ver": 2}]}
         ended = await world.operator().put(json.dumps(told).encode(), 5)
         assert ended.status == 200 and ended.at - sent < 0.5
-        await in_force(world, 6, 1.5)
+        await wait_in_force(world, 6, 1.5)
         held = [m.plane.configured[-1][1] for m in world.edges()]
         assert all(wanted_versions(configured) for configured in held)
 
--- a/tests/test_control_host_cuts.py
+++ b/tests/test_control_host_cuts.py
@@ -9,7 +9,7 @@
 
 from dissemination.messages import Pulse
 from tests.fabric_callers import Answer, ask, call, configuration
-from tests.fabric_scenes import ACK_S, APPLY_S, begun, in_force
+from tests.fabric_scenes import ACK_S, APPLY_S, start_fleet, wait_in_force
 from tests.fabric_world import CTL_PORT, World, play
 
 PAIRS = [*itertools.combinations(["primary", "backup", "witness"], 2)]
@@ -27,7 +27,7 @@
         assert ended.status == 200, world.transcript.text()
         assert ended.at - since < ACK_S
         base += 1
-        await in_force(world, base)
+        await wait_in_force(world, base)
         await world.wait(1.0)
     return base
 
@@ -36,14 +36,14 @@
 @pytest.mark.parametrize("way", ["both", "there", "back"])
 def test_two_that_dont_reach_each_other_but_the_third(pair: tuple[str, str], way: str) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         here, there = (named(world)[name] for name in pair)
         if way == "back":
             here, there = there, here
         world.cut([here], [there], both_ways=way == "both")
         await world.wait(3.0)
         ver = await orders_go_on(world, 5)
-        epochs = {m.epoch for at, _, _, m in world.transcript.said(Pulse) if at > world.now() - 4000}
+        epochs = {m.epoch for at, _, _, m in world.transcript.messages(Pulse) if at > world.now() - 4000}
         assert len(epochs) <= 2, f"the primary changes again and again: {epochs}"
         world.heal()
         await world.wait(3.0)
@@ -57,7 +57,7 @@
     """Balancers and operators reach all three: they have to go where the majority is."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         names = named(world)
         others = [name for role, name in names.items() if role != alone]
         world.cut([names[alone]], others)
@@ -77,7 +77,7 @@
     """It hears the news by its relay or not at all, never old ones, and all of them once the cut is over."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         names = named(world)
         here, there = ["edge-1"], [names["primary"]]
         if way == "back":
@@ -88,7 +88,7 @@
         await world.wait(APPLY_S)
         assert all(m.plane.ver == 6 for m in world.edges() if m.name != "edge-1")
         world.heal()
-        await world.until(lambda: world.machines["edge-1"].plane.ver == 6, APPLY_S, "after the cut")
+        await world.wait_until(lambda: world.machines["edge-1"].plane.ver == 6, APPLY_S, "after the cut")
 
     play(scene, edges=4, zones=1)
 
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("delay_ms", [30, 100])
 def test_slow_links_of_one_machine(slow: str, delay_ms: int) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         name = named(world)[slow]
         ip = world.machines[name].ip
         for machine in world.machines.values():
@@ -105,7 +105,7 @@
                 world.network.delays[ip, machine.ip] = world.network.delays[machine.ip, ip] = delay_ms / 1000
         await world.wait(3.0)
         await orders_go_on(world, 5)
-        epochs = {m.epoch for at, _, _, m in world.transcript.said(Pulse) if at > world.now() - 4000}
+        epochs = {m.epoch for at, _, _, m in world.transcript.messages(Pulse) if at > world.now() - 4000}
         assert len(epochs) <= 2, f"the primary changes again and again: {epochs}"
 
     play(scene, edges=3)
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("sync_ms", [5, 50, 150])
 def test_slow_disks(sync_ms: int) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for machine in world.cores():
             machine.disk.sync_s = sync_ms / 1000
         await world.wait(3.0)
@@ -131,7 +131,7 @@
     """A question that comes after a newer version was acknowledged is never answered by the older one."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         old = world.primary()
         others = [m.name for m in world.cores() if m.name != old]
         asked: list[tuple[float, asyncio.Task[Answer | None]]] = []
@@ -151,7 +151,7 @@
                 world.cut(others, [old], both_ways=False)
             case _:
                 world.cut([old], others, both_ways=trouble == "cut")
-        await world.until(lambda: any(world.node(n).is_leader() for n in others), 3.0, "another leads")
+        await world.wait_until(lambda: any(world.node(n).is_leader() for n in others), 3.0, "another leads")
         new = next(n for n in others if world.node(n).is_leader())
         assert trouble != "cut" or world.node(old).is_leader()  # it does not know yet
         ended = await world.operator("operator", new).put(configuration(6), 5)
--- a/tests/test_control_host_disk.py
+++ b/tests/test_control_host_disk.py
@@ -19,7 +19,7 @@
 from tests.fabric import Process
 from tests.fabric_callers import configuration
 from tests.fabric_disk import Disk
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import Machine, World, play
 
 
@@ -137,19 +137,19 @@
     sync_ms = 40
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for machine in world.cores():
             machine.disk.sync_s = sync_ms / 1000
-        world.transcript.heard.clear()
+        world.transcript.received.clear()
         await world.operator().put(configuration(6), 5)
         first = world.primary()
         world.kill(first)
-        await world.until(lambda: world.primary() not in ("", first), 3.0, "another leads")
+        await world.wait_until(lambda: world.primary() not in ("", first), 3.0, "another leads")
         await world.wait(1.0)
         world.boot(first)
         await world.wait(2.0)
 
-    heard = play(scene).transcript.heard
+    heard = play(scene).transcript.received
     questions: dict[type, type] = {
         control.Promised: control.Prepare,
         control.Installed: control.Install,
@@ -338,6 +338,6 @@
         assert not world.primary()
         for machine in world.cores():
             machine.disk.is_full = False
-        await world.served(4.0)
+        await world.wait_served(4.0)
 
     play(scene, starts=False)
--- a/tests/test_control_host_losses.py
+++ b/tests/test_control_host_losses.py
@@ -7,8 +7,8 @@
 import pytest
 
 from tests.fabric_callers import configuration, upstream
-from tests.fabric_scenes import ACK_S, begun, in_force
-from tests.fabric_world import Scenario, World, approve, play
+from tests.fabric_scenes import ACK_S, start_fleet, wait_in_force
+from tests.fabric_world import Scenario, World, assert_approved, play
 
 
 async def order(world: World, ver: int, base: int, *at: str) -> None:
@@ -17,17 +17,17 @@
     ended = await world.operator("operator", *at).put(configuration(ver), base)
     assert ended.status == 200
     assert ended.at - since < ACK_S
-    await in_force(world, ver)
+    await wait_in_force(world, ver)
 
 
 async def wiped(world: World, which: str) -> None:
     """A machine loses its disk right after it has acknowledged something, and comes back without."""
-    await begun(world)
+    await start_fleet(world)
     name = {"primary": world.primary, "backup": world.backup, "witness": world.witness}[which]()
     await order(world, 6, 5)
     world.power_off(name)
     world.machines[name].disk.wipe()
-    world.say(f"{name} has lost its disk")
+    world.note(f"{name} has lost its disk")
     await world.wait(1.0)
     world.boot(name)
     await world.wait(4.0)
@@ -44,7 +44,7 @@
 
 async def replaced(world: World, planned: bool) -> None:
     """A machine of the core goes for good; another with an empty disk joins at another address."""
-    await begun(world)
+    await start_fleet(world)
     gone = world.primary()
     if planned:
         await world.terminate(gone)
@@ -67,7 +67,7 @@
 
 async def all_killed(world: World) -> None:
     """Everything is killed at once right after an acknowledgement, and starts again."""
-    await begun(world)
+    await start_fleet(world)
     ended = await world.operator().put(configuration(6), 5)
     assert ended.status == 200
     everybody = list(world.machines)
@@ -78,7 +78,7 @@
     read = await world.operator("reader").get()
     assert read.status == 200 and read.body == configuration(6)
     assert world.loop.time() - started < ACK_S
-    await in_force(world, 6)
+    await wait_in_force(world, 6)
     await world.wait(0.1)  # balancers hear the configuration at once; the list is read by who leads just now
     assert all(m.plane.is_allowed for m in world.edges())
     await order(world, 9, 6)
@@ -86,7 +86,7 @@
 
 async def all_lose_power(world: World) -> None:
     """All machines lose power at once right after an acknowledgement."""
-    await begun(world)
+    await start_fleet(world)
     ended = await world.operator().put(configuration(6), 5)
     assert ended.status == 200
     everybody = list(world.machines)
@@ -95,12 +95,12 @@
     world.boot(*everybody)
     read = await world.operator("reader").get()
     assert read.status == 200 and read.body == configuration(6)
-    await in_force(world, 6)
+    await wait_in_force(world, 6)
 
 
 async def seeds_turned_over(world: World) -> None:
     """Two machines of the core are replaced one after the other; the seeds in the file follow."""
-    await begun(world)
+    await start_fleet(world)
     for number, (gone, ip, hall) in enumerate(
         [("core-1", "10.1.0.4", "hall-a"), ("core-2", "10.2.0.5", "hall-b")]
     ):
@@ -112,7 +112,7 @@
         world.seeds = [m.ctl for m in world.cores()]
         for machine in world.machines.values():
             machine.role.reconfigure(world.settings(machine.name, machine.ip, machine.zone, machine.is_core))
-        world.say(f"the seeds are {','.join(m.name for m in world.cores())}")
+        world.note(f"the seeds are {','.join(m.name for m in world.cores())}")
     await order(world, 6, 5)
     world.kill(*(m.name for m in world.machines.values()))
     await world.wait(0.5)
@@ -124,7 +124,7 @@
     """The file that it started with was old; it changes without a signal."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         seeds, world.seeds = world.seeds, ["10.7.0.1:8166", "10.7.0.2:8166"]
         world.power_off("core-1")
         del world.machines["core-1"]
@@ -135,21 +135,21 @@
         world.seeds = seeds[1:]
         for machine in (new, balancer):
             machine.role.reconfigure(world.settings(machine.name, machine.ip, machine.zone, machine.is_core))
-        await world.until(lambda: balancer.plane.ver == 5, 2.0, "the balancer hears the news")
+        await world.wait_until(lambda: balancer.plane.ver == 5, 2.0, "the balancer hears the news")
 
         def is_member() -> bool:
             replica = world.node(world.primary())._replica if world.primary() else None
             primary = replica.primary if replica is not None else None
             return primary is not None and primary.view.slot_of(new.role._replica.me.identity) is not None
 
-        await world.until(is_member, 4.0, "the newcomer is a member")
+        await world.wait_until(is_member, 4.0, "the newcomer is a member")
 
     play(scene, edges=2)
 
 
 def test_five_bear_the_loss_of_two() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         first = world.primary()
         world.kill(first)
         await order(world, 6, 5, *(m.name for m in world.cores() if m.name != first))
@@ -171,7 +171,7 @@
 
 def test_one_control_machine_alone_serves_where_nothing_may_be_lost() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.kill("core-1")
         await world.wait(0.5)
         world.boot("core-1")
@@ -193,12 +193,12 @@
 @pytest.mark.parametrize("name", SCENES)
 def test_exchange(name: str) -> None:
     world = play(SCENES[name], edges=2)
-    approve(f"losses-{name}", world.transcript.text())
+    assert_approved(f"losses-{name}", world.transcript.text())
 
 
 async def begun_anew(world: World) -> None:
     """All disks of the core are lost, and it is begun anew: balancers that ran on hear its news again."""
-    await begun(world)
+    await start_fleet(world)
     await order(world, 6, 5)
     for _ in range(3):  # some terms, so that balancers have heard of a later epoch
         gone = world.primary()
@@ -216,19 +216,19 @@
     world.platform.entries = [upstream("i-1"), upstream("i-2"), upstream("i-3")]
     world.is_first = True  # `bootstrap`, as at the first start
     world.boot(*cores)
-    await world.served(8.0)
+    await world.wait_served(8.0)
     replica = world.node(world.primary())._replica
     assert replica is not None and replica.primary is not None
     assert replica.primary.view.epoch > max(heard)
     ended = await world.operator().put(configuration(7), 0)
     assert ended.status == 200
-    await in_force(world, 7)
+    await wait_in_force(world, 7)
 
     def has_list() -> bool:
         wanted = {"i-1", "i-2", "i-3"}
         return all({e.id for e in m.plane.listed[-1][1]} == wanted for m in world.edges())
 
-    await world.until(has_list, 3.0, "the list of the core that was begun anew")
+    await world.wait_until(has_list, 3.0, "the list of the core that was begun anew")
 
 
 def test_a_core_that_is_begun_anew_is_believed_by_balancers_that_ran_on() -> None:
--- a/tests/test_control_host_platform.py
+++ b/tests/test_control_host_platform.py
@@ -11,7 +11,7 @@
 from control.platform import RATE_SHARE, PlatformError, PlatformList, pack
 from dissemination.messages import Pulse
 from tests.fabric_callers import PLATFORM, DataPlane, upstream
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
 
 
@@ -74,12 +74,12 @@
 
 def test_the_primary_reads_a_list_of_many_pages_in_turn() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.platform.rate_per_s = world.rate_per_s
         world.platform.entries = [upstream(f"i-{n}") for n in range(2_200)]
-        await world.until(lambda: all(len(m.plane.ids) == 2_200 for m in world.edges()), 4.0, "the list")
+        await world.wait_until(lambda: all(len(m.plane.ids) == 2_200 for m in world.edges()), 4.0, "the list")
         world.platform.entries = [*world.platform.entries[:-1], upstream("i-new")]
-        await world.until(lambda: all("i-new" in m.plane.ids for m in world.edges()), 4.0, "a change")
+        await world.wait_until(lambda: all("i-new" in m.plane.ids for m in world.edges()), 4.0, "a change")
         assert not any("event=list_unread" in line for line in world.transcript.logs)
 
     play(scene, edges=2)
@@ -129,7 +129,7 @@
 
 def test_the_last_good_list_stays_and_a_long_outage_is_one_line() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for says in ("429", "nothing", "garbage"):
             world.platform.says = says
             world.transcript.logs.clear()
@@ -137,7 +137,9 @@
             assert all(m.plane.ids == ["i-1", "i-2"] for m in world.edges())
             assert sum("event=list_unread" in line for line in world.transcript.logs) == 1
         world.platform.says, world.platform.entries = "list", [upstream("i-9")]
-        await world.until(lambda: all(m.plane.ids == ["i-9"] for m in world.edges()), 2.5, "the list is back")
+        await world.wait_until(
+            lambda: all(m.plane.ids == ["i-9"] for m in world.edges()), 2.5, "the list is back"
+        )
 
     play(scene, edges=2)
 
@@ -201,7 +203,7 @@
 
 def test_entries_that_make_no_sense_cost_only_themselves() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         odd: list[Any] = [
             5,
             None,
@@ -211,7 +213,7 @@
             upstream("y", capacity="many"),
         ]
         world.platform.entries = [upstream("i-1"), *odd, upstream("i-7")]
-        await world.until(lambda: all(m.plane.ids == ["i-1", "i-7"] for m in world.edges()), 2.5)
+        await world.wait_until(lambda: all(m.plane.ids == ["i-1", "i-7"] for m in world.edges()), 2.5)
 
     play(scene, edges=2)
 
@@ -220,13 +222,13 @@
     """The primary's pulse and a lone balancer's watch go on behind a fault that nobody foresaw."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         publisher = world.node(world.primary())._publisher
         counted, faults = publisher._count, [1, 1]
         monkeypatch.setattr(publisher, "_count", lambda: faults.pop() // 0 if faults else counted())
         await world.wait(3.0)
         assert not faults
-        assert [at for at, *_, m in world.transcript.said(Pulse) if at > world.now() - 500]
+        assert [at for at, *_, m in world.transcript.messages(Pulse) if at > world.now() - 500]
         listed, again = DataPlane.list_upstreams, [1]
 
         def fails(plane: DataPlane, entries: Any) -> None:
@@ -240,7 +242,9 @@
         world.platform.entries = [upstream("i-4")]
         await world.wait(4.0)
         world.platform.entries = [upstream("i-5")]
-        await world.until(lambda: all(m.plane.ids == ["i-5"] for m in world.edges()), 6.0, "they read on")
+        await world.wait_until(
+            lambda: all(m.plane.ids == ["i-5"] for m in world.edges()), 6.0, "they read on"
+        )
         assert sum("event=work_failed" in line for line in world.transcript.logs) == 3
 
     play(scene, edges=2)
--- a/tests/test_control_host_transcripts.py
+++ b/tests/test_control_host_transcripts.py
@@ -8,36 +8,36 @@
 import pytest
 
 from tests.fabric_callers import ask, call, configuration, upstream
-from tests.fabric_scenes import ACK_S, begun, in_force
-from tests.fabric_world import CTL_PORT, Scenario, World, approve, play
+from tests.fabric_scenes import ACK_S, start_fleet, wait_in_force
+from tests.fabric_world import CTL_PORT, Scenario, World, assert_approved, play
 
 
 async def first_start(world: World) -> None:
     world.platform.entries = [upstream("i-1"), upstream("i-2")]
-    await world.served(2.0)
+    await world.wait_served(2.0)
     ended = await world.operator().put(configuration(5), 0)
     assert ended.status == 200 and ended.tries == 1
-    await in_force(world, 5)
+    await wait_in_force(world, 5)
     assert all(m.plane.is_allowed for m in world.edges())
 
 
 async def two_operators(world: World) -> None:
-    await begun(world)
+    await start_fleet(world)
     one = world.operator("one", "core-1", "core-2").put(configuration(6), 5)
     two = world.operator("two", "core-2", "core-3").put(configuration(8), 5)
     ends = await asyncio.gather(one, two)
     assert sorted(e.status for e in ends) == [200, 412]
-    await in_force(world, 6 if ends[0].status == 200 else 8)
+    await wait_in_force(world, 6 if ends[0].status == 200 else 8)
 
 
 async def resent(world: World) -> None:
     """The answer is lost: the very same order is resent, to another process."""
-    await begun(world)
+    await start_fleet(world)
     operator = world.operator("operator", "core-1", "core-2", "core-3")
     order = asyncio.create_task(operator.put(configuration(6), 5))
     await world.wait(0.0015)
     world.network.cut([world.machines["core-1"].ip], ["10.99.0.1"], both_ways=False)
-    world.say("the operator's link from core-1 is cut")
+    world.note("the operator's link from core-1 is cut")
     await world.wait(1.1)
     world.heal()
     ended = await order
@@ -51,7 +51,7 @@
 
 
 async def stale_and_invalid(world: World) -> None:
-    await begun(world)
+    await start_fleet(world)
     operator = world.operator("operator", "core-2")
     bad = configuration(
         7, routes=[{"name": "r", "host": "h", "path_prefix": "/", "deadline_ms": 0, "svc": "x"}]
@@ -65,7 +65,7 @@
 
 async def write_while(world: World, trouble: str) -> None:
     """Something happens to the primary while a write is under way."""
-    await begun(world)
+    await start_fleet(world)
     primary = world.primary()
     others = [m.name for m in world.cores() if m.name != primary]
     everybody_else = [m.name for m in world.machines.values() if m.name != primary]
@@ -88,7 +88,7 @@
     ended = await order
     assert ended.status == 200
     assert ended.at * 1000 - world.began * 1000 - since < ACK_S * 1000
-    await in_force(world, 6)
+    await wait_in_force(world, 6)
     assert (await world.operator("reader", *others).get()).body == configuration(6)
     match trouble:
         case "kill" | "power":
@@ -101,15 +101,15 @@
     read = await world.operator("reader", primary).get()
     assert read.status == 200 and read.body == configuration(6)
     assert (await world.operator("operator", primary).put(configuration(9), 6)).status == 200
-    await in_force(world, 9)
+    await wait_in_force(world, 9)
 
 
 async def disk(world: World, at: str, trouble: str) -> None:
-    await begun(world)
+    await start_fleet(world)
     primary = world.primary()
     machine = world.machines[primary if at == "primary" else world.backup()]
     others = [m.name for m in world.cores() if m.name != primary]
-    world.say(f"the disk of {machine.name} {trouble}s")
+    world.note(f"the disk of {machine.name} {trouble}s")
     if trouble == "fill":
         machine.disk.is_full = True
     else:
@@ -118,8 +118,8 @@
     ended = await world.operator("operator", primary, *others).put(configuration(6), 5)
     assert ended.status == 200
     assert ended.at * 1000 - world.began * 1000 - since < ACK_S * 1000
-    await in_force(world, 6)
-    world.say(f"the disk of {machine.name} is well")
+    await wait_in_force(world, 6)
+    world.note(f"the disk of {machine.name} is well")
     machine.disk.is_full = False
     machine.disk.hang(False)
     await world.wait(3.0)
@@ -135,7 +135,7 @@
     """Callers go elsewhere after a second without a word."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         primary, others = world.primary(), [m for m in world.cores() if m.name != world.primary()]
         if trouble == "nobody leads":
             for machine in others:
@@ -175,4 +175,4 @@
 @pytest.mark.parametrize("name", SCENES)
 def test_exchange(name: str) -> None:
     world = play(SCENES[name], edges=2)
-    approve(f"control-{name}", world.transcript.text())
+    assert_approved(f"control-{name}", world.transcript.text())
--- a/tests/test_dissemination_lists.py
+++ b/tests/test_dissemination_lists.py
@@ -18,7 +18,7 @@
 from dissemination.lists import ListCopy, apply_change, diff_lists, digest_of, unchanged_list
 from dissemination.messages import Attach, ConfigurationNews, Pulse, Speaks, UpstreamChange, UpstreamNews
 from tests.fabric_callers import upstream
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
 from tests.test_dissemination_feed import Desk, Wire, attach, link
 from transport.wire import COMPRESSED_KIND, MAX_FRAME_BYTES, compress_frame, decompress_frame
@@ -104,14 +104,14 @@
 
 def test_a_new_primary_does_not_send_the_list_that_balancers_have() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.platform.entries = [upstream(f"i-{n}") for n in range(20)]
-        await world.until(lambda: all(len(m.plane.ids) == 20 for m in world.edges()), 2.5, "the list")
+        await world.wait_until(lambda: all(len(m.plane.ids) == 20 for m in world.edges()), 2.5, "the list")
         since = world.now()
         world.kill(world.primary())
-        await world.until(lambda: world.primary(), 5.0, "another primary")
+        await world.wait_until(lambda: world.primary(), 5.0, "another primary")
         await world.wait(5.0)
-        assert not [entry for entry in world.transcript.said(UpstreamNews) if entry[0] > since]
+        assert not [entry for entry in world.transcript.messages(UpstreamNews) if entry[0] > since]
         assert all(m.role._follower.is_fresh() and len(m.plane.ids) == 20 for m in world.edges())
 
     play(scene, edges=3)
--- a/tests/test_dissemination_loads.py
+++ b/tests/test_dissemination_loads.py
@@ -9,7 +9,7 @@
 from dissemination.load_steps import Loads
 from dissemination.loads import BYTES_S, ENTRY_BYTES, LoadSum, PeerLoads, add, pack, unpack
 from dissemination.messages import Attach, LoadNews, LoadReport, LoadStep, UpstreamLoad
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import Machine, World, play
 from tests.test_dissemination_news import settled
 
@@ -39,15 +39,15 @@
 @pytest.mark.parametrize("edges", [3, 12])
 def test_sums_are_right_through_relays(edges: int) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         work(world)
-        await world.until(lambda: is_right(world), UP_S, seen(world))
+        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
         work(world, 3)
-        await world.until(lambda: is_right(world), UP_S, seen(world))
+        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
         for machine in world.edges():
             machine.plane.put_load()
-        await world.until(lambda: is_right(world), UP_S, seen(world))
+        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
         assert all(m.plane.others("i-1") == (0, 0) for m in world.edges())
 
     play(scene, edges=edges, zones=1)
@@ -59,10 +59,10 @@
     """Nobody's work is counted twice, or after it has gone, for longer than it takes to be noticed."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         relay = await settled(world)
         work(world)
-        await world.until(lambda: is_right(world), UP_S)
+        await world.wait_until(lambda: is_right(world), UP_S)
         leaf = next(m.name for m in world.edges() if m.name != relay and world.running(m))
         name = {"relay": relay, "leaf": leaf, "primary": world.primary()}[whom]
         match trouble:
@@ -82,17 +82,17 @@
             alone = world.machines[name].plane
             alone.work = {}  # nobody is to count what it has out
             others = [m for m in world.edges() if m.name != name]
-            await world.until(lambda: is_right(world, others), 5.0, "without the one that is cut off")
+            await world.wait_until(lambda: is_right(world, others), 5.0, "without the one that is cut off")
             await calm(world)
             assert is_right(world, others), seen(world)
             assert alone.others("i-1") == (0, 0)  # what it knew is no use any more
             world.heal()
-        await world.until(lambda: is_right(world), 5.0, "all that run")
+        await world.wait_until(lambda: is_right(world), 5.0, "all that run")
         await calm(world)
         assert is_right(world), seen(world)
         if trouble == "freeze":
             world.thaw(name)
-            await world.until(lambda: is_right(world), 3.0, "after it has woken")
+            await world.wait_until(lambda: is_right(world), 3.0, "after it has woken")
             await calm(world)
             assert is_right(world), seen(world)
 
@@ -103,10 +103,10 @@
     """Until nobody has attached anew for 3 s."""
 
     def is_calm() -> bool:
-        attached = world.transcript.said(Attach)
+        attached = world.transcript.messages(Attach)
         return not attached or world.now() - attached[-1][0] > 3000
 
-    await world.until(is_calm, 12.0, "nobody attaches any more")
+    await world.wait_until(is_calm, 12.0, "nobody attaches any more")
 
 
 @pytest.mark.parametrize("edges", [4, 12])
@@ -114,10 +114,10 @@
     """Most balancers move to other relays: what is known of all work is never far off for long."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         relay = await settled(world)
         work(world)
-        await world.until(lambda: is_right(world), UP_S)
+        await world.wait_until(lambda: is_right(world), UP_S)
         world.kill(relay)
         await world.wait(0.5)
         world.boot(relay)
@@ -137,14 +137,14 @@
 
 def test_a_balancer_that_attaches_hears_the_sums_though_nothing_changes() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         work(world)
-        await world.until(lambda: is_right(world), UP_S)
+        await world.wait_until(lambda: is_right(world), UP_S)
         world.edge("edge-new", "10.1.1.77", "hall-a")
         world.boot("edge-new")
-        await world.until(lambda: world.machines["edge-new"].role is not None, 1.0)
-        await world.until(lambda: is_right(world), 1.0, seen(world))
+        await world.wait_until(lambda: world.machines["edge-new"].role is not None, 1.0)
+        await world.wait_until(lambda: is_right(world), 1.0, seen(world))
         await world.wait(5.0)  # it has moved to its relay
         assert is_right(world), seen(world)
 
@@ -156,17 +156,17 @@
     """Balancers wait where they are while a core starts anew; nothing of their work changes meanwhile."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         work(world)
-        await world.until(lambda: is_right(world), UP_S)
+        await world.wait_until(lambda: is_right(world), UP_S)
         world.kill("core-1", "core-2", "core-3")
         for machine in world.edges():
             machine.role._others.clear()
         await world.wait(away_s)
         world.boot("core-1", "core-2", "core-3")
-        await world.until(lambda: world.primary(), 2.0, "a primary")
-        await world.until(lambda: is_right(world), 2.5, "the sums are right")
+        await world.wait_until(lambda: world.primary(), 2.0, "a primary")
+        await world.wait_until(lambda: is_right(world), 2.5, "the sums are right")
         await calm(world)
         assert is_right(world), seen(world)
 
@@ -175,16 +175,16 @@
 
 def test_the_news_are_not_told_more_often_than_they_may() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         since = world.now()
         for number in range(1000):
             world.machines[f"edge-{number % 4 + 1}"].plane.put_load(**{"i-1": (number, 0)})
             await world.wait(0.001)
-        told = [entry for entry in world.transcript.said(LoadStep) if entry[0] > since]
+        told = [entry for entry in world.transcript.messages(LoadStep) if entry[0] > since]
         by_link = {(here, there) for _, here, there, _ in told}
         assert len(by_link) == 4 and len(told) / len(by_link) <= 1000 / 40 + 2
-        assert not [entry for entry in world.transcript.said(LoadNews) if entry[0] > since]
+        assert not [entry for entry in world.transcript.messages(LoadNews) if entry[0] > since]
 
     play(scene, edges=4, zones=1)
 
--- a/tests/test_dissemination_news.py
+++ b/tests/test_dissemination_news.py
@@ -14,8 +14,8 @@
 from mastturnd.alone import LEAST_S, MISSED, turn_of
 from tests.fabric import Process
 from tests.fabric_callers import PLATFORM, configuration, upstream
-from tests.fabric_scenes import APPLY_S, begun, in_force
-from tests.fabric_world import BALANCER_PORT, World, approve, play
+from tests.fabric_scenes import APPLY_S, start_fleet, wait_in_force
+from tests.fabric_world import BALANCER_PORT, World, assert_approved, play
 from transport.endpoint import Endpoint
 from transport.links import Links
 
@@ -40,19 +40,19 @@
         wanted = {m.node: parent_of(m.node, m.zone, members) for m in members}
         return known == {node: parent.node for node, parent in wanted.items() if parent is not None}
 
-    await world.until(stands, 10.0, "the tree stands")
+    await world.wait_until(stands, 10.0, "the tree stands")
     known = list(relays(world).values())
     return max(known, key=known.count) if known else ""
 
 
 def test_the_tree_of_relays_forms_and_news_go_down_it() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         direct = [m for m in world.edges() if m.name not in relays(world)]
         assert len(direct) == 1
         await world.operator().put(configuration(6), 5)
-        await in_force(world, 6, 0.1)
+        await wait_in_force(world, 6, 0.1)
 
     play(scene, edges=12, zones=1)
 
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize("phase", [0.0, 0.1, 0.2])
 def test_a_relay_in_trouble_holds_no_news_up(trouble: str, phase: float) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         relay = await settled(world)
         await world.wait(phase)
         match trouble:
@@ -76,28 +76,28 @@
         ended = await world.operator().put(configuration(6), 5)
         assert ended.status == 200
         planes = [m.plane for m in world.edges() if m.name != relay]
-        await world.until(lambda: all(p.ver == 6 for p in planes), APPLY_S, "all but the relay")
+        await world.wait_until(lambda: all(p.ver == 6 for p in planes), APPLY_S, "all but the relay")
 
     play(scene, edges=12, zones=1)
 
 
 def test_a_relay_that_freezes() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         relay = await settled(world)
         world.transcript.lines.clear()
         world.freeze(relay)
         await world.operator().put(configuration(6), 5)
         planes = [m.plane for m in world.edges() if m.name != relay]
-        await world.until(lambda: all(p.ver == 6 for p in planes), APPLY_S, "all but the relay")
+        await world.wait_until(lambda: all(p.ver == 6 for p in planes), APPLY_S, "all but the relay")
         await world.wait(3.0)
         world.thaw(relay)
-        await in_force(world, 6)
+        await wait_in_force(world, 6)
         await world.wait(3.0)
         await settled(world)
 
     world = play(scene, edges=4, zones=1)
-    approve("news-relay-freezes", world.transcript.text())
+    assert_approved("news-relay-freezes", world.transcript.text())
 
 
 @pytest.mark.parametrize("edges", [3, 12])
@@ -105,21 +105,23 @@
     """A successor is named: orders and news go on long before they are taken for lost."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         primary = world.primary()
         since = world.now()
         await world.terminate(primary)
         assert world.now() - since < 200
-        assert [entry for entry in world.transcript.said(Moved) if entry[0] > since and entry[1] == primary]
+        assert [
+            entry for entry in world.transcript.messages(Moved) if entry[0] > since and entry[1] == primary
+        ]
         others = [m.name for m in world.cores() if m.name != primary]
         assert (await world.operator("operator", *others).put(configuration(6), 5)).status == 200
         assert world.now() - since < 300
-        await world.until(lambda: all(m.role._follower.is_fresh(0.35) for m in world.edges()), 1.0)
-        await in_force(world, 6, 0.5)
+        await world.wait_until(lambda: all(m.role._follower.is_fresh(0.35) for m in world.edges()), 1.0)
+        await wait_in_force(world, 6, 0.5)
         gaps = [world.loop.time() - m.role._follower._pulsed_at for m in world.edges()]
         assert max(gaps) < 0.9
-        told = [at for at, _, to, _ in world.transcript.said(Pulse) if to.startswith("edge")]
+        told = [at for at, _, to, _ in world.transcript.messages(Pulse) if to.startswith("edge")]
         assert max(b - a for a, b in itertools.pairwise(told)) < 600
 
     play(scene, edges=edges, zones=1)
@@ -129,7 +131,7 @@
     """The primary hands over and lives on: nobody waits until it is taken for silent."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         first = world.primary()
         world.machines[first].disk.is_full = True
         ended = await world.operator().put(configuration(6), 5)
@@ -148,17 +150,17 @@
     """It said so while nobody led yet, and does not repeat it for a second."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         world.kill("core-1", "core-2", "core-3")
         await world.wait(0.1)
         world.boot("core-1", "core-2", "core-3")
         since = world.now()
-        await world.until(lambda: world.primary(), 2.0, "a primary")
+        await world.wait_until(lambda: world.primary(), 2.0, "a primary")
         await world.wait(0.7)
         news = [
             m
-            for at, here, _, m in world.transcript.said(MemberNews)
+            for at, here, _, m in world.transcript.messages(MemberNews)
             if at > since and here in world.primary()
         ]
         assert len(news[-1].balancers) == 12
@@ -168,7 +170,7 @@
 
 def test_a_relay_that_is_behind_itself_takes_nobody_in() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.cut(["edge-1"], ["core-1", "core-2", "core-3"])
         await world.wait(1.5)
         process = Process(world.network, "edge-9", "10.1.1.9")
@@ -191,7 +193,7 @@
 
 def test_a_balancer_that_starts_while_the_control_state_is_away() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.core("none", "10.9.0.1", "hall-a")
         del world.machines["none"]
         world.power_off("core-1", "core-2", "core-3")
@@ -201,7 +203,7 @@
         assert not late.plane.is_allowed and not late.plane.configured
         assert all(ip != late.ip for _, ip in world.platform.calls)
         world.boot("core-1", "core-2", "core-3")
-        await world.until(lambda: late.plane.is_allowed, 3.0, "the late one is ready")
+        await world.wait_until(lambda: late.plane.is_allowed, 3.0, "the late one is ready")
         assert late.plane.ver == 5 and late.plane.ids == ["i-1", "i-2"]
 
     play(scene, edges=2)
@@ -211,15 +213,15 @@
     """All lose power, and one of the control state stays away: the others take the balancers in."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         primary = world.primary()
         names = [m.name for m in world.machines.values()]
         world.power_off(*names)
         await world.wait(1.0)
         world.boot(*(name for name in names if name != primary))
-        await world.until(lambda: world.primary() not in ("", primary), 3.0, "another leads")
-        await world.until(lambda: all(m.plane.is_allowed for m in world.edges()), 0.3, "all are ready")
+        await world.wait_until(lambda: world.primary() not in ("", primary), 3.0, "another leads")
+        await world.wait_until(lambda: all(m.plane.is_allowed for m in world.edges()), 0.3, "all are ready")
 
     play(scene, edges=8, zones=1)
 
@@ -229,7 +231,7 @@
     edges: int, rate: float, upstreams: int
 ) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.platform.entries = [upstream(f"i-{n}") for n in range(upstreams)]
         await world.wait(2.5)
         assert all(len(m.plane.ids) == upstreams for m in world.edges())
@@ -246,7 +248,7 @@
         assert world.platform.busiest_second() <= rate / 2
         # Once the control state is there, nobody else asks.
         world.boot("core-1", "core-2", "core-3")
-        await world.served()
+        await world.wait_served()
         await world.wait(1.0)
         world.platform.calls.clear()
         await world.wait(5.0)
@@ -282,7 +284,7 @@
 
 def test_without_its_zones_reader_a_balancer_reads_the_list_itself() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.platform.entries = [upstream(f"i-{n}") for n in range(120)]
         await world.wait(2.5)
         members = [m.role._follower._me for m in world.edges()]
@@ -305,7 +307,7 @@
     """Only the reader of our zone is believed, and only while no control process is heard of."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         other, reader = Process(world.network, "x", "10.77.0.1"), world.machines["edge-1"]
         plane = world.machines["edge-2"].plane
 
@@ -329,15 +331,19 @@
 
 def test_a_lone_balancers_list_gives_way_to_the_control_states() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.cut(["edge-1"], ["core-1", "core-2", "core-3"])
         world.platform.entries = [upstream("i-3")]
-        await world.until(lambda: world.machines["edge-1"].plane.ids == ["i-3"], 6.0, "it has read the list")
+        await world.wait_until(
+            lambda: world.machines["edge-1"].plane.ids == ["i-3"], 6.0, "it has read the list"
+        )
         world.platform.entries = [upstream("i-4")]
         world.heal()
-        await world.until(lambda: world.machines["edge-1"].plane.ids == ["i-4"], 2.5, "it hears the list")
+        await world.wait_until(
+            lambda: world.machines["edge-1"].plane.ids == ["i-4"], 2.5, "it hears the list"
+        )
         world.platform.entries = [upstream("i-5")]
-        await world.until(
+        await world.wait_until(
             lambda: all(m.plane.ids == ["i-5"] for m in world.edges()), 1.5, "all hear the list"
         )
 
@@ -348,23 +354,27 @@
     """The first primary leads again and reads the list that it told last; another was told meanwhile."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         first, second, third = world.primary(), world.backup(), world.witness()
         world.cut([first], [name for name in world.machines if name != first])
         world.network.cut([world.machines[first].ip], [PLATFORM[0]])
         world.platform.entries = [upstream("i-3")]
-        await world.until(lambda: all(m.plane.ids == ["i-3"] for m in world.edges()), 5.0, "the new list")
+        await world.wait_until(
+            lambda: all(m.plane.ids == ["i-3"] for m in world.edges()), 5.0, "the new list"
+        )
         world.heal()
         world.kill(third)
-        await world.until(
+        await world.wait_until(
             lambda: world.primary() == second and world.backup() == first, 3.0, "the first holds"
         )
         world.boot(third)
         await world.wait(2.0)
         world.platform.entries = [upstream("i-1"), upstream("i-2")]
         world.kill(second)
-        await world.until(lambda: world.primary() == first, 3.0, "the first one leads again")
-        await world.until(lambda: all(m.plane.ids == ["i-1", "i-2"] for m in world.edges()), 4.0, "the list")
+        await world.wait_until(lambda: world.primary() == first, 3.0, "the first one leads again")
+        await world.wait_until(
+            lambda: all(m.plane.ids == ["i-1", "i-2"] for m in world.edges()), 4.0, "the list"
+        )
 
     play(scene, edges=2)
 
@@ -373,7 +383,7 @@
     """Whoever was there within 20 s counts, also when the primary changes meanwhile."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await world.wait(3.0)
         assert {m.plane.counted[-1][1] for m in world.edges()} == {6}
         world.kill("edge-1", "edge-2")
@@ -393,10 +403,10 @@
 
 def test_one_balancer_on_a_new_machine_counts_at_once() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.edge("edge-new", "10.1.1.77", "hall-a")
         world.boot("edge-new")
-        await world.until(
+        await world.wait_until(
             lambda: all(m.plane.counted[-1:] and m.plane.counted[-1][1] == 4 for m in world.edges()), 2.5
         )
 
@@ -405,7 +415,7 @@
 
 def test_nobody_is_told_a_number_before_all_can_be_there() -> None:
     async def scene(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await world.wait(5.0)
         assert {n for m in world.edges() for _, n in m.plane.counted} == {12}
 
@@ -416,10 +426,10 @@
     """A calm fleet stays as it is."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
-        before = len(world.transcript.said(Attach))
+        before = len(world.transcript.messages(Attach))
         await world.wait(30.0)
-        assert len(world.transcript.said(Attach)) == before
+        assert len(world.transcript.messages(Attach)) == before
 
     play(scene, edges=12, zones=1)
--- a/tests/test_dissemination_steps.py
+++ b/tests/test_dissemination_steps.py
@@ -36,7 +36,7 @@
     UpstreamNews,
 )
 from tests.fabric_callers import upstream
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import Machine, World, play
 from tests.test_dissemination_loads import UP_S, is_right, seen, work
 from tests.test_dissemination_news import settled
@@ -47,7 +47,7 @@
     """The platform's list is this one, and all balancers have it."""
     world.platform.entries = entries
     names = sorted(e["id"] for e in entries)
-    await world.until(lambda: all(sorted(m.plane.ids) == names for m in world.edges()), 2.5, "the list")
+    await world.wait_until(lambda: all(sorted(m.plane.ids) == names for m in world.edges()), 2.5, "the list")
 
 
 def clean(loads: Loads) -> Loads:
@@ -225,23 +225,23 @@
 
 def test_a_step_that_is_missing_is_noticed_and_mended() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         work(world)
-        await world.until(lambda: is_right(world), UP_S)
+        await world.wait_until(lambda: is_right(world), UP_S)
         for machine in world.edges():
             machine.role._latest.table.number -= 1  # as if one had been lost
         work(world, 2)
-        await world.until(lambda: is_right(world), 2.0, seen(world))
+        await world.wait_until(lambda: is_right(world), 2.0, seen(world))
         assert any("event=gap" in line for line in world.transcript.logs)
-        assert len(world.transcript.said(Attach)) < 40
+        assert len(world.transcript.messages(Attach)) < 40
 
     play(scene, edges=4, zones=1)
 
 
 def test_a_change_of_another_list_is_noticed_and_mended() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         relay = await settled(world)
         await listed(world, [upstream(f"i-{n}") for n in range(20)])
         victim = next(m for m in world.edges() if m.name != relay).role
@@ -249,8 +249,8 @@
         victim._latest.upstreams = UpstreamNews(known.epoch, known.number, b'{"upstreams":[]}')
         since = world.now()
         await listed(world, [upstream(f"i-{n}") for n in range(1, 20)])
-        whole = [entry for entry in world.transcript.said(UpstreamNews) if entry[0] > since]
-        changes = [entry for entry in world.transcript.said(UpstreamChange) if entry[0] > since]
+        whole = [entry for entry in world.transcript.messages(UpstreamNews) if entry[0] > since]
+        changes = [entry for entry in world.transcript.messages(UpstreamChange) if entry[0] > since]
         assert len(whole) == 1 and len(changes) == 4
 
     play(scene, edges=4, zones=1)
@@ -271,17 +271,17 @@
     )
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         await settled(world)
         await listed(world, [upstream(f"i-{n}") for n in range(20)])
         work(world)
-        await world.until(lambda: is_right(world), UP_S, seen(world))
+        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
         await listed(world, world.platform.entries[1:])
         work(world, 3)
-        await world.until(lambda: is_right(world), UP_S, seen(world))
-        told = world.transcript.said(LoadStep)
+        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
+        told = world.transcript.messages(LoadStep)
         assert not [entry for entry in told if entry[1].startswith("core")]
-        assert world.transcript.said(LoadNews)
+        assert world.transcript.messages(LoadNews)
 
     play(scene, edges=12, zones=1)
 
@@ -289,7 +289,7 @@
 @pytest.mark.parametrize("below", ["core", "relay"])
 def test_a_balancer_of_the_edition_before_hears_all_whole(below: str) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         relay = await settled(world)
         await listed(world, [upstream(f"i-{n}") for n in range(20)])
         name = world.primary() if below == "core" else relay
@@ -303,11 +303,11 @@
         def knows(machine: Machine) -> bool:
             return bool(machine.plane.others("i-1")[0] + machine.plane.work["i-1"][0] == calls)
 
-        await world.until(lambda: all(knows(m) for m in world.edges()), UP_S, "its load counts")
+        await world.wait_until(lambda: all(knows(m) for m in world.edges()), UP_S, "its load counts")
         await world.wait(0.2)
         await listed(world, world.platform.entries[1:])
         await world.wait(0.1)
-        got = [m for _, here, there, m in world.transcript.heard if here == name and there == "stranger"]
+        got = [m for _, here, there, m in world.transcript.received if here == name and there == "stranger"]
         assert not [m for m in got if isinstance(m, UpstreamChange | LoadStep | Speaks)]
         assert [m for m in got if isinstance(m, Pulse)]
         lists = [m for m in got if isinstance(m, UpstreamNews)]
@@ -315,7 +315,7 @@
         sums = [m for m in got if isinstance(m, LoadNews)][-1]
         assert {e.upstream: e.calls for e in sums.loads} == {"i-1": calls}
         old.transport.abort()
-        await world.until(lambda: is_right(world), UP_S, "it has gone")
+        await world.wait_until(lambda: is_right(world), UP_S, "it has gone")
 
     play(scene, edges=4, zones=1)
 
@@ -330,8 +330,8 @@
 
 def test_the_first_message_of_a_connection_says_the_edition() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
-        said = [m for _, here, _, m in world.transcript.heard if here.startswith("edge")]
+        await start_fleet(world)
+        said = [m for _, here, _, m in world.transcript.received if here.startswith("edge")]
         assert isinstance(said[0], Speaks) and isinstance(said[1], Attach)
         await asyncio.sleep(0)
 
--- a/tests/test_leader_out_of_reach.py
+++ b/tests/test_leader_out_of_reach.py
@@ -17,7 +17,7 @@
 from control.news_relay import RETURN_S, Referrals
 from dissemination.follower import STALE_AFTER_S
 from tests.fabric_callers import configuration
-from tests.fabric_scenes import begun, in_force
+from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import World, play
 from transport.endpoint import Endpoint
 
@@ -40,13 +40,13 @@
 
 def test_balancers_hear_a_leader_that_only_other_members_reach(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         first, heir = world.primary(), world.backup()
         refuse(world, heir, monkeypatch)
         world.kill(first)
-        await world.until(lambda: world.primary() == heir, 3.0, "the backup leads")
+        await world.wait_until(lambda: world.primary() == heir, 3.0, "the backup leads")
         assert (await world.operator("operator", heir).put(configuration(6), 5)).status == 200
-        await in_force(world, 6, WITHIN_S)
+        await wait_in_force(world, 6, WITHIN_S)
 
     play(scene, edges=3)
 
@@ -60,19 +60,21 @@
     """Two zones that have no path while a third reaches both; and all is as before once they have one."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         leader = world.primary()
         near = {m.name for m in world.edges() if m.zone == world.machines[leader].zone}
         far = sorted({m.name for m in world.edges()} - near)
         world.cut([leader], far)
         await world.wait(CONTACT_S)
         assert (await world.operator("operator", leader).put(configuration(6), 5)).status == 200
-        await in_force(world, 6)
+        await wait_in_force(world, 6)
         assert heard_by_leader(world) == {m.name for m in world.edges()}
         world.heal()
         passing_on = [world.node(m.name).components()[1].relay for m in world.cores()]
-        await world.until(lambda: not any(r.is_running() for r in passing_on), 20.0, "nothing is passed on")
-        await world.served()
+        await world.wait_until(
+            lambda: not any(r.is_running() for r in passing_on), 20.0, "nothing is passed on"
+        )
+        await world.wait_served()
         assert heard_by_leader(world) == {m.name for m in world.edges()}
 
     play(scene, edges=6)
@@ -82,14 +84,14 @@
     """A member that passed them on leads; the balancers below it stay."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         leader = world.primary()
         world.cut([leader], [m.name for m in world.edges()])
         await world.wait(CONTACT_S)
         world.kill(leader)
-        await world.until(lambda: world.primary() not in ("", leader), 3.0, "another leads")
+        await world.wait_until(lambda: world.primary() not in ("", leader), 3.0, "another leads")
         assert (await world.operator("operator", world.primary()).put(configuration(6), 5)).status == 200
-        await in_force(world, 6, WITHIN_S)
+        await wait_in_force(world, 6, WITHIN_S)
 
     play(scene, edges=4)
 
@@ -98,7 +100,7 @@
     """Seen: no pulse for 0.9 s and more, as the member had told the leader that nobody is below it."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         leader, follower = world.primary(), world.edges()[0].role._follower
         world.cut([leader, world.backup()], ["edge-1"])
         await world.wait(CONTACT_S)
--- a/tests/test_mastturnd_cli_reports.py
+++ b/tests/test_mastturnd_cli_reports.py
@@ -41,7 +41,7 @@
             upstream("u-2", phase="decode"),
             upstream("u-3", phase="decode", state="draining"),
         ]
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
         plane = world.machines["edge-1"].plane
         plane.put_load(**{"u-2": (3, 0), "u-1": (1, 1200)})
@@ -72,7 +72,7 @@
 
 def test_a_balancer_that_only_hears_the_news_from_elsewhere_now_stays_present() -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
         seen: list[int] = []
         for _ in range(50):  # all but the first of the zone move below it meanwhile
@@ -89,7 +89,7 @@
 def test_the_figures_are_well_formed() -> None:
     async def scenario(world: World) -> None:
         world.platform.entries = [upstream("u-1", phase="prefill"), upstream("u-2", phase="")]
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
         await world.wait(1.5)
         status, text = await get(world, world.primary(), "/metrics")
@@ -107,7 +107,7 @@
 
 def test_the_history_is_told_by_whoever_leads_and_others_say_who_that_is() -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
         await put(world, 9, 5)
         status, told = await get(world, world.primary(), "/api/history")
@@ -121,7 +121,7 @@
 
 def test_a_stranger_who_asks_all_the_time_is_put_off_and_orders_go_on() -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         leader = world.primary()
         statuses = [(await get(world, leader, "/api/status"))[0] for _ in range(MOST + 4)]
         assert statuses == [200] * MOST + [429] * 4
@@ -138,7 +138,7 @@
 )
 def test_nothing_of_it_can_be_written(raw: bytes) -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         answer = await ask((world.machines["core-1"].ip, CTL_PORT), raw)
         assert answer is not None and answer.status == 405
 
@@ -156,34 +156,34 @@
 
 def test_a_drained_balancer_takes_no_new_clients_whoever_leads_and_after_its_own_restart() -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
-        await world.until(lambda: all(allowed(world, m.name) for m in world.edges()), 2.0)
+        await world.wait_until(lambda: all(allowed(world, m.name) for m in world.edges()), 2.0)
         await put(world, 6, 5, drained=["edge-2"])
-        await world.until(lambda: not allowed(world, "edge-2"), 2.0, "edge-2 takes no new clients")
+        await world.wait_until(lambda: not allowed(world, "edge-2"), 2.0, "edge-2 takes no new clients")
         assert allowed(world, "edge-1") and allowed(world, "edge-3")
         assert world.machines["edge-2"].role.standing()["drained"]
 
         lost = world.primary()
         world.kill(lost)
-        await world.until(lambda: world.primary() not in ("", lost), 3.0)
+        await world.wait_until(lambda: world.primary() not in ("", lost), 3.0)
         world.boot(lost)
         await world.wait(2.0)
         assert not allowed(world, "edge-2")
 
         world.kill("edge-2")
         world.boot("edge-2")
-        await world.until(lambda: world.machines["edge-2"].plane.ver == 6, 4.0)
+        await world.wait_until(lambda: world.machines["edge-2"].plane.ver == 6, 4.0)
         await world.wait(1.0)
         assert not allowed(world, "edge-2")
 
         world.kill(*(m.name for m in world.cores()))
         world.boot(*(m.name for m in world.cores()))
-        await world.served()
+        await world.wait_served()
         assert not allowed(world, "edge-2")
 
         await put(world, 7, 6)
-        await world.until(lambda: allowed(world, "edge-2"), 2.0, "edge-2 takes clients again")
+        await world.wait_until(lambda: allowed(world, "edge-2"), 2.0, "edge-2 takes clients again")
 
     play(scenario, cores=3, edges=3)
 
@@ -191,9 +191,9 @@
 @pytest.mark.parametrize("drained", [7, "edge-1", ["edge-1", 3], {"edge-1": True}, None, ["edge-11"], [""]])
 def test_what_names_nobody_drains_nobody(drained: Any) -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0, drained=drained)
-        await world.until(lambda: world.machines["edge-1"].plane.ver == 5, 2.0)
+        await world.wait_until(lambda: world.machines["edge-1"].plane.ver == 5, 2.0)
         await world.wait(0.5)
         assert allowed(world, "edge-1")
 
@@ -205,9 +205,9 @@
 
 def test_with_one_disk_left_of_three_nobody_leads_and_the_balancers_serve_on() -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
-        await world.until(lambda: all(m.plane.ver == 5 for m in world.edges()), 2.0)
+        await world.wait_until(lambda: all(m.plane.ver == 5 for m in world.edges()), 2.0)
         left = world.backup()
         world.power_off(*(m.name for m in world.cores() if m.name != left))
         await world.wait(10.0)
@@ -232,12 +232,12 @@
 
 def test_a_new_core_takes_the_salvaged_configuration_and_balancers_follow_it_as_they_run() -> None:
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         await put(world, 5, 0)
-        await world.until(lambda: all(m.plane.ver == 5 for m in world.edges()), 2.0)
+        await world.wait_until(lambda: all(m.plane.ver == 5 for m in world.edges()), 2.0)
         lost = world.primary()
         world.kill(lost)  # so that the old core has come to a later epoch than the new one begins with
-        await world.until(lambda: world.primary() not in ("", lost), 3.0)
+        await world.wait_until(lambda: world.primary() not in ("", lost), 3.0)
         world.boot(lost)
         await world.wait(2.0)
         world.kill(*(m.name for m in world.cores()))
@@ -246,7 +246,7 @@
         world.is_first = True
         world.boot(*(m.name for m in world.cores()))
         world.is_first = False
-        await world.until(lambda: world.primary(), 5.0)
+        await world.wait_until(lambda: world.primary(), 5.0)
         await put(world, 5, 0)
         await world.wait(3.0)
         _, told = await get(world, world.primary(), "/api/status")
@@ -255,6 +255,6 @@
         assert all(allowed(world, m.name) and m.plane.ver == 5 for m in world.edges())
         assert all(m.role._follower.is_fresh() for m in world.edges())
         await put(world, 6, 5)
-        await world.until(lambda: all(m.plane.ver == 6 for m in world.edges()), 2.0)
+        await world.wait_until(lambda: all(m.plane.ver == 6 for m in world.edges()), 2.0)
 
     play(scenario, cores=3, edges=2)
--- a/tests/test_mastturnd_dashboard.py
+++ b/tests/test_mastturnd_dashboard.py
@@ -18,7 +18,7 @@
 from mastturnd import control_calls, dashboard, fleet_status
 from mastturnd.pace import MOST, Pace
 from tests.fabric_callers import ask, call
-from tests.fabric_world import approve
+from tests.fabric_world import assert_approved
 from tests.loopback import run
 from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, Ctl, _balancer, _control
 from transport.calls import HttpServer, Response
@@ -80,7 +80,7 @@
     names = ("content-type", "content-security-policy", "cache-control", "x-content-type-options")
     lines = [f"{name}: {answer.headers[name]}" for name in names]
     text = "\n".join([*lines, "", answer.body.decode()])
-    approve("dashboard", re.sub(r"\d\d:\d\d:\d\d", "hh:mm:ss", text))
+    assert_approved("dashboard", re.sub(r"\d\d:\d\d:\d\d", "hh:mm:ss", text))
 
 
 def run_with(work: Any) -> Any:
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -176,7 +176,7 @@
         return read(render(control_figures.metrics(world.machines[name].role)).decode())
 
     async def scenario(world: World) -> None:
-        await world.served()
+        await world.wait_served()
         first = world.primary()
         before = figures(world, first)
         assert before["station_take_overs_total"] == 1 and before["station_list_calls_total"] >= 1
@@ -187,7 +187,7 @@
         assert figures(world, backup)["station_take_overs_total"] == 0
         assert figures(world, backup)["station_list_calls_total"] == 0
         world.kill(first)
-        await world.until(lambda: world.primary() not in ("", first), 3.0)
+        await world.wait_until(lambda: world.primary() not in ("", first), 3.0)
         other = figures(world, world.primary())
         assert other["station_take_overs_total"] == 1 and other["station_epoch"] > before["station_epoch"]
 
--- a/tests/test_mastturnd_histories.py
+++ b/tests/test_mastturnd_histories.py
@@ -95,17 +95,17 @@
                 await world.wait(dice.uniform(0.1, 5))
                 world.heal()
             case "full":
-                world.say(f"the disk of {core.name} fills")
+                world.note(f"the disk of {core.name} fills")
                 core.disk.is_full = True
                 await world.wait(dice.uniform(0.1, 5))
                 core.disk.is_full = False
-                world.say(f"the disk of {core.name} has room")
+                world.note(f"the disk of {core.name} has room")
             case "hang":
-                world.say(f"the disk of {core.name} hangs")
+                world.note(f"the disk of {core.name} hangs")
                 core.disk.hang(True)
                 await world.wait(dice.uniform(0.1, 5))
                 core.disk.hang(False)
-                world.say(f"the disk of {core.name} goes on")
+                world.note(f"the disk of {core.name} goes on")
             case "wipe":
                 world.power_off(core.name)
                 core.disk.wipe()
@@ -171,7 +171,7 @@
             break
         assert world.loop.time() - since < ACK_S
         self.acked[ver], self.newest = self.newest, max(ver, self.newest)
-        await world.until(
+        await world.wait_until(
             lambda: all(m.plane.ver >= ver for m in world.edges()), APPLY_S, f"{ver} everywhere"
         )
         assert all(m.plane.is_allowed and m.plane.ids for m in world.edges())
@@ -180,7 +180,7 @@
 async def history(world: World, seed: int, rounds: int) -> None:
     world.platform.entries = [upstream("i-1")]
     story = History(world, seed)
-    await world.served(8.0)
+    await world.wait_served(8.0)
     operators = [world.loop.create_task(story.orders(name)) for name in ("one", "two")]
     try:
         for _ in range(rounds):
--- a/tests/test_news_in_cuts.py
+++ b/tests/test_news_in_cuts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.fabric_callers import configuration
-from tests.fabric_scenes import begun, in_force
+from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import Machine, World, play
 
 CONTACT_S = 4.0  # a cut is this old before anything is asked of a balancer
@@ -42,7 +42,7 @@
     if draw.random() < 0.3:
         leader = world.primary()
         world.kill(leader)
-        await world.until(lambda: world.primary() not in ("", leader), 3.0, "another leads")
+        await world.wait_until(lambda: world.primary() not in ("", leader), 3.0, "another leads")
         world.boot(leader)
     if draw.random() < 0.3:
         edge = draw.choice(world.edges())
@@ -56,7 +56,7 @@
     operator = world.operator("operator", world.primary())
     assert (await operator.put(configuration(version), version - 1)).status == 200
     planes = [machine.plane for machine in served]
-    await world.until(lambda: all(p.ver == version for p in planes), APPLY_S, f"version {version} there")
+    await world.wait_until(lambda: all(p.ver == version for p in planes), APPLY_S, f"version {version} there")
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -64,15 +64,15 @@
     draw = random.Random(seed)
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for version in range(6, 6 + ROUNDS):
             reached = cut_some(world, draw)
             await restart_some(world, draw, reached)
             await world.wait(CONTACT_S)
             await put_and_heard(world, version, [m for m in world.edges() if reached[m.name]])
             world.heal()
-            await in_force(world, version, CONTACT_S)
+            await wait_in_force(world, version, CONTACT_S)
         relays = [world.node(m.name).components()[1].relay for m in world.cores()]
-        await world.until(lambda: not any(r.is_running() for r in relays), 20.0, "nothing is passed on")
+        await world.wait_until(lambda: not any(r.is_running() for r in relays), 20.0, "nothing is passed on")
 
     play(scene, cores=5, edges=6, faults=2, seed=seed + 1)
--- a/tests/test_patching.py
+++ b/tests/test_patching.py
@@ -13,7 +13,7 @@
 from config.errors import InvalidConfigurationError
 from config.patching import apply_patch, parse_patch
 from tests.fabric_callers import ask, call, configuration
-from tests.fabric_scenes import begun, in_force
+from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import CTL_PORT, World, play
 
 
@@ -127,10 +127,10 @@
 
 def test_a_patch_is_acknowledged_in_force_and_the_same_on_every_holder() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         operator = world.operator()
         assert (await operator.patch(change(7, "new"), 5)).status == 200
-        await in_force(world, 7)
+        await wait_in_force(world, 7)
         read = json.loads((await operator.get()).body)
         assert read["ver"] == 7 and "new" in [r["name"] for r in read["routes"]]
         assert read["svcs"] == json.loads(configuration(5))["svcs"]
@@ -142,7 +142,7 @@
 
 def test_a_repeat_is_acknowledged_also_after_later_changes_and_others_get_412_or_400() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         operator = world.operator()
         first = change(6, "one")
         for base, sent, status in [
@@ -165,7 +165,7 @@
 
 def test_of_patches_that_race_on_one_version_one_wins_and_nothing_of_the_other_is_kept() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         orders = [
             world.operator(f"operator-{n}", f"core-{n}").patch(change(5 + n, f"by-{n}"), 5) for n in (1, 2, 3)
         ]
@@ -179,7 +179,7 @@
 
 def test_a_patch_whose_primary_is_lost_is_taken_once() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         first = world.primary()
         others = [m.name for m in world.cores() if m.name != first]
         order = world.loop.create_task(world.operator("operator", first, *others).patch(change(6, "one"), 5))
@@ -194,10 +194,10 @@
 
 def test_a_patch_of_many_routes_is_taken_and_one_without_a_version_to_build_on_is_refused() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         big = change(6, *(f"r{n}" for n in range(1_400)))
         assert (await world.operator().patch(big, 5)).status == 200
-        await in_force(world, 6)
+        await wait_in_force(world, 6)
         primary = world.machines[world.primary()]
         raw = call("PATCH", "/api/config", json.dumps(change(7)).encode())
         answer = await ask((primary.ip, CTL_PORT), raw)
--- a/tests/test_shared_machines.py
+++ b/tests/test_shared_machines.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.fabric_callers import ask, call, configuration, upstream
-from tests.fabric_scenes import begun, in_force
+from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import CTL_PORT, World, play
 
 MACHINES = 6
@@ -32,13 +32,13 @@
 
 def test_a_fleet_whose_machines_run_both_roles_serves() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         assert (await world.operator().put(configuration(6), 5)).status == 200
-        await in_force(world, 6)
+        await wait_in_force(world, 6)
         parents = {m.name: m.role._follower.parent() for m in world.edges()}
         assert None not in parents.values() and len(set(parents.values())) > 1, "the tree stands"
         world.platform.entries = [upstream("i-1"), upstream("i-2"), upstream("i-3")]
-        await world.until(lambda: all(len(m.plane.ids) == 3 for m in world.edges()), 3.0, "the list")
+        await world.wait_until(lambda: all(len(m.plane.ids) == 3 for m in world.edges()), 3.0, "the list")
 
     play(scene, cores=0, faults=2, before=share)
 
@@ -46,21 +46,21 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_two_such_machines_may_be_lost_with_the_leader_among_them(seed: int) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         first = world.primary()
         second = next(m.name for m in world.cores() if m.name != first)
         world.power_off(*machine_of(world, first), *machine_of(world, second))
-        await world.until(lambda: world.primary() not in ("", first), 5.0, "another leads")
+        await world.wait_until(lambda: world.primary() not in ("", first), 5.0, "another leads")
         running = [m.name for m in world.cores() if world.running(m) and m.ip not in world.network.off]
         assert (await world.operator("operator", *running).put(configuration(6), 5)).status == 200
-        await in_force(world, 6, 4.0)
+        await wait_in_force(world, 6, 4.0)
 
     play(scene, cores=0, faults=2, seed=seed, before=share)
 
 
 def test_a_machine_that_is_stopped_hands_both_of_its_roles_on() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for name in [m.name for m in world.cores()][:4]:
             for one in machine_of(world, name):
                 await world.terminate(one)
@@ -68,7 +68,7 @@
             await world.wait(2.0)
             assert world.primary()
         assert (await world.operator().put(configuration(6), 5)).status == 200
-        await in_force(world, 6)
+        await wait_in_force(world, 6)
 
     play(scene, cores=0, faults=2, before=share)
 
@@ -84,16 +84,16 @@
 def test_a_control_process_without_a_disk_leads_its_callers_on(asked: str) -> None:
     async def scene(world: World) -> None:
         world.platform.entries = [upstream("i-1")]
-        await world.served()
+        await world.wait_served()
         operator = world.operator("operator", asked)
         assert (await operator.put(configuration(5), 0)).status == 200
         assert (await operator.get()).body == configuration(5)
-        await in_force(world, 5)
+        await wait_in_force(world, 5)
         first = world.primary()
         world.power_off(first)
-        await world.until(lambda: world.primary() not in ("", first), 5.0, "another leads")
+        await world.wait_until(lambda: world.primary() not in ("", first), 5.0, "another leads")
         assert (await operator.put(configuration(6), 5)).status == 200
-        await in_force(world, 6, 4.0)
+        await wait_in_force(world, 6, 4.0)
         answer = await ask(asked_at(world, asked), call("GET", "/api/status"))
         assert answer is not None and answer.status == 307
 
@@ -107,13 +107,13 @@
 
 def test_one_without_a_disk_says_503_while_nobody_leads_and_never_takes_anything() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.power_off("core-1", "core-2", "core-3")
         await world.wait(2.0)
         answer = await ask(asked_at(world, "core-8"), call("GET", "/api/config"))
         assert answer is not None and answer.status == 503
         world.boot("core-1", "core-2", "core-3")
-        await world.until(lambda: bool(world.primary()), 5.0, "somebody leads again")
+        await world.wait_until(lambda: bool(world.primary()), 5.0, "somebody leads again")
         ended = await asyncio.wait_for(world.operator("operator", "core-8").get(), 5.0)
         assert ended.body == configuration(5)
 
@@ -122,12 +122,12 @@
 
 def test_newcomers_and_balancers_that_only_know_one_without_a_disk_find_the_fleet() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         world.seeds = [world.machines["core-8"].ctl]
         await world.operator("operator", "core-8").get()  # it has been asked, so it knows
         late = world.edge("edge-late", "10.1.1.99", "hall-a")
         world.boot("edge-late")
-        await world.until(lambda: late.role and late.plane.ver == 5, 5.0, "the late one has the news")
+        await world.wait_until(lambda: late.role and late.plane.ver == 5, 5.0, "the late one has the news")
 
     play(scene, edges=2, before=with_diskless)
 
@@ -150,7 +150,7 @@
     """A hunt's finding (scale-2 of fc-kitchen-line, seed 716184633799): out of touch for four seconds."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         turn_seeds_over(world)
         world.kill("core-8", "core-9")  # whom they knew is forgotten
         world.boot("core-8", "core-9")
@@ -158,21 +158,21 @@
         world.kill("core-1", "core-2", "core-3")
         await world.wait(0.6)
         world.boot("core-1", "core-2", "core-3")
-        await world.until(lambda: bool(world.primary()), 3.0, "somebody leads again")
-        await world.until(lambda: all(m.role._follower.is_fresh() for m in world.edges()), 1.5, "news")
+        await world.wait_until(lambda: bool(world.primary()), 3.0, "somebody leads again")
+        await world.wait_until(lambda: all(m.role._follower.is_fresh() for m in world.edges()), 1.5, "news")
 
     play(scene, edges=4, before=with_diskless)
 
 
 def test_a_fleet_that_has_lost_power_finds_its_core_although_all_seeds_keep_nothing() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         turn_seeds_over(world)
         world.power_off(*world.machines)
         await world.wait(1.0)
         world.boot(*world.machines)
         await world.wait(0.1)
-        await world.served(4.0)
-        await in_force(world, 5, 1.0)
+        await world.wait_served(4.0)
+        await wait_in_force(world, 5, 1.0)
 
     play(scene, edges=4, before=with_diskless)
--- a/tests/test_tallies_in_cuts.py
+++ b/tests/test_tallies_in_cuts.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.fabric_callers import ask, call
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import CTL_PORT, World, play
 
 MERGE_S = 3.0
@@ -54,7 +54,7 @@
 
 def test_adds_on_both_sides_of_a_cut_count_once_everywhere() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         one, two, three = (Application(world, m.name) for m in world.cores())
         assert await one.add("t3", "a1") == 200
         assert await one.total("t3") == 1
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("at", [0, 1, 2])
 def test_an_add_outlives_the_disk_that_acknowledged_it(at: int) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         app = apps(world)[at]
         assert await app.add("t1", "a", 5) == 200
         world.power_off(app.machine)
@@ -105,7 +105,7 @@
 
 def test_adds_outlive_a_loss_of_power_everywhere() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for number, app in enumerate(apps(world) * 4):
             assert await app.add("t1", f"a{number}", number) == 200
         names = [m.name for m in world.cores()]
@@ -126,7 +126,7 @@
         world.core("core-9", "10.1.0.9", "hall-a")
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         one, two, three = apps(world)
         nine = Application(world, "core-9")
         assert await nine.add("t1", "a", 1) == 200
@@ -150,7 +150,7 @@
 
 def test_a_full_disk_takes_no_add_and_loses_none() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         app = apps(world)[1]
         disk = world.machines[app.machine].disk
         assert await app.add("t1", "a", 1) == 200
@@ -192,7 +192,7 @@
 
 def test_bad_calls_get_one_clear_error_and_count_nothing() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         app = apps(world)[0]
         for method, path, body in BAD:
             status, said = await app.send(method, path, body)
@@ -210,7 +210,7 @@
     """The others pass over what they do not know: adds wait a little for them once, then no more."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         one, *others = apps(world)
         for other in others:
             monkeypatch.setattr(world.node(other.machine).tallies, "heard", lambda ip, message: None)
--- a/tests/test_transport_strangers.py
+++ b/tests/test_transport_strangers.py
@@ -15,7 +15,7 @@
 from dissemination import messages as news
 from tests.fabric import End
 from tests.fabric_callers import Answer, ask, call, configuration
-from tests.fabric_scenes import begun, in_force
+from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import BALANCER_PORT, CONTROL_PORT, CTL_PORT, World, play
 from transport.calls import MAX_BODY_BYTES
 from transport.wire import MAX_FRAME_BYTES, FrameReader
@@ -52,7 +52,7 @@
 async def goes_on(world: World, ver: int, base: int) -> None:
     """The fleet works as if nothing had happened."""
     assert (await world.operator().put(configuration(ver), base)).status == 200
-    await in_force(world, ver, 0.2)
+    await wait_in_force(world, ver, 0.2)
 
 
 GARBAGE = {
@@ -74,11 +74,11 @@
 @pytest.mark.parametrize("where", ["core-1", "core-3", "edge-1"])
 def test_garbage_on_the_port_for_other_processes_ends_that_connection_alone(name: str, where: str) -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         lines = len(world.transcript.logs)
         stranger = await connect(world.machines[where].ip, port_of(world, where))
         stranger.transport.write(GARBAGE[name])
-        await world.until(lambda: stranger.lost_at, 0.5, "the connection is ended")
+        await world.wait_until(lambda: stranger.lost_at, 0.5, "the connection is ended")
         assert len(world.transcript.logs) <= lines + 1
         await world.wait(1.0)
         assert all(m.role._follower.is_fresh() for m in world.edges())
@@ -140,7 +140,7 @@
     """A process of ours would not send them; whoever does is not one of us, and the news go on."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for message in strange_messages():
             stranger = await connect(world.machines[where].ip, port_of(world, where))
             stranger.transport.write(KINDS.encode(message))
@@ -155,7 +155,7 @@
 
 def test_sums_too_large_for_a_message_are_no_fault() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         strangers = [await connect(world.machines["core-1"].ip) for _ in range(3)]
         for stranger in strangers:
             load = news.LoadReport((news.UpstreamLoad("i-1", 2**62, 2**62),))
@@ -203,7 +203,7 @@
 
 def test_a_peer_that_takes_nothing_loses_its_connection_and_holds_nobody_up() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         ip = world.machines["core-1"].ip
         stranger = await connect(ip)
         stranger.transport.write(KINDS.encode(news.Attach("s", "10.99.0.1", "hall-a", 0, 0, 0)))
@@ -215,7 +215,7 @@
             assert (await world.operator().put(body, base)).status == 200
             base = ver
             await world.wait(0.1)
-        await in_force(world, base)
+        await wait_in_force(world, base)
         held = [e for e in world.network.ends if e.remote[0] == "10.99.0.1" and e.local == (ip, CONTROL_PORT)]
         assert all(e.gone or len(e.buffer) < 8 * 2**20 for e in held)
         assert any(e.gone for e in held)
@@ -265,7 +265,7 @@
     raw, status = BAD_CALLS[name]
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         answer = await say(world, raw)
         assert answer is not None and answer.status == status
         if status >= 400:
@@ -278,20 +278,20 @@
 
 def test_a_call_in_pieces_is_the_same_call() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         raw = call("PUT", "/api/config", configuration(6), If_Match="5")
         stranger = await connect(world.machines["core-1"].ip, CTL_PORT)
         for at in range(0, len(raw), 3):
             stranger.transport.write(raw[at : at + 3])
             await world.wait(0.001)
-        await world.until(lambda: stranger.got.startswith(b"HTTP/1.1 200"), 1.0)
+        await world.wait_until(lambda: stranger.got.startswith(b"HTTP/1.1 200"), 1.0)
 
     play(scene)
 
 
 def test_a_call_that_is_never_whole_is_given_up() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         since = world.loop.time()
         stranger = await connect(world.machines["core-1"].ip, CTL_PORT)
         stranger.transport.write(b"PUT /api/config HTTP/1.1\r\nContent-Length: 100\r\n\r\n")
@@ -307,11 +307,11 @@
 
 def test_a_second_call_that_is_never_whole_is_given_up_too() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         since = world.loop.time()
         stranger = await connect(world.machines["core-1"].ip, CTL_PORT)
         stranger.transport.write(call("GET", "/api/config") + b"GET /api/con")
-        await world.until(lambda: stranger.lost_at, 7.0, "the second call is given up")
+        await world.wait_until(lambda: stranger.lost_at, 7.0, "the second call is given up")
         assert stranger.got.startswith(b"HTTP/1.1 200") and stranger.lost_at - since > 4.0
 
     play(scene)
@@ -319,7 +319,7 @@
 
 def test_calls_behind_each_other_are_answered_in_order() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         stranger = await connect(world.machines["core-1"].ip, CTL_PORT)
         stranger.transport.write(
             call("GET", "/one")
@@ -337,7 +337,7 @@
 
 def test_calls_that_come_faster_than_they_are_answered_are_bounded() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         stranger = await connect(world.machines["core-1"].ip, CTL_PORT)
         for _ in range(400):
             stranger.transport.write(call("PUT", "/api/config", b"x" * 60_000, If_Match="5"))
@@ -354,7 +354,7 @@
 
 def test_a_caller_who_leaves_costs_nothing() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         for number in range(20):
             stranger = await connect(world.machines["core-1"].ip, CTL_PORT)
             stranger.transport.write(
@@ -374,13 +374,13 @@
     """What the call's bound lets through fits every frame and every record; what is larger gets 413."""
 
     async def scene(world: World) -> None:
-        await begun(world)
+        await start_fleet(world)
         empty = len(configuration(6, padding=""))
         body = configuration(6, padding="x" * (MAX_BODY_BYTES - empty))
         assert len(body) == MAX_BODY_BYTES
         answer = await say(world, call("PUT", "/api/config", body, If_Match="5"), silence_s=10.0)
         assert answer is not None and answer.status == 200
-        await in_force(world, 6)
+        await wait_in_force(world, 6)
         world.kill("core-1", "core-2", "core-3")
         world.boot("core-1", "core-2", "core-3")
         await world.wait(1.0)
--- a/tests/test_wire_held.py
+++ b/tests/test_wire_held.py
@@ -15,7 +15,7 @@
 from consensus.messages import KINDS as CONTROL
 from dissemination.messages import KINDS as NEWS
 from tallies.messages import KINDS as TALLIES
-from tests.fabric_world import APPROVED, approve
+from tests.fabric_world import APPROVED, assert_approved
 from transport.wire import EDITION, FrameReader, MessageKinds, to_avro
 
 TABLES = {"control": CONTROL, "news": NEWS, "disk": RECORDS, "tallies": TALLIES}
@@ -67,7 +67,7 @@
             message = cls(**a_value({"type": "record", "fields": schema["fields"]}, cls.__name__))
             lines.append(f"{table} {number} {cls.__name__} {json.dumps(fields_of(schema))}")
             lines.append(f"  {kinds.encode(message).hex()}")
-    approve("kinds", "\n".join(lines) + "\n")
+    assert_approved("kinds", "\n".join(lines) + "\n")
 
 
 @pytest.mark.parametrize("table", TABLES)
