--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -203,7 +203,7 @@
         self.load_changed = changed
 
     def on_failures_changed(self, changed: Callable[[], None]) -> None:
-        """`changed` is called whenever `doubts` would tell something new."""
+        """`changed` is called whenever `failure_counts` would tell something new."""
         self.standing.changed = changed
 
     def failure_counts(self) -> FailureCounts:
--- a/control/__init__.py
+++ b/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: a consensus replica on sockets and disk, the operators' API, the leader's duties."""
+"""The control process: a consensus replica with sockets and disk, the operators' API, the leader's duties."""
--- a/control/announcer.py
+++ b/control/announcer.py
@@ -1,4 +1,7 @@
-"""The leader tells seeds that are no members who leads: others ask them, and they may keep nothing."""
+"""Announces the leader to seeds that are not members, which new processes may ask first.
+
+Such a seed may be without a disk and know only what it is sent.
+"""
 
 from __future__ import annotations
 
@@ -8,19 +11,19 @@
 from transport.endpoint import Endpoint
 from transport.links import Links
 
-ANNOUNCED_S = 1.0  # so often
+ANNOUNCE_INTERVAL_S = 1.0
 
 
 class Announcer:
-    """Sends the view in force to the seeds that have no part in it."""
+    """Sends the current view to the seeds that are not members of it."""
 
     def __init__(self, links: Links) -> None:
         self._links = links
         self._announced_at = -1e9
 
-    def look(self, view: View, settings: Settings, now: float) -> None:
-        """Tell them once more if it is time (s)."""
-        if now - self._announced_at < ANNOUNCED_S:
+    def tick(self, view: View, settings: Settings, now: float) -> None:
+        """Send the view if the announcement is due; `now` in seconds."""
+        if now - self._announced_at < ANNOUNCE_INTERVAL_S:
             return
         self._announced_at = now
         members = {member.ip for member in view.members if member is not None}
--- a/control/cold_times.py
+++ b/control/cold_times.py
@@ -1,4 +1,4 @@
-"""How long upstreams are cold yet, told so that a list changes only as one turns cold or warm."""
+"""Stabilises the cold time left of upstreams, so that a list changes only when one turns cold or warm."""
 
 from __future__ import annotations
 
@@ -8,42 +8,45 @@
 from loguru import logger
 
 FIELD = "cold_left_ms"
-MOVED_S = 1.5  # an end that is this much later than the one told is of another time of being cold
+RESTART_MARGIN_S = 1.5  # a later end by more than this means that a new cold period has begun
 
 
 @dataclass(slots=True)
-class _Told:
-    """What was told of one upstream: the time left then, and when it ends by our clock, in seconds."""
+class _Published:
+    """The published remaining time of one upstream, and its end in seconds on the local clock."""
 
     left_ms: float
-    ends: float
+    ends_at: float
 
 
 class ColdTimes:
-    """Settles `cold_left_ms` of the platform's entries: the same figure until it is over or begins anew.
+    """Keeps `cold_left_ms` of the platform's entries constant for the duration of a cold period.
 
-    The platform's figure runs down, and by a list that lags. Told as it comes it would make a new list of
-    every reading; a balancer lets the first figure run down by itself.
+    The platform's value decreases with time, in a list that lags. Passed on unchanged it would make a new
+    list of every reading. A balancer counts the first value down by itself.
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}  # by id
+        self._published: dict[str, _Published] = {}  # by id
 
     def stabilize(self, entries: list[dict[str, Any]], now: float) -> list[dict[str, Any]]:
-        """The entries as they are to be told at `now` (s); those that are not cold stay as they are."""
-        self._told = {name: told for name, told in self._told.items() if now < told.ends}
-        return [self._settled(entry, now) for entry in entries]
-
-    def _settled(self, entry: dict[str, Any], now: float) -> dict[str, Any]:
+        """Return the entries to publish at `now` (s); entries that are not cold are unchanged."""
+        self._published = {
+            upstream_id: published
+            for upstream_id, published in self._published.items()
+            if now < published.ends_at
+        }
+        return [self._stabilized(entry, now) for entry in entries]
+
+    def _stabilized(self, entry: dict[str, Any], now: float) -> dict[str, Any]:
         left_ms = entry.get(FIELD)
         if not isinstance(left_ms, int | float) or isinstance(left_ms, bool) or not left_ms > 0:
             return entry
-        name, ends = str(entry.get("id")), now + left_ms / 1000
-        told = self._told.get(name)
-        if told is None or ends > told.ends + MOVED_S:
-            anew = (
-                told is not None and told.left_ms == left_ms
-            )  # a figure that stays the same tells nothing new
-            told = self._told[name] = _Told(left_ms + anew, ends)
-            logger.info("event=upstream_cold upstream={} left_ms={:.0f}", name, left_ms)
-        return entry if left_ms == told.left_ms else {**entry, FIELD: told.left_ms}
+        upstream_id, ends_at = str(entry.get("id")), now + left_ms / 1000
+        published = self._published.get(upstream_id)
+        if published is None or ends_at > published.ends_at + RESTART_MARGIN_S:
+            # Adds 1 ms to an equal value, which would not be seen as a change.
+            is_restart = published is not None and published.left_ms == left_ms
+            published = self._published[upstream_id] = _Published(left_ms + is_restart, ends_at)
+            logger.info("event=upstream_cold upstream={} left_ms={:.0f}", upstream_id, left_ms)
+        return entry if left_ms == published.left_ms else {**entry, FIELD: published.left_ms}
--- a/control/news_relay.py
+++ b/control/news_relay.py
@@ -1,8 +1,8 @@
-"""The leader's news for balancers that can't reach the leader: a member that can passes them on.
+"""Relays the leader's updates to balancers that can't reach the leader.
 
-A leader may be heard by the other members and be out of reach for balancers: its zone may refuse new
-connections and keep the established ones, or two zones may have no path while a third reaches both. A
-balancer that was sent on to the leader and comes back is taken in by the member that it comes to.
+A leader may be reachable for the other members and not for balancers: its zone may refuse new connections and
+keep established ones, or two zones may have no path while a third reaches both. A member redirects a balancer
+to the leader first; if the balancer returns, that member relays the updates to it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from dissemination.bulletin import LatestUpdates
 from dissemination.feed import Feed
-from dissemination.follower import ROLL_S, STALE_AFTER_S
+from dissemination.follower import ROLL_INTERVAL_S, STALE_AFTER_S
 from dissemination.holdings import Holdings
 from dissemination.messages import (
     Attach,
@@ -35,30 +35,33 @@
 from transport.links import Links
 from transport.wire import Link
 
-RETURN_S = 5.0  # a balancer that comes back within this has not reached the leader
-REFER_S = 10.0  # those that are told here try the leader itself again so often
-IDLE_S = 2.0  # without a balancer for so long nothing is asked of the leader any more
-SILENT_S = 2.5  # a balancer that says nothing for so long has gone
+RETURN_WINDOW_S = 5.0  # a balancer that returns within this has not reached the leader
+REDIRECT_INTERVAL_S = 10.0  # relayed balancers are redirected to the leader this often, to try it again
+IDLE_TIMEOUT_S = 2.0  # the relay stops after this long without a balancer
+SILENCE_TIMEOUT_S = 2.5  # a balancer that sends nothing for this long is dropped
 
 
-class Referrals:
-    """Which balancers were sent on to a leader a moment ago."""
+class Redirects:
+    """Remembers which balancers were recently redirected to which leader."""
 
     def __init__(self) -> None:
-        self._sent_at: dict[tuple[str, str], float] = {}  # by balancer's node and leader's IP, in seconds
+        # Time (s) by the node of the balancer and the IP of the leader.
+        self._redirected_at: dict[tuple[str, str], float] = {}
 
     def add(self, node: str, leader_ip: str, now: float) -> None:
-        """A balancer is sent on."""
-        self._sent_at = {key: at for key, at in self._sent_at.items() if now - at <= RETURN_S}
-        self._sent_at[node, leader_ip] = now
+        """Record that a balancer is redirected."""
+        self._redirected_at = {
+            key: at for key, at in self._redirected_at.items() if now - at <= RETURN_WINDOW_S
+        }
+        self._redirected_at[node, leader_ip] = now
 
     def has_come_back(self, node: str, leader_ip: str, now: float) -> bool:
-        """Whether a balancer that asks now was sent to this leader a moment ago."""
-        return now - self._sent_at.get((node, leader_ip), -1e9) <= RETURN_S
+        """Return whether a balancer that attaches now was recently redirected to this leader."""
+        return now - self._redirected_at.get((node, leader_ip), -1e9) <= RETURN_WINDOW_S
 
 
-class NewsRelay:
-    """Hears the news from the leader over the members' connection, and feeds them to balancers."""
+class UpdateRelay:
+    """Receives updates from the leader over the members' connection and feeds them to balancers."""
 
     def __init__(
         self,
@@ -68,37 +71,37 @@
         latest: LatestUpdates,
         feed: Feed,
         holdings: Holdings,
-        attached: Callable[[], None],
+        on_attached: Callable[[], None],
     ) -> None:
-        """`attached`: the leader is to be told now what the balancers below us report."""
+        """`on_attached`: called when the leader has to be sent the reports of attached balancers again."""
         self._identity, self._links, self._control_port = identity, links, control_port
         self._latest, self._feed, self._holdings = latest, feed, holdings
-        self._attached = attached
-        self._referrals = Referrals()
+        self._on_attached = on_attached
+        self._redirects = Redirects()
         self._leader_ip = ""
-        self._link: Link | None = None  # to the leader, while we pass its news on
-        self._attached_at = self._pulsed_at = self._wanted_at = self._referred_at = -1e9
-        self._rolled: tuple[tuple[Present, ...], float] = (), -1e9
+        self._link: Link | None = None  # to the leader, while its updates are relayed
+        self._attached_at = self._pulsed_at = self._last_child_at = self._redirected_at = -1e9
+        self._last_roll: tuple[tuple[Present, ...], float] = (), -1e9
 
     def is_running(self) -> bool:
-        """Whether the leader tells us its news."""
+        """Return whether updates are received from the leader."""
         return self._link is not None
 
-    def refer(self, link: Link, message: Attach, leader_ip: str) -> None:
-        """A balancer asks for the news: it is sent to the leader; one that comes back is taken in."""
+    def attach_or_redirect(self, link: Link, message: Attach, leader_ip: str) -> None:
+        """Redirect a balancer to the leader, or attach it here if it has just returned from there."""
         now = asyncio.get_running_loop().time()
-        if self._referrals.has_come_back(message.node, leader_ip, now):
-            self._wanted_at = now
+        if self._redirects.has_come_back(message.node, leader_ip, now):
+            self._last_child_at = now
             if self._is_fresh(leader_ip, now):
                 self._feed.attach(link, message)
                 link.send(HoldingNews(self._holdings.all()))
                 return
-            self._attach(leader_ip, now)  # it asks again soon, when we know what is new
-        self._referrals.add(message.node, leader_ip, now)
+            self._attach(leader_ip, now)  # the balancer asks again soon, when updates have arrived
+        self._redirects.add(message.node, leader_ip, now)
         link.send(Moved((leader_ip,)))
 
-    def heard(self, link: Link, message: Any) -> bool:
-        """A message of the leader; False if it is no news, or not by the connection that we hear them by."""
+    def on_message(self, link: Link, message: Any) -> bool:
+        """Handle a message of the leader; returns False for other messages and other connections."""
         if link is not self._link:
             return False
         match message:
@@ -119,60 +122,61 @@
                 return False
         return True
 
-    def report(self, message: Any) -> None:
-        """What the balancers below us say, on to the leader."""
+    def forward_report(self, message: Any) -> None:
+        """Forward a report of an attached balancer to the leader."""
         if self._link is not None:
             self._link.send(message)
 
-    def look(self, leader_ip: str) -> None:
-        """Another leads; called every few tens of milliseconds.
+    def tick(self, leader_ip: str) -> None:
+        """Check the relay while another process leads; called every few tens of milliseconds.
 
-        A balancer may be on its way back to us: a `Roll` without anybody would end it all at the leader.
+        A `Roll` is not sent while nobody is present: it would end the relay at the leader, and a balancer may
+        be on its way back.
         """
         if self._link is None:
             return
         now = asyncio.get_running_loop().time()
-        self._feed.drop_silent(now, SILENT_S)
+        self._feed.drop_silent(now, SILENCE_TIMEOUT_S)
         present = self._present()
         if present:
-            self._wanted_at = now
-        if leader_ip != self._leader_ip or now - self._wanted_at > IDLE_S:
+            self._last_child_at = now
+        if leader_ip != self._leader_ip or now - self._last_child_at > IDLE_TIMEOUT_S:
             self.stop()
-        elif now - self._referred_at >= REFER_S:
-            self._refer_all(now)
-        elif present and (present != self._rolled[0] or now - self._rolled[1] >= ROLL_S):
-            self._rolled = present, now
+        elif now - self._redirected_at >= REDIRECT_INTERVAL_S:
+            self._redirect_all(now)
+        elif present and (present != self._last_roll[0] or now - self._last_roll[1] >= ROLL_INTERVAL_S):
+            self._last_roll = present, now
             self._link.send(Roll(self._identity, present))
 
-    def ended(self, link: Link) -> None:
-        """A connection is over; balancers that hear nothing more from us ask again."""
+    def on_closed(self, link: Link) -> None:
+        """Handle the end of a connection; balancers that get no more updates attach elsewhere."""
         if link is self._link:
             self._link = None
 
     def stop(self) -> None:
-        """Pass on nothing more."""
+        """Stop relaying."""
         if self._link is not None:
             self._link.send(Roll(self._identity, ()))
             logger.info("event=news_relay_ended leader={}", self._leader_ip)
         self._link = None
 
     def _is_fresh(self, leader_ip: str, now: float) -> bool:
-        is_its = self._link is not None and leader_ip == self._leader_ip
-        return is_its and now - self._pulsed_at <= STALE_AFTER_S
+        is_current = self._link is not None and leader_ip == self._leader_ip
+        return is_current and now - self._pulsed_at <= STALE_AFTER_S
 
     def _attach(self, leader_ip: str, now: float) -> None:
-        """Ask the leader for its news, by the connection on which it was heard last."""
+        """Subscribe to the leader's updates, over the connection that received data last."""
         link = self._links.find(Endpoint(leader_ip, self._control_port))
-        is_asked = link is self._link and now - self._attached_at <= STALE_AFTER_S
-        if link is None or is_asked:
+        is_requested = link is self._link and now - self._attached_at <= STALE_AFTER_S
+        if link is None or is_requested:
             return
         self.stop()
         logger.info("event=news_relay_begun leader={}", leader_ip)
         self._link, self._leader_ip = link, leader_ip
-        self._attached_at = self._referred_at = now
+        self._attached_at = self._redirected_at = now
         known, listed = self._latest.configuration, self._latest.upstreams
         present = self._present()
-        self._rolled = present, now
+        self._last_roll = present, now
         link.send(
             RelayAttach(
                 self._identity,
@@ -182,13 +186,13 @@
                 present,
             )
         )
-        self._attached()
+        self._on_attached()
 
-    def _refer_all(self, now: float) -> None:
-        """The way to the leader may be free again: whoever does not reach it comes back."""
-        self._referred_at = now
+    def _redirect_all(self, now: float) -> None:
+        """Redirect all balancers to the leader in case it is reachable again; the others return."""
+        self._redirected_at = now
         for balancer in self._feed.child_nodes():
-            self._referrals.add(balancer, self._leader_ip, now)
+            self._redirects.add(balancer, self._leader_ip, now)
         self._feed.redirect_all(Moved((self._leader_ip,)))
 
     def _present(self) -> tuple[Present, ...]:
--- a/control/node.py
+++ b/control/node.py
@@ -1,4 +1,4 @@
-"""One control process on sockets and a disk: hosts the machine, answers operators, tells the news."""
+"""The control process: hosts a consensus replica, serves the operators' API and publishes updates."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from control.publisher import Publisher
 from control.tally_calls import TALLY_ROUTES
 from control.tally_keeper import TallyKeeper
-from dissemination import messages as news
+from dissemination import messages as updates
 from tallies import messages as tallies
 from transport.calls import HttpServer, Routes
 from transport.endpoint import Endpoint
@@ -33,107 +33,112 @@
 from transport.wire import Link, MessageKinds
 
 TICK_S = 0.03
-PROOF_S = 0.5
-STAY_SHARE = 0.7  # of the time until we are killed: so long we wait until no view rests on us
-FOLLOWED_S = 0.5  # a successor is waited for so long
-KINDS = MessageKinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
+CONFIRM_TIMEOUT_S = 0.5
+# Share of the grace period to wait for a view without this process.
+LEAVE_SHARE = 0.7
+HANDOVER_TIMEOUT_S = 0.5  # to wait for a successor to lead
+KINDS = MessageKinds().include(messages.KINDS).include(updates.KINDS).include(tallies.KINDS)
 
 
 def spec_from_settings(settings: Settings) -> Spec:
-    """How many slots and holders there are: what may be lost at once, and one more that has the data.
+    """Return the number of slots and holders: tolerated losses, and one more holder of the data.
 
-    Where whole zones or regions may be lost, each of them costs one slot at the least.
+    Where whole zones or regions may be lost, each of them costs at least one slot.
     """
     faults = settings.faults
-    lost = max(faults.nodes, faults.zones, faults.regions)
+    max_losses = max(faults.nodes, faults.zones, faults.regions)
     spread = Spread(faults.zones, faults.regions, settings.zones)
-    return Spec(slots=2 * lost + 1, holders=lost + 1, spread=spread)
+    return Spec(slots=2 * max_losses + 1, holders=max_losses + 1, spread=spread)
 
 
 class ControlNode:
-    """Hosts one `Replica`."""
+    """Runs one `Replica` with its sockets and disk."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.reader = ConfigurationReader()
         self._loop = asyncio.get_running_loop()
         assert settings.data_dir is not None
-        self._keeper = Keeper(settings.data_dir, self._disk)
+        self._keeper = Keeper(settings.data_dir, self._on_disk_health)
         self._replica: Replica | None = None
-        self._clock = AwakeClock(self._stalled)
+        self._clock = AwakeClock(self._on_stall)
         own = Endpoint(settings.ip, settings.control_port)
-        self._links = Links(KINDS, own, self._heard, self._ended, peers_share_port=False)
-        self._publisher = Publisher(settings, self._links, self._prove, self._outrun)
+        self._links = Links(KINDS, own, self._on_message, self._on_closed, peers_share_port=False)
+        self._publisher = Publisher(settings, self._links, self._confirm_epoch, self._on_newer_epoch)
         copies, ready_ms = spec_from_settings(settings).holders, settings.bounds.merge_ms
         self.tallies = TallyKeeper(settings.data_dir, copies, ready_ms, self.now, self._send)
-        self._calls = HttpServer(Routes().include(OPERATOR_ROUTES).include(TALLY_ROUTES), self)
-        self._loading: asyncio.Task[None] | None = None  # of the tallies
-        self._local: deque[messages.Message] = deque()
-        self._tokens, self._owed = 0, dict[int, asyncio.Future[Reply]]()
-        self._running = False
+        self._http_server = HttpServer(Routes().include(OPERATOR_ROUTES).include(TALLY_ROUTES), self)
+        self._tallies_task: asyncio.Task[None] | None = None  # loads the tallies
+        self._own_messages: deque[messages.Message] = deque()
+        self._last_token, self._pending_commands = 0, dict[int, asyncio.Future[Reply]]()
+        self._is_applying = False
         self._ticker: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Load what is kept, listen and take part; raises OSError where an address can't be had."""
+        """Load the stored state, listen and join; raises OSError if an address can't be bound."""
         settings = self.settings
         ctl = settings.listen.ctl or ""
-        is_first = settings.bootstrap and bool(settings.seed_addrs) and min(settings.seed_addrs) == ctl
-        memory = await self._keeper.load(is_first)
-        me = Member(memory.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone)
+        is_bootstrapping = (
+            settings.bootstrap and bool(settings.seed_addrs) and min(settings.seed_addrs) == ctl
+        )
+        memory = await self._keeper.load(is_bootstrapping)
+        own_member = Member(
+            memory.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone
+        )
         founder = memory.identity.startswith(FOUNDER)
         self._replica = Replica(
-            me, memory, spec_from_settings(settings), settings.seed_ips, founder, secrets.randbits(32)
+            own_member, memory, spec_from_settings(settings), settings.seed_ips, founder, secrets.randbits(32)
         )
         self._replica.start(self.now())
         await self._links.start()
-        self._loading = self._loop.create_task(self.tallies.load())
+        self._tallies_task = self._loop.create_task(self.tallies.load())
         if ctl:
-            await self._calls.start(parse_address(ctl))
+            await self._http_server.start(parse_address(ctl))
         self._publisher.start()
         self._tick()
 
     async def stop(self) -> None:
-        """Wait until nothing rests on us any more, name a successor if that took too long, and end."""
+        """Leave the view, name a successor if that takes too long, and stop."""
         replica = self._replica
         if replica is not None:
             replica.stop(self.now())
-            self._carry_out()
-            await self._until(replica.may_end, self.settings.bounds.grace_s * STAY_SHARE)
+            self._apply_effects()
+            await self._wait_until(replica.may_end, self.settings.bounds.grace_s * LEAVE_SHARE)
             replica.resign(self.now())
-            self._carry_out()
-            await self._until(lambda: self._is_followed(replica), FOLLOWED_S)
-            self._publisher.led_by(self.leader())  # whoever hears the news from us goes there at once
+            self._apply_effects()
+            await self._wait_until(lambda: self._has_successor(replica), HANDOVER_TIMEOUT_S)
+            self._publisher.on_other_leader(self.leader())  # redirects the balancers that are attached here
         if self._ticker is not None:
             self._ticker.cancel()
         self._publisher.stop()
-        self._calls.stop()
+        self._http_server.stop()
         self._links.stop()
 
-    async def _until(self, is_so: Callable[[], bool], most_s: float) -> None:
-        """Wait until something is so, at most so long."""
-        until = self._loop.time() + most_s
-        while self._loop.time() < until and not is_so():
+    async def _wait_until(self, condition: Callable[[], bool], timeout_s: float) -> None:
+        """Wait until `condition` holds, at most `timeout_s`."""
+        deadline = self._loop.time() + timeout_s
+        while self._loop.time() < deadline and not condition():
             await asyncio.sleep(TICK_S)
 
-    def _is_followed(self, replica: Replica) -> bool:
+    def _has_successor(self, replica: Replica) -> bool:
         leader = replica.leader()
         return leader is not None and leader.identity != replica.me.identity and replica.is_led(self.now())
 
     def reconfigure(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Apply a changed settings file."""
         self.settings = settings
         self._publisher.reconfigure(settings)
         if self._replica is not None:
             self._replica.follow_seeds(settings.seed_ips)
 
-    # ---- what operators' calls need
+    # ---- interface for the operators' API
 
     def is_leader(self) -> bool:
-        """Whether we are the primary."""
+        """Return whether this process is the primary."""
         return self._replica is not None and self._replica.primary is not None
 
     def leader(self) -> Member | None:
-        """Another that is the primary, as far as we know, and was heard of a moment ago."""
+        """Return the primary if it is another process and was heard from recently."""
         replica = self._replica
         if replica is None:
             return None
@@ -141,53 +146,53 @@
         return None if leader is None or leader.identity == replica.me.identity else leader
 
     def components(self) -> tuple[Replica | None, Publisher, Keeper]:
-        """What a report of this process is read off."""
+        """Return the parts that a status report reads."""
         return self._replica, self._publisher, self._keeper
 
     def next_token(self) -> int:
-        """A number for a command."""
-        self._tokens += 1
-        return self._tokens
+        """Return a unique number for a command."""
+        self._last_token += 1
+        return self._last_token
 
     async def submit(self, command: Command) -> Reply:
-        """Carry out a command as the primary."""
+        """Execute a command as the primary."""
         assert self._replica is not None
         future: asyncio.Future[Reply] = self._loop.create_future()
-        self._owed[command.token] = future
+        self._pending_commands[command.token] = future
         try:
             self._replica.submit(command, self.now())
-            self._carry_out()
+            self._apply_effects()
             return await future
         finally:
-            self._owed.pop(command.token, None)
+            self._pending_commands.pop(command.token, None)
 
-    async def _prove(self) -> int:
-        """Our epoch once it is sure that nobody had taken our place when we asked, else 0."""
+    async def _confirm_epoch(self) -> int:
+        """Return the current epoch once a quorum confirms that this process still leads; 0 if it does not."""
         replica = self._replica
         if replica is None or replica.primary is None:
             return 0
         epoch = replica.primary.view.epoch
         try:
-            async with asyncio.timeout(PROOF_S):
+            async with asyncio.timeout(CONFIRM_TIMEOUT_S):
                 reply = await self.submit(Get(self.next_token()))
         except TimeoutError:
             return 0
-        still = replica.primary is not None and replica.primary.view.epoch == epoch
-        return epoch if reply.verdict is Verdict.DONE and still else 0
+        is_unchanged = replica.primary is not None and replica.primary.view.epoch == epoch
+        return epoch if reply.verdict is Verdict.DONE and is_unchanged else 0
 
-    def _outrun(self, epoch: int) -> None:
-        """Somebody believes no leader of this epoch or an earlier one."""
+    def _on_newer_epoch(self, epoch: int) -> None:
+        """Lead in a later epoch than this one, as others reject leaders of this or an earlier epoch."""
         if self._replica is not None:
             logger.warning("event=epoch_outrun heard={}", epoch)
             self._replica.outrun(epoch)
 
-    # ---- the machine
+    # ---- the replica
 
     def now(self) -> float:
-        """Milliseconds by the clock that the replica's times are of."""
+        """Milliseconds on the clock that the replica uses."""
         return self._clock.read(self._loop.time() * 1000)
 
-    def _stalled(self, stall_ms: float, now: float) -> None:
+    def _on_stall(self, stall_ms: float, now: float) -> None:
         logger.info("event=stalled ms={:.0f}", stall_ms)
         if self._replica is not None:
             self._replica.stalled(stall_ms, now)
@@ -197,100 +202,102 @@
         assert self._replica is not None
         self._keeper.look()
         self._replica.tick(self.now())
-        self._carry_out()
+        self._apply_effects()
         self.tallies.tick(self._other_members(self._replica))
-        self._publisher.led_by(self.leader())
+        self._publisher.on_other_leader(self.leader())
 
-    def _disk(self, well: bool) -> None:
+    def _on_disk_health(self, is_healthy: bool) -> None:
         if self._replica is not None:
-            self._replica.disk(well)
-            self._carry_out()
+            self._replica.disk(is_healthy)
+            self._apply_effects()
 
-    def _heard(self, link: Link, message: Any) -> None:
+    def _on_message(self, link: Link, message: Any) -> None:
         if self._replica is None:
             return
         if isinstance(message, tallies.Message):
-            self._links.identify(link, self._control_at(link.peer))
-            self.tallies.heard(link.peer, message)
+            self._links.identify(link, self._control_endpoint(link.peer))
+            self.tallies.on_message(link.peer, message)
             return
         if not isinstance(message, messages.Message):
-            self._publisher.heard(link, message)
+            self._publisher.on_message(link, message)
             return
         try:
             revived = revive(message)
             if isinstance(revived, messages.Install) and revived.view is None:
-                raise ValueError("there is no view to install")
+                raise ValueError("an Install message without a view")
         except (ValueError, KeyError, TypeError) as error:
             logger.warning("event=bad_message peer={} error={!r}", link.peer, str(error))
             link.close()
             return
-        self._links.identify(link, self._control_at(link.peer))
+        self._links.identify(link, self._control_endpoint(link.peer))
         self._replica.hear(link.peer, revived, self.now())
-        self._carry_out()
+        self._apply_effects()
 
-    def _control_at(self, ip: str) -> Endpoint:
-        """The control process of a machine, which may have a balancer beside it."""
+    def _control_endpoint(self, ip: str) -> Endpoint:
+        """The endpoint of a machine's control process; a balancer may run on the same machine."""
         return Endpoint(ip, self.settings.control_port)
 
     def _send(self, ip: str, message: Any) -> None:
-        self._links.send(self._control_at(ip), message)
+        self._links.send(self._control_endpoint(ip), message)
 
     def _other_members(self, replica: Replica) -> tuple[str, ...] | None:
-        """The IPs of the other members of the latest view that was heard of; None without one."""
+        """Return the IPs of the other members of the latest known view; None without a view."""
         view = replica.acceptor.latest
         if view is None:
             return None
-        return tuple(m.ip for m in view.members if m is not None and m.ip != replica.me.ip)
+        return tuple(
+            member.ip for member in view.members if member is not None and member.ip != replica.me.ip
+        )
 
-    def _ended(self, link: Link) -> None:
-        self._publisher.ended(link)
+    def _on_closed(self, link: Link) -> None:
+        self._publisher.on_closed(link)
 
-    def _carry_out(self) -> None:
-        """Do what the machine asks for, also what that leads to at once."""
+    def _apply_effects(self) -> None:
+        """Apply the effects that the replica requests, and those that follow from them."""
         replica = self._replica
-        if replica is None or self._running:
+        if replica is None or self._is_applying:
             return
-        self._running = True
+        self._is_applying = True
         try:
-            while (effects := replica.take()) or self._local:
+            while (effects := replica.take()) or self._own_messages:
                 for effect in effects:
-                    self._do_in_turn(replica, effect)
-                while self._local:
-                    replica.hear(replica.me.ip, self._local.popleft(), self.now())
+                    self._apply_or_log(replica, effect)
+                while self._own_messages:
+                    replica.hear(replica.me.ip, self._own_messages.popleft(), self.now())
         finally:
-            self._running = False
+            self._is_applying = False
 
-    def _do_in_turn(self, replica: Replica, effect: Effect) -> None:
-        """Do it; where that fails, for want of memory, what comes after it is done all the same.
+    def _apply_or_log(self, replica: Replica, effect: Effect) -> None:
+        """Apply an effect; a lack of memory is logged and the effects after it are still applied.
 
-        A message may be lost at any time, and a record that can't be kept is told to the keeper.
+        This is safe: any message may be lost, and a record that can't be written is reported to the keeper.
         """
         try:
-            self._do(replica, effect)
+            self._apply(replica, effect)
         except MemoryError:
             logger.error("event=no_memory effect={}", type(effect).__name__)
 
-    def _do(self, replica: Replica, effect: Effect) -> None:
+    def _apply(self, replica: Replica, effect: Effect) -> None:
         match effect:
             case Send(ip, message):
                 if ip == replica.me.ip:
-                    self._local.append(message)
+                    self._own_messages.append(message)
                 else:
                     self._send(ip, message)
             case Persist(record, then):
-                self._keeper.keep(record, lambda: self._synced(then))
+                self._keeper.keep(record, lambda: self._on_synced(then))
             case Reply():
-                future = self._owed.get(effect.token)
+                future = self._pending_commands.get(effect.token)
                 if future is not None and not future.done():
                     future.set_result(effect)
             case Committed(_, document):
                 if document.ver:
-                    self._publisher.committed(document)
-            case Lead(view, goes_on):
-                self._publisher.lead(view, goes_on)
+                    self._publisher.on_committed(document)
+            case Lead(view, is_continued):
+                self._publisher.on_lead(view, is_continued)
 
-    def _synced(self, then: tuple[Send, ...]) -> None:
+    def _on_synced(self, then: tuple[Send, ...]) -> None:
         assert self._replica is not None
         for effect in then:
-            self._do(self._replica, effect)
-        self._carry_out()
+            self._apply(self._replica, effect)
+        self._apply_effects()
--- a/control/operators.py
+++ b/control/operators.py
@@ -1,4 +1,4 @@
-"""The operators' calls: a configuration is put and read back; any process answers or says who can."""
+"""The operators' API for configurations; any control process answers or redirects to the primary."""
 
 from __future__ import annotations
 
@@ -16,105 +16,105 @@
 from transport.calls import Request, Response, Routes, json_response
 
 OPERATOR_ROUTES = Routes()
-DECISION_TIMEOUT_S = 0.75  # callers go elsewhere after a second of silence
+DECISION_TIMEOUT_S = 0.75  # callers try another process after one second without an answer
 POLL_INTERVAL_S = 0.02
 RETRY_AFTER_S = "0.2"
-MOST_DIGITS = 19  # of a version
+MAX_VERSION_DIGITS = 19
 
 
 class Control(Protocol):
-    """What the calls need of the control process."""
+    """What the API needs of the control process."""
 
     reader: ConfigurationReader
 
     def is_leader(self) -> bool:
-        """Whether we are the primary."""
+        """Return whether this process is the primary."""
 
     def leader(self) -> Member | None:
-        """Another that is the primary, as far as we know, and was heard of a moment ago."""
+        """Return the primary if it is another process and was heard from recently."""
 
     async def submit(self, command: Command) -> Outcome:
-        """Carry out a command as the primary."""
+        """Execute a command as the primary."""
 
     def next_token(self) -> int:
-        """A number for a command."""
+        """Return a unique number for a command."""
 
 
-async def _decide(control: Control, command: Command, path: str = "/api/config") -> Outcome | Response:
-    """The outcome of a command, or where to take it; a primary is waited for a little."""
+async def _run_command(control: Control, command: Command, path: str = "/api/config") -> Outcome | Response:
+    """Return the outcome of a command or a redirect, waiting a short time for a primary."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + DECISION_TIMEOUT_S
-    while (left := until - loop.time()) > 0:
+    deadline = loop.time() + DECISION_TIMEOUT_S
+    while (remaining_s := deadline - loop.time()) > 0:
         if control.is_leader():
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     outcome = await control.submit(command)
             except TimeoutError:
-                break  # it may yet be taken: no clear answer
+                break  # the command may still be committed, so its outcome is unknown
             if outcome.verdict is not Verdict.MOVED:
                 return outcome
         elif (leader := control.leader()) is not None:
-            return json_response(307, "another leads", Location=f"http://{leader.ctl}{path}")
+            return json_response(307, "another process is the primary", Location=f"http://{leader.ctl}{path}")
         await asyncio.sleep(POLL_INTERVAL_S)
     return json_response(503, "no primary at the moment; ask again", Retry_After=RETRY_AFTER_S)
 
 
 @OPERATOR_ROUTES.route("PUT", "/api/config")
 async def put_configuration(control: Control, request: Request) -> Response:
-    """Take a whole configuration on top of the version that `If-Match` names."""
+    """Replace the configuration; `If-Match` names the version that it is based on."""
     try:
         checked = control.reader.check(request.body)
-        base = _base(request)
+        base = _base_version(request)
     except InvalidConfigurationError as error:
         return json_response(400, str(error))
     ver = checked.configuration.ver
-    return _told(
-        await _decide(control, Put(control.next_token(), base, ver, checked.digest, request.body)), ver
+    return _change_response(
+        await _run_command(control, Put(control.next_token(), base, ver, checked.digest, request.body)), ver
     )
 
 
 @OPERATOR_ROUTES.route("PATCH", "/api/config")
 async def patch_configuration(control: Control, request: Request) -> Response:
-    """Change named items of the version that `If-Match` names.
+    """Change single items of the configuration version that `If-Match` names.
 
-    The primary alone makes the result, which is kept and told whole. A base that is not in place can't come
-    back, as versions rise; so what has become of the patch is in the history.
+    Only the primary computes the result, which is stored and published as a whole. Versions only rise, so a
+    base that is no longer current never returns; the history tells whether the patch was applied.
     """
     try:
         patch = parse_patch(request.body)
-        base = _base(request)
+        base = _base_version(request)
     except InvalidConfigurationError as error:
         return json_response(400, str(error))
-    found = await _decide(control, Get(control.next_token()))
-    if isinstance(found, Response):
-        return found
-    document = found.document or Document()
+    current = await _run_command(control, Get(control.next_token()))
+    if isinstance(current, Response):
+        return current
+    document = current.document or Document()
     if base != document.ver:
-        past = document.past(patch.ver, patch.digest)
-        return _told(Outcome(found.token, _VERDICTS[past], document), patch.ver)
+        history = document.past(patch.ver, patch.digest)
+        return _change_response(Outcome(current.token, _VERDICTS[history], document), patch.ver)
     try:
         result = apply_patch(document.body, patch, control.reader)
     except InvalidConfigurationError as error:
         return json_response(400, str(error))
     put = Put(control.next_token(), base, patch.ver, patch.digest, result.body)
-    return _told(await _decide(control, put), patch.ver)
+    return _change_response(await _run_command(control, put), patch.ver)
 
 
 _VERDICTS = {Past.TAKEN: Verdict.DONE, Past.NEVER: Verdict.STALE, Past.FORGOTTEN: Verdict.UNSURE}
 
 
-def _base(request: Request) -> int:
-    """The version that a change builds on; raises InvalidConfigurationError."""
+def _base_version(request: Request) -> int:
+    """Return the version that a change is based on; raises InvalidConfigurationError."""
     base = request.headers.get("if-match", "").strip().strip('"')
-    if not base.isascii() or not base.isdigit() or len(base) > MOST_DIGITS:
+    if not base.isascii() or not base.isdigit() or len(base) > MAX_VERSION_DIGITS:
         raise InvalidConfigurationError(
-            "If-Match holds no version", "name the version that this one builds on, 0 for the first"
+            "If-Match is not a version number", "send the version that the change builds on, 0 for the first"
         )
     return int(base)
 
 
-def _told(outcome: Outcome | Response, ver: int) -> Response:
-    """What an operator is told of a change to version `ver`."""
+def _change_response(outcome: Outcome | Response, ver: int) -> Response:
+    """Return the response to a change that makes version `ver`."""
     if isinstance(outcome, Response):
         return outcome
     current = outcome.document.ver if outcome.document is not None else 0
@@ -128,29 +128,29 @@
         case _:
             remedy = f"read the configuration and build on version {current}"
             return json_response(
-                503, f"version {ver} is older than the history, it may have been taken; {remedy}"
+                503, f"version {ver} is older than the history, so its outcome is unknown; {remedy}"
             )
 
 
 @OPERATOR_ROUTES.route("GET", "/api/config")
 async def get_configuration(control: Control, request: Request) -> Response:
-    """The newest configuration as it was sent."""
-    outcome = await _decide(control, Get(control.next_token()))
+    """Return the current configuration as it was sent."""
+    outcome = await _run_command(control, Get(control.next_token()))
     if isinstance(outcome, Response):
         return outcome
     document = outcome.document
     if document is None or not document.ver:
-        return json_response(404, "no configuration has been taken yet; put one")
+        return json_response(404, "no configuration has been accepted yet; send one")
     return Response(200, document.body, {"ETag": str(document.ver)})
 
 
 @OPERATOR_ROUTES.route("GET", "/api/history")
 async def get_history(control: Control, request: Request) -> Response:
-    """The versions that were ever taken, the oldest first, with the digest of each; bodies are not kept."""
-    outcome = await _decide(control, Get(control.next_token()), "/api/history")
+    """Return all accepted versions, oldest first, with their digests; their bodies are not stored."""
+    outcome = await _run_command(control, Get(control.next_token()), "/api/history")
     if isinstance(outcome, Response):
         return outcome
     document = outcome.document
     taken = document.taken if document is not None else ()
-    found = [{"ver": t.ver, "digest": t.digest} for t in taken]
-    return Response(200, json.dumps({"taken": found}).encode())
+    current = [{"ver": version.ver, "digest": version.digest} for version in taken]
+    return Response(200, json.dumps({"taken": current}).encode())
--- a/control/orders.py
+++ b/control/orders.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams: one holder, whose fencing token rises with every term."""
+"""Sends orders to upstreams, with a fencing token that rises with every term."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from config.settings import parse_address
 from passpost.http1 import AnswerReader, BadAnswerError
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The upstream does it, or has it done already."""
+    """The upstream executes the order or has already done so."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The upstream will not: its answer's status."""
+    """The upstream refuses the order with this HTTP status."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class Unclear:
-    """No answer: it may have been taken."""
+    """No answer: the order may have been executed."""
 
     reason: str
 
@@ -35,10 +35,10 @@
 Outcome = Taken | Rejected | Unclear
 
 
-async def is_there(upstream: Upstream) -> bool:
-    """Whether a connection to an upstream comes up."""
+async def is_reachable(upstream: Upstream) -> bool:
+    """Return whether a connection to an upstream can be established."""
     try:
-        async with asyncio.timeout(CALL_S):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             _, writer = await asyncio.open_connection(*parse_address(upstream.addr))
     except (OSError, TimeoutError):
         return False
@@ -47,22 +47,22 @@
 
 
 async def change_phase(upstream: Upstream, phase: str, owner: str, fence: int) -> Outcome:
-    """Order an upstream to play another part."""
+    """Order an upstream to change its phase, and return the outcome."""
     body = json.dumps({"op": "phase", "phase": phase, "owner": owner, "fence": fence}).encode()
     head = (
         f"POST /api/order HTTP/1.1\r\nHost: {upstream.addr}\r\nMastturn-Target-Upstream: {upstream.id}\r\n"
         f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
     try:
-        async with asyncio.timeout(CALL_S):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*parse_address(upstream.addr))
             try:
                 writer.write(head.encode("latin-1") + body)
-                answers = AnswerReader()
+                parser = AnswerReader()
                 while data := await reader.read(4096):
-                    if (answer := answers.feed(data)) is not None:
+                    if (answer := parser.feed(data)) is not None:
                         return Taken() if answer.status in (200, 202) else Rejected(answer.status)
-                return Unclear("the connection ended")
+                return Unclear("the connection was closed without a response")
             finally:
                 writer.close()
     except (OSError, TimeoutError, BadAnswerError) as error:
--- a/control/phases.py
+++ b/control/phases.py
@@ -1,8 +1,9 @@
-"""Which upstreams are to change their part: prompts are read by some and answers made by others.
+"""Decides which upstreams change between prefill (reading prompts) and decode (making answers).
 
-Pure: the list and the loads of all balancers in, the orders that are due out. Times in seconds, steady clock.
-How busy the reading tier is, is told by the share of its upstreams that have prompt tokens outstanding: over
-time that is its utilisation, whatever an upstream's pace. The other tier's is the share of its places in use.
+Pure logic: takes the list and the total loads of all balancers and returns the orders that are due. Times are
+in seconds on a monotonic clock. Use of the prefill tier is the share of its upstreams with outstanding prompt
+tokens: averaged over time that is its utilisation, whatever the speed of an upstream. Use of the decode tier
+is the share of its capacity in use.
 """
 
 from __future__ import annotations
@@ -15,168 +16,202 @@
 from config.configuration import Upstream
 
 PREFILL, DECODE = "prefill", "decode"
-MEMORY_S = 2.0  # measures are smoothed over this
-SETTLED_S = 1.0  # measures count after so long
-PEAK_S = 15.0  # the most places in use are forgotten over this: a lull is no reason to take one away
-READING_HIGH = 0.55  # use of the reading tier beyond which waits grow fast
-READING_LOW = 0.15
-PLACES_HIGH = 0.7  # share of the places of the other tier beyond which it is crowded
-PLACES_FULL = 1.0  # beyond this requests wait there, whatever else
-PLACES_AFTER = 0.45  # share of them in use with one upstream less, at the most, at the peak
-PAUSE_S = 4.0  # between two orders for one service: the one before has to show in the measures
-STEP = 0.1  # share of a service's upstreams that move at once: one of few
-SHUNNED_S = 1.0  # one without work for so long, while each other of its part has much, is out of reach
-SHUNNED_CALLS, SHUNNED_TOKENS = 6, 4_000  # so much: twice what the choice allows above the least
-LEAST_RUNNERS = 0.4  # share of the upstreams that make answers, in any case: one or two may be lost
+SMOOTHING_S = 2.0  # time constant of the averages
+WARMUP_S = 1.0  # averages are used after this
+PEAK_DECAY_S = 15.0  # time constant of the peak; a lull is no reason to take an upstream away
+PREFILL_HIGH = 0.55  # prefill utilisation above which queueing times grow fast
+PREFILL_LOW = 0.15
+DECODE_HIGH = 0.7  # share of decode capacity in use above which the tier is crowded
+DECODE_FULL = 1.0  # share above which requests queue there, whatever the prefill use
+DECODE_AFTER_MOVE = 0.45  # highest share of decode capacity in use, at the peak, after one upstream has left
+ORDER_INTERVAL_S = 4.0  # per service, so that the effect of an order shows in the averages
+MOVE_SHARE = 0.1  # share of a service's upstreams that move at once; at least one
+# An upstream that is idle for this long, while all others of its phase are busy, is unreachable.
+AVOIDED_AFTER_S = 1.0
+# Busy is twice the excess over the minimum that the load balancing allows.
+AVOIDED_CALLS, AVOIDED_TOKENS = 6, 4_000
+MIN_DECODE_SHARE = 0.4  # share of upstreams that stay in decode in any case, as one or two may be lost
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An upstream is to play another part."""
+    """An order to an upstream to change its phase."""
 
     upstream: Upstream
     phase: str
 
 
 @dataclass(slots=True)
-class _Measure:
-    """What is known of one service's tiers, smoothed."""
+class _ServiceLoad:
+    """The averaged load of one service's tiers."""
 
     since: float
-    at: float
-    reading: float = 0.0  # upstreams' worth of reading
-    places: float = 0.0  # places in use where answers are made
-    peak: float = 0.0  # the most of them, slowly forgotten
-    ordered: float = -math.inf
-    idle: dict[str, float] = field(default_factory=dict)  # without work, and since when others have had much
+    updated_at: float
+    busy_prefill: float = 0.0  # number of upstreams busy with prefill
+    calls: float = 0.0  # calls at decode upstreams
+    peak: float = 0.0  # decayed maximum of `calls`
+    ordered_at: float = -math.inf
+    # By id: since when it is idle while the others are busy.
+    idle: dict[str, float] = field(default_factory=dict)
 
-    def reading_lately(self) -> float:
-        """Upstreams' worth of reading, without what smoothing takes off while a settled measure is young."""
-        return self.reading / (1 - math.exp(-(self.at - self.since) / MEMORY_S))
+    def recent_busy_prefill(self) -> float:
+        """Busy prefill upstreams, corrected for the bias of a young average towards zero."""
+        return self.busy_prefill / (1 - math.exp(-(self.updated_at - self.since) / SMOOTHING_S))
 
-    def shunned(self, now: float) -> set[str]:
-        """Those that balancers keep away from: they hear nothing from them, and the list shows them still."""
-        return {name for name, since in self.idle.items() if now - since >= SHUNNED_S}
+    def avoided(self, now: float) -> set[str]:
+        """Upstreams that balancers avoid because they get no answer, although the list still shows them."""
+        return {name for name, since in self.idle.items() if now - since >= AVOIDED_AFTER_S}
 
 
 class PhasePlan:
-    """Watches the tiers of all services and says when an upstream should move."""
+    """Tracks the load of all services and decides when an upstream should move."""
 
     def __init__(self) -> None:
-        self._measures: dict[str, _Measure] = {}
+        self._service_loads: dict[str, _ServiceLoad] = {}
 
     def reset(self) -> None:
-        """Another has led meanwhile: what was measured is old."""
-        self._measures.clear()
+        """Drop all averages, which are outdated after another process has led."""
+        self._service_loads.clear()
 
-    def ask_another(self, service: str) -> None:
-        """An order for this service had no answer: the next one need not wait."""
-        measure = self._measures.get(service)
-        if measure is not None:
-            measure.ordered = -math.inf
+    def allow_next_order(self, service: str) -> None:
+        """Allow the next order for a service at once, because the last one had no answer."""
+        service_load = self._service_loads.get(service)
+        if service_load is not None:
+            service_load.ordered_at = -math.inf
 
-    def look(
+    def due_orders(
         self,
         entries: Sequence[Upstream],
         loads: Mapping[str, tuple[int, int]],
         now: float,
         may_order: bool = True,
     ) -> list[Order]:
-        """The orders that are due, of one service; `loads`: calls and prompt tokens by upstream.
+        """Return the orders that are due, all for one service; `loads`: calls and prompt tokens by upstream.
 
-        While they can't be given, `may_order` is False: all is measured, and nothing counts as ordered.
+        `may_order`: False while orders can't be sent. Loads are still averaged then, and no order is
+        recorded.
         """
         services: dict[str, list[Upstream]] = {}
         for entry in entries:
             if entry.state == "up" and entry.phase in (PREFILL, DECODE):
                 services.setdefault(entry.svc, []).append(entry)
-        found: list[Order] = []
-        for service, ups in services.items():
-            measure = self._measure(service, ups, loads, now)
-            settled = now - measure.since >= SETTLED_S and now - measure.ordered >= PAUSE_S
-            if may_order and not found and settled:
-                shunned = measure.shunned(now)
-                least = max(math.ceil(LEAST_RUNNERS * len(ups)), 1)
-                short = sum(u.phase == DECODE for u in ups) < least
-                found = _due(measure, [u for u in ups if u.id not in shunned], loads, least, short)
-                if found:
-                    measure.ordered = now
-        return found
-
-    def _measure(
-        self, service: str, ups: list[Upstream], loads: Mapping[str, tuple[int, int]], now: float
-    ) -> _Measure:
-        measure = self._measures.get(service)
-        if measure is None:
-            measure = self._measures[service] = _Measure(now, now)
-        reading = places = 0.0
-        for up in ups:
-            calls, tokens = loads.get(up.id, (0, 0))
-            if up.phase == PREFILL:
-                reading += tokens > 0
+        orders: list[Order] = []
+        for service, upstreams in services.items():
+            service_load = self._update_load(service, upstreams, loads, now)
+            is_due = (
+                now - service_load.since >= WARMUP_S and now - service_load.ordered_at >= ORDER_INTERVAL_S
+            )
+            if may_order and not orders and is_due:
+                avoided = service_load.avoided(now)
+                min_decoders = max(math.ceil(MIN_DECODE_SHARE * len(upstreams)), 1)
+                is_short = sum(candidate.phase == DECODE for candidate in upstreams) < min_decoders
+                orders = _due(
+                    service_load,
+                    [candidate for candidate in upstreams if candidate.id not in avoided],
+                    loads,
+                    min_decoders,
+                    is_short,
+                )
+                if orders:
+                    service_load.ordered_at = now
+        return orders
+
+    def _update_load(
+        self, service: str, upstreams: list[Upstream], loads: Mapping[str, tuple[int, int]], now: float
+    ) -> _ServiceLoad:
+        service_load = self._service_loads.get(service)
+        if service_load is None:
+            service_load = self._service_loads[service] = _ServiceLoad(now, now)
+        busy_prefill = in_flight = 0.0
+        for upstream in upstreams:
+            calls, tokens = loads.get(upstream.id, (0, 0))
+            if upstream.phase == PREFILL:
+                busy_prefill += tokens > 0
             else:
-                reading += 0.5 * (tokens > 0)  # it reads at half the pace
-                places += calls
-        keep = math.exp(-max(now - measure.at, 0.0) / MEMORY_S)
-        measure.reading = measure.reading * keep + reading * (1 - keep)
-        measure.places = measure.places * keep + places * (1 - keep)
-        measure.peak = max(measure.places, measure.peak * math.exp(-max(now - measure.at, 0.0) / PEAK_S))
-        measure.at = now
-        idle = _idle(ups, loads)
-        measure.idle = {name: measure.idle.get(name, now) for name in idle}
-        return measure
-
-
-def _idle(ups: list[Upstream], loads: Mapping[str, tuple[int, int]]) -> list[str]:
-    """Those without work while each other one of their part has much: the choice would have taken them."""
-    found: list[str] = []
-    for phase, part, much in ((PREFILL, 1, SHUNNED_TOKENS), (DECODE, 0, SHUNNED_CALLS)):
-        work = {u.id: loads.get(u.id, (0, 0))[part] for u in ups if u.phase == phase}
-        if min((held for held in work.values() if held), default=0) >= much:
-            found += [name for name, held in work.items() if not held]
-    return found
+                busy_prefill += 0.5 * (tokens > 0)  # a decode upstream reads prompts at half the speed
+                in_flight += calls
+        decay = math.exp(-max(now - service_load.updated_at, 0.0) / SMOOTHING_S)
+        service_load.busy_prefill = service_load.busy_prefill * decay + busy_prefill * (1 - decay)
+        service_load.calls = service_load.calls * decay + in_flight * (1 - decay)
+        service_load.peak = max(
+            service_load.calls,
+            service_load.peak * math.exp(-max(now - service_load.updated_at, 0.0) / PEAK_DECAY_S),
+        )
+        service_load.updated_at = now
+        idle = _idle(upstreams, loads)
+        service_load.idle = {name: service_load.idle.get(name, now) for name in idle}
+        return service_load
+
+
+def _idle(upstreams: list[Upstream], loads: Mapping[str, tuple[int, int]]) -> list[str]:
+    """Return upstreams without work while all others of their phase are busy."""
+    names: list[str] = []
+    for phase, part, threshold in ((PREFILL, 1, AVOIDED_TOKENS), (DECODE, 0, AVOIDED_CALLS)):
+        work = {
+            candidate.id: loads.get(candidate.id, (0, 0))[part]
+            for candidate in upstreams
+            if candidate.phase == phase
+        }
+        if min((amount for amount in work.values() if amount), default=0) >= threshold:
+            names += [name for name, amount in work.items() if not amount]
+    return names
 
 
 def _due(
-    measure: _Measure, ups: list[Upstream], loads: Mapping[str, tuple[int, int]], least: int, short: bool
+    service_load: _ServiceLoad,
+    upstreams: list[Upstream],
+    loads: Mapping[str, tuple[int, int]],
+    min_decoders: int,
+    is_short: bool,
 ) -> list[Order]:
-    """The orders for one service's upstreams; `least`: how many make answers in any case.
+    """Return the orders for one service; `min_decoders`: upstreams that stay in decode in any case.
 
-    `short`: losses have left fewer of them on the list.
+    `is_short`: losses have left fewer decode upstreams than that.
     """
-    readers = _leaving(ups, PREFILL, loads)
-    runners = _leaving(ups, DECODE, loads)
-    step = max(int(STEP * len(ups)), 1)
-    if not runners:  # they are gone for good, and no load will ever show that some are needed
-        return [Order(u, DECODE) for u in readers[: max(min(least, len(readers) - 1), 1)]]
-    places = sum(u.capacity for u in runners)
-    reading = measure.reading / max(len(readers), 1)  # without readers the others read by themselves
-    used = measure.places / max(places, 1.0)
-    if reading > READING_HIGH and used <= PLACES_FULL:
-        leaving = runners[: max(min(step, len(runners) - least), 0)]
-        while leaving and measure.peak > PLACES_AFTER * (places - sum(u.capacity for u in leaving)):
+    prefillers = _move_order(upstreams, PREFILL, loads)
+    decoders = _move_order(upstreams, DECODE, loads)
+    batch = max(int(MOVE_SHARE * len(upstreams)), 1)
+    if not decoders:  # all are lost, and no load will ever show that some are needed
+        return [
+            Order(candidate, DECODE)
+            for candidate in prefillers[: max(min(min_decoders, len(prefillers) - 1), 1)]
+        ]
+    capacity = sum(candidate.capacity for candidate in decoders)
+    # Without prefill upstreams the decode ones read prompts themselves.
+    prefill_use = service_load.busy_prefill / max(len(prefillers), 1)
+    decode_use = service_load.calls / max(capacity, 1.0)
+    if prefill_use > PREFILL_HIGH and decode_use <= DECODE_FULL:
+        leaving = decoders[: max(min(batch, len(decoders) - min_decoders), 0)]
+        while leaving and service_load.peak > DECODE_AFTER_MOVE * (
+            capacity - sum(candidate.capacity for candidate in leaving)
+        ):
             leaving.pop()
-        return [Order(u, PREFILL) for u in leaving]
-    crowded = used > PLACES_FULL or (used > PLACES_HIGH and reading < READING_HIGH)
-    idle = reading < READING_LOW and used > PLACES_AFTER
-    spare = measure.reading_lately() <= READING_HIGH * (len(readers) - step)
-    if (crowded or idle or (short and spare)) and len(readers) > 1:
-        return [Order(u, DECODE) for u in readers[: min(step, len(readers) - 1)]]
+        return [Order(candidate, PREFILL) for candidate in leaving]
+    is_crowded = decode_use > DECODE_FULL or (decode_use > DECODE_HIGH and prefill_use < PREFILL_HIGH)
+    is_idle = prefill_use < PREFILL_LOW and decode_use > DECODE_AFTER_MOVE
+    has_spare = service_load.recent_busy_prefill() <= PREFILL_HIGH * (len(prefillers) - batch)
+    if (is_crowded or is_idle or (is_short and has_spare)) and len(prefillers) > 1:
+        return [Order(candidate, DECODE) for candidate in prefillers[: min(batch, len(prefillers) - 1)]]
     return []
 
 
-def _leaving(ups: list[Upstream], phase: str, loads: Mapping[str, tuple[int, int]]) -> list[Upstream]:
-    """Those that play a part, in the order in which they leave it: one of a zone that has more of them first.
+def _move_order(
+    upstreams: list[Upstream], phase: str, loads: Mapping[str, tuple[int, int]]
+) -> list[Upstream]:
+    """Return the upstreams of a phase in the order in which they leave it: zones with more of them first.
 
-    Memory that crosses zones takes longer and costs more: a zone keeps both parts as long as it can.
+    KV cache transfers between zones take longer and cost more, so a zone keeps both phases as long as it can.
     """
-    left = sorted((u for u in ups if u.phase == phase), key=lambda u: (loads.get(u.id, (0, 0))[0], u.id))
-    zones = Counter(u.zone for u in left)
-    order: list[Upstream] = []
-    while left:
-        most = max(zones[u.zone] for u in left)
-        leaving = next(u for u in left if zones[u.zone] == most)
-        left.remove(leaving)
+    remaining = sorted(
+        (candidate for candidate in upstreams if candidate.phase == phase),
+        key=lambda candidate: (loads.get(candidate.id, (0, 0))[0], candidate.id),
+    )
+    zones = Counter(candidate.zone for candidate in remaining)
+    ordered: list[Upstream] = []
+    while remaining:
+        max_in_zone = max(zones[candidate.zone] for candidate in remaining)
+        leaving = next(candidate for candidate in remaining if zones[candidate.zone] == max_in_zone)
+        remaining.remove(leaving)
         zones[leaving.zone] -= 1
-        order.append(leaving)
-    return order
+        ordered.append(leaving)
+    return ordered
--- a/control/platform.py
+++ b/control/platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of upstreams: asked by one of us, page by page, as often as its rate allows for."""
+"""Reads the list of upstreams from the platform's API, page by page, within its rate limit."""
 
 from __future__ import annotations
 
@@ -13,116 +13,124 @@
 from dissemination.lists import encode_list
 from passpost.discovery import Line
 
-CALL_S = 1.0  # for one page
-MOST_PAGES = 256
-RATE_SHARE = 0.8  # of the platform's rate that the one caller uses; the rest is for others and its clock
-RATE_S = 1.0  # the rate is kept within any such time
-SPARE_PAGES = 8
-TRIES = 3  # of a page after the first: what was read before it stays
+CALL_TIMEOUT_S = 1.0  # for one page
+MAX_PAGES = 256
+# Of the platform's rate limit; the rest is left for other callers and differences between clocks.
+RATE_SHARE = 0.8
+RATE_WINDOW_S = 1.0  # the rate is kept within any window of this length
+SPARE_CACHED_PAGES = 8
+PAGE_ATTEMPTS = 3  # of a page after the first, so that pages already read are not lost
 
 
 class PlatformError(Exception):
-    """No good list, in a few words."""
+    """The list can't be read; the message says why."""
 
 
 class PlatformList:
-    """Asks the platform for its whole list."""
+    """Client for the platform's list of upstreams."""
 
     def __init__(self, address: Address, calls_s: float = 50.0) -> None:
-        """`calls_s`: so often a second a page may be asked for."""
+        """`calls_s`: pages that may be requested per second."""
         self._address = address
-        self._line = Line(address)
-        self.pages = 1  # that the last whole list took: each is a call
-        self.calls = 0  # in all
-        self._calls: deque[float] = deque()
-        self._missing: set[str] = set()  # that were on the list before last and not on the last one
+        self._connection = Line(address)
+        self.pages = 1  # of the last complete list; each is a call
+        self.calls = 0  # total
+        self._call_times: deque[float] = deque()
+        self._missing: set[str] = set()  # ids that were on the list before last and not on the last one
         self._last: list[dict[str, Any]] = []
-        self._pages: dict[str, tuple[bytes, dict[str, Any]]] = {}  # by call: its last answer, as read
+        # By call: its last body, and that parsed.
+        self._page_cache: dict[str, tuple[bytes, dict[str, Any]]] = {}
         self.set_rate(calls_s)
 
     def set_rate(self, calls_s: float) -> None:
-        """So many calls a second from now on."""
-        self._most = max(int(calls_s * RATE_S), 1)
+        """Set the number of calls per second."""
+        self._max_calls = max(int(calls_s * RATE_WINDOW_S), 1)
 
     def set_address(self, address: Address) -> None:
-        """The settings name another address."""
+        """Set the address of the platform."""
         if address != self._address:
-            self._line.hang_up()
-            self._address, self._line = address, Line(address)
+            self._connection.hang_up()
+            self._address, self._connection = address, Line(address)
 
     async def read(self) -> list[dict[str, Any]]:
-        """All entries as the platform tells them; raises PlatformError."""
+        """Return all entries of the list; raises PlatformError."""
         entries: list[dict[str, Any]] = []
         target = "/upstreams"
-        for number in range(1, MOST_PAGES + 1):
-            page = await self._surely(target, TRIES if number > 1 else 1)
-            entries += [e for e in page.get("upstreams") or [] if isinstance(e, dict)]
+        for number in range(1, MAX_PAGES + 1):
+            page = await self._page_with_retries(target, PAGE_ATTEMPTS if number > 1 else 1)
+            entries += [entry for entry in page.get("upstreams") or [] if isinstance(entry, dict)]
             cursor = page.get("next_cursor")
             if cursor is None:
                 self.pages = number
-                if len(self._pages) > 2 * number + SPARE_PAGES:
-                    self._pages.clear()  # of calls that are asked no more
-                return self._whole(entries)
+                if len(self._page_cache) > 2 * number + SPARE_CACHED_PAGES:
+                    self._page_cache.clear()  # drops pages that are no longer requested
+                return self._merge(entries)
             target = f"/upstreams?page_token={quote(str(cursor), safe='')}"
-        raise PlatformError("the list has no end")
+        raise PlatformError("the list has too many pages")
 
-    def _whole(self, entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """A list of many pages changes while it is read: what is missing once may be on another page."""
+    def _merge(self, entries: list[dict[str, Any]]) -> list[dict[str, Any]]:
+        """Return a list of several pages with entries that are missing for the first time.
+
+        The list may change while its pages are read: an entry that is missing once may have moved to another
+        page.
+        """
         if self.pages > 1:
-            entries = list({str(e.get("id")): e for e in entries}.values())
-            here = {str(e.get("id")) for e in entries}
-            missing = {str(e.get("id")): e for e in self._last if str(e.get("id")) not in here}
-            entries += [e for name, e in missing.items() if name not in self._missing]
+            entries = list({str(entry.get("id")): entry for entry in entries}.values())
+            listed = {str(entry.get("id")) for entry in entries}
+            missing = {
+                str(entry.get("id")): entry for entry in self._last if str(entry.get("id")) not in listed
+            }
+            entries += [entry for name, entry in missing.items() if name not in self._missing]
             self._missing = set(missing)
         self._last = entries
         return entries
 
-    async def _surely(self, target: str, tries: int) -> dict[str, Any]:
-        """A page, asked for again if need be, within the rate."""
-        for left in range(tries - 1, -1, -1):
-            await self._turn()
+    async def _page_with_retries(self, target: str, attempts: int) -> dict[str, Any]:
+        """Return a page, retrying within the rate limit; raises PlatformError."""
+        for attempts_left in range(attempts - 1, -1, -1):
+            await self._wait_for_rate()
             try:
                 return await self._page(target)
             except PlatformError:
-                if not left:
+                if not attempts_left:
                     raise
-                await asyncio.sleep(RATE_S / self._most)
-        raise PlatformError("not asked")
+                await asyncio.sleep(RATE_WINDOW_S / self._max_calls)
+        raise PlatformError("no attempt was made")
 
-    async def _turn(self) -> None:
-        """Wait until a call is within the rate."""
+    async def _wait_for_rate(self) -> None:
+        """Wait until the rate limit allows another call."""
         loop = asyncio.get_running_loop()
-        while len(self._calls) >= self._most:
-            wait = self._calls[0] + RATE_S - loop.time()
+        while len(self._call_times) >= self._max_calls:
+            wait = self._call_times[0] + RATE_WINDOW_S - loop.time()
             if wait <= 0:
-                self._calls.popleft()
+                self._call_times.popleft()
             else:
                 await asyncio.sleep(max(wait, 0.001))
-        self._calls.append(loop.time())
+        self._call_times.append(loop.time())
 
     async def _page(self, target: str) -> dict[str, Any]:
         self.calls += 1
         try:
-            async with asyncio.timeout(CALL_S):
-                answer = await self._line.get(target)
-        except Exception as error:  # whatever it is, this page is not to be had
-            self._line.hang_up()
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                answer = await self._connection.get(target)
+        except Exception as error:  # any failure means that this page can't be read
+            self._connection.hang_up()
             raise PlatformError(f"{type(error).__name__}: {error}") from None
         if answer.status != 200:
             raise PlatformError(f"status {answer.status}")
-        known = self._pages.get(target)
-        if known is not None and known[0] == answer.body:
-            return known[1]
+        cached = self._page_cache.get(target)
+        if cached is not None and cached[0] == answer.body:
+            return cached[1]
         try:
             page = json.loads(answer.body)
         except (ValueError, RecursionError):
-            raise PlatformError("no JSON") from None
+            raise PlatformError("no JSON in the response") from None
         if not isinstance(page, dict) or not isinstance(page.get("upstreams"), list):
-            raise PlatformError("no list")
-        self._pages[target] = answer.body, page
+            raise PlatformError("no list of upstreams in the response")
+        self._page_cache[target] = answer.body, page
         return page
 
 
 def pack(entries: list[dict[str, Any]]) -> bytes:
-    """The list as it goes to the balancers, alike for alike entries."""
-    return encode_list([{k: v for k, v in e.items() if v or k != cold_times.FIELD} for e in entries])
+    """Encode the list for balancers; equal entries give equal bytes."""
+    return encode_list([{k: v for k, v in entry.items() if v or k != cold_times.FIELD} for entry in entries])
--- a/control/reports.py
+++ b/control/reports.py
@@ -1,11 +1,11 @@
-"""What balancers report, summed: told to all by the leader, and on to the leader by a member that relays."""
+"""Sums the reports of balancers: the leader publishes the sums, a relaying member forwards them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import NamedTuple
 
-from control.news_relay import NewsRelay
+from control.news_relay import UpdateRelay
 from dissemination.bulletin import LatestUpdates
 from dissemination.doubts import FailureSum
 from dissemination.feed import Feed
@@ -30,72 +30,72 @@
 
 
 class Stamp(NamedTuple):
-    """What makes a piece of news newer than another."""
+    """Orders updates: a greater stamp is newer."""
 
     epoch: int
     number: int
 
 
 class Reports:
-    """The sums of loads and doubts, and what upstreams have read, over all balancers below this process."""
+    """Total loads, failures and holdings over all balancers attached below this process."""
 
     def __init__(
         self,
         latest: LatestUpdates,
         feed: Feed,
         holdings: Holdings,
-        relay: NewsRelay,
+        relay: UpdateRelay,
         stamp: Callable[[], Stamp | None],
     ) -> None:
-        """`stamp`: that of the next piece of news; None while this process does not lead."""
+        """`stamp`: returns the stamp for the next update; None while this process doesn't lead."""
         self._latest, self._feed, self._holdings, self._relay = latest, feed, holdings, relay
         self._stamp = stamp
-        self._loads = LoadSum(dict, self._loaded, self._stepped, self._wants_whole_loads)
-        self._load_number = 0  # of the last step that was told
-        self._doubts = FailureSum(dict, self._doubted)
+        self._loads = LoadSum(dict, self._on_loads, self._on_load_step, self._wants_whole_loads)
+        self._load_number = 0  # of the last load step that was published
+        self._failures = FailureSum(dict, self._on_failures)
 
-    def heard(self, link: Link, report: Report) -> None:
-        """A balancer's report, or that of a member that relays."""
+    def on_report(self, link: Link, report: Report) -> None:
+        """Handle a report of a balancer or of a relaying member."""
         match report:
             case LoadReport():
                 self._loads.report(link, report)
             case LoadReportStep():
                 if not self._loads.report_step(link, report):
-                    link.close()  # it comes back, and tells all
+                    link.close()  # it attaches again and reports everything
             case DoubtReport():
-                self._doubts.report(link, report)
+                self._failures.report(link, report)
             case HoldingReport(holdings):
                 if new := self._holdings.add(holdings):
                     self._feed.broadcast(HoldingNews(new))
-                    self._relay.report(HoldingReport(new))
+                    self._relay.forward_report(HoldingReport(new))
 
     def remove_child(self, link: Link) -> None:
-        """Whoever spoke by this connection reports to us no longer."""
+        """Remove the reports that came over this connection."""
         self._loads.remove_child(link)
-        self._doubts.remove_child(link)
+        self._failures.remove_child(link)
 
     def resend(self) -> None:
-        """Somebody else is told from now on: what was reported before was told to nobody there."""
-        self._doubts.resend()
+        """Send all sums again, to a receiver that has none of them."""
+        self._failures.resend()
         self._loads.resend()
 
     def loads(self) -> Loads:
-        """Calls and tokens of all by upstream."""
+        """Return the total calls and tokens by upstream."""
         return self._loads.total()
 
     def _wants_whole_loads(self) -> bool:
         return self._relay.is_running() or self._feed.has_earlier_editions()
 
-    def _loaded(self, loads: tuple[UpstreamLoad, ...]) -> None:
-        """The sum of all loads has changed: all of it, for those of an earlier edition."""
+    def _on_loads(self, loads: tuple[UpstreamLoad, ...]) -> None:
+        """Send the complete load sums, to receivers of an earlier edition or to the leader."""
         stamp = self._stamp()
         if stamp is None:
-            self._relay.report(LoadReport(loads))
+            self._relay.forward_report(LoadReport(loads))
         else:
             self._feed.broadcast_full_loads(LoadNews(*stamp, loads))
 
-    def _stepped(self, figures: Figures, whole: bool) -> None:
-        """What has changed in it, for the others."""
+    def _on_load_step(self, figures: Figures, whole: bool) -> None:
+        """Publish the changed load sums."""
         stamp = self._stamp()
         if stamp is None:
             return
@@ -104,12 +104,12 @@
         if self._latest.apply_step(step) is not None:
             self._feed.broadcast(step)
 
-    def _doubted(self, doubts: tuple[UpstreamFailures, ...]) -> None:
-        """What all together hold against upstreams has changed."""
+    def _on_failures(self, failures: tuple[UpstreamFailures, ...]) -> None:
+        """Publish or forward the changed failure sums."""
         stamp = self._stamp()
         if stamp is None:
-            self._relay.report(DoubtReport(doubts))
+            self._relay.forward_report(DoubtReport(failures))
             return
-        news = DoubtNews(*stamp, doubts)
-        if self._latest.store(news):
-            self._feed.broadcast(news)
+        update = DoubtNews(*stamp, failures)
+        if self._latest.store(update):
+            self._feed.broadcast(update)
--- a/control/tally_keeper.py
+++ b/control/tally_keeper.py
@@ -1,4 +1,4 @@
-"""Hosts the replica of tallies of one control process: its disk, its links to the others, its callers."""
+"""Runs the tally replica of one control process, with its journal, messages and pending requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TallyKeeper:
-    """Owns one `TallyReplica`; all on the event loop."""
+    """Runs one `TallyReplica` on the event loop."""
 
     def __init__(
         self,
@@ -23,78 +23,81 @@
         now: Callable[[], float],
         send: Callable[[str, Message], None],
     ) -> None:
-        """`copies`, `ready_ms`: see `TallyReplica`. `now`: milliseconds. `send`: to the process at an IP."""
+        """`copies`, `ready_ms`: see `TallyReplica`.
+
+        `now`: in milliseconds. `send`: to the process at an IP.
+        """
         self._now, self._send = now, send
         self.replica = TallyReplica(copies, ready_ms, now())
-        self._journal = Journal(folder, self.replica.adds.state, self._synced)
-        self._tokens = 0
-        self._callers: dict[int, asyncio.Future[None]] = {}
-        self._is_loaded, self._is_running = False, False
+        self._journal = Journal(folder, self.replica.adds.state, self._on_synced)
+        self._last_token = 0
+        self._pending: dict[int, asyncio.Future[None]] = {}
+        self._is_loaded, self._is_applying = False, False
 
     async def load(self) -> None:
-        """Read what the disk has; until then nothing is heard or answered."""
+        """Load the journal; messages are ignored and requests refused until then."""
         self.replica.load(await self._journal.load())
         self._is_loaded = True
 
     def tick(self, others: tuple[str, ...] | None) -> None:
-        """Called again and again; `others`: the IPs of the other members, None while no view is known."""
+        """Advance the replica; `others`: the IPs of the other members, None while no view is known."""
         if not self._is_loaded:
             return
         if others is not None:
             self.replica.follow(others)
         self.replica.tick(_wall_ms(), self._now())
-        self._carry_out()
+        self._apply_effects()
 
-    def heard(self, ip: str, message: Message) -> None:
-        """A message of another control process."""
+    def on_message(self, ip: str, message: Message) -> None:
+        """Handle a message of another control process."""
         if self._is_loaded:
             self.replica.heard(ip, message, self._now())
-            self._carry_out()
+            self._apply_effects()
 
-    # ---- callers
+    # ---- requests
 
     def is_ready(self) -> bool:
-        """Whether calls may be answered from what is here."""
+        """Return whether requests may be answered from the local state."""
         return self._is_loaded and self.replica.is_ready(self._now())
 
     def accepts_adds(self) -> bool:
-        """Whether the disk can be counted on for one more."""
+        """Return whether the disk is healthy enough to take another add."""
         return self._journal.is_well()
 
     def total(self, tally: str) -> int:
-        """The sum of a tally as far as it is known here."""
+        """Return the sum of a tally as known here."""
         return self.replica.adds.total(tally)
 
     async def add(self, tally: str, id_: str, amount: int) -> None:
-        """Take an add; returns once it may be acknowledged."""
-        self._tokens += 1
-        token = self._tokens
-        done = self._callers[token] = asyncio.get_running_loop().create_future()
+        """Add to a tally; returns once the add may be acknowledged."""
+        self._last_token += 1
+        token = self._last_token
+        done = self._pending[token] = asyncio.get_running_loop().create_future()
         try:
             self.replica.add(token, tally, id_, amount, _wall_ms(), self._now())
-            self._carry_out()
+            self._apply_effects()
             await done
         finally:
-            del self._callers[token]
+            del self._pending[token]
 
     # ---- effects
 
-    def _synced(self, record: int) -> None:
+    def _on_synced(self, record: int) -> None:
         self.replica.synced(record, self._now())
-        self._carry_out()
+        self._apply_effects()
 
-    def _carry_out(self) -> None:
-        if self._is_running:
+    def _apply_effects(self) -> None:
+        if self._is_applying:
             return
-        self._is_running = True
+        self._is_applying = True
         try:
             while effects := self.replica.take():
                 for effect in effects:
-                    self._do(effect)
+                    self._apply(effect)
         finally:
-            self._is_running = False
+            self._is_applying = False
 
-    def _do(self, effect: Effect) -> None:
+    def _apply(self, effect: Effect) -> None:
         match effect:
             case Tell(ip, message):
                 self._send(ip, message)
@@ -103,7 +106,7 @@
             case KeepAll():
                 self._journal.keep_all()
             case Counted(token):
-                done = self._callers.get(token)
+                done = self._pending.get(token)
                 if done is not None and not done.done():
                     done.set_result(None)
 
--- a/control/upstream_reader.py
+++ b/control/upstream_reader.py
@@ -1,4 +1,4 @@
-"""The platform's list as the leader reads it, and as it goes to the balancers."""
+"""Reads the platform's list while this process leads, and encodes it for balancers."""
 
 from __future__ import annotations
 
@@ -12,57 +12,57 @@
 from control.cold_times import ColdTimes
 from control.platform import RATE_SHARE, PlatformError, PlatformList, pack
 
-LIST_S = 1.0  # the platform's list is read so often; a drain is told within this and its lag
-LEAST_S = 0.02  # between two readings of a list of many pages, which takes longer
+READ_INTERVAL_S = 1.0  # bounds, with the lag of the list, how late a drain is published
+MIN_INTERVAL_S = 0.02  # between two reads of a list of many pages, which takes longer to read
 
 Entries = list[dict[str, Any]]
 
 
 class UpstreamReader:
-    """Reads the list again and again while this process leads."""
+    """Reads the list repeatedly while this process leads."""
 
-    def __init__(self, settings: Settings, listed: Callable[[], None]) -> None:
-        """`listed`: the list has been read."""
-        self._listed = listed
+    def __init__(self, settings: Settings, on_read: Callable[[], None]) -> None:
+        """`on_read`: called after the list has been read."""
+        self._on_read = on_read
         self.entries: Entries = []
         self._cold_times = ColdTimes()
-        self._dressed: Entries = []  # the entries as balancers are to see them,
-        self._page = pack([])  # and as they go to them
+        self._shown: Entries = []  # the entries as balancers see them
+        self._page = pack([])  # those entries, encoded
         address = parse_address(settings.cloud_api.addr)
         self._platform = PlatformList(address, settings.cloud_api.rate_per_s * RATE_SHARE)
 
     def reconfigure(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Apply a changed settings file."""
         self._platform.set_address(parse_address(settings.cloud_api.addr))
         self._platform.set_rate(settings.cloud_api.rate_per_s * RATE_SHARE)
 
     def calls(self) -> int:
-        """How often the platform was asked for a page of its list."""
+        """Return the number of calls to the platform's list."""
         return self._platform.calls
 
-    def page(self, dress: Callable[[Entries, float], Entries]) -> bytes:
-        """The list as it goes to balancers; `dress`: how they are to see its entries at a time (s)."""
-        dressed = dress(self.entries, asyncio.get_running_loop().time())
-        if dressed != self._dressed:  # entries that were told again as they were are the same objects
-            self._dressed, self._page = dressed, pack(dressed)
+    def page(self, transform: Callable[[Entries, float], Entries]) -> bytes:
+        """Return the encoded list; `transform`: maps entries and the time (s) to what balancers see."""
+        shown = transform(self.entries, asyncio.get_running_loop().time())
+        if shown != self._shown:  # unchanged entries are the same objects, so this comparison is cheap
+            self._shown, self._page = shown, pack(shown)
         return self._page
 
-    async def run(self, leads: asyncio.Event) -> None:
-        """Read whenever `leads` is set."""
+    async def run(self, is_leading: asyncio.Event) -> None:
+        """Read the list repeatedly while `is_leading` is set."""
         loop = asyncio.get_running_loop()
-        unread = ""
+        last_error = ""
         while True:
-            await leads.wait()
-            began = loop.time()
+            await is_leading.wait()
+            started_at = loop.time()
             try:
                 entries = await self._platform.read()
                 self.entries = self._cold_times.stabilize(entries, loop.time())
             except PlatformError as error:
-                if str(error) != unread:
-                    unread = str(error)
-                    logger.warning("event=list_unread error={!r}", unread)
+                if str(error) != last_error:
+                    last_error = str(error)
+                    logger.warning("event=list_unread error={!r}", last_error)
             else:
-                unread = ""
-                self._listed()
-            took = loop.time() - began if self._platform.pages > 1 else 0.0
-            await asyncio.sleep(max(LIST_S - took, LEAST_S))
+                last_error = ""
+                self._on_read()
+            elapsed_s = loop.time() - started_at if self._platform.pages > 1 else 0.0
+            await asyncio.sleep(max(READ_INTERVAL_S - elapsed_s, MIN_INTERVAL_S))
--- a/dissemination/__init__.py
+++ b/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""How news reach the balancers, and how the system's processes reach each other."""
+"""Distribution of updates from the control plane to the balancers, over a tree of relays."""
--- a/dissemination/bulletin.py
+++ b/dissemination/bulletin.py
@@ -1,4 +1,4 @@
-"""What a process knows of the whole: the newest of each kind of news, whoever brought it."""
+"""The latest update of each kind that a process knows, whatever its source."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     UpstreamNews,
 )
 
-News = ConfigurationNews | UpstreamNews | MemberNews | Pulse | LoadNews | LoadStep | DoubtNews
+Update = ConfigurationNews | UpstreamNews | MemberNews | Pulse | LoadNews | LoadStep | DoubtNews
 
 
 class LatestUpdates:
-    """Keeps the newest news of each kind; nothing older ever takes its place."""
+    """Stores the latest update of each kind; an older one never replaces a newer one."""
 
     def __init__(self) -> None:
         self.configuration: ConfigurationNews | None = None
         self.upstreams: UpstreamNews | None = None
         self.members: MemberNews | None = None
         self.pulse: Pulse | None = None
-        self.loads: LoadNews | None = None  # from whoever tells them whole,
-        self.table: LoadTable | None = None  # or from whoever tells steps
+        self.loads: LoadNews | None = None  # from a source that sends complete sums
+        self.load_table: LoadTable | None = None  # or from a source that sends steps
         self.doubts: DoubtNews | None = None
 
     def epoch(self) -> int:
-        """The newest epoch of which there is news; 0 without any."""
-        news = (self.upstreams, self.members, self.pulse, self.loads, self.table, self.doubts)
-        return max((known.epoch for known in news if known is not None), default=0)
+        """Return the latest epoch of any update; 0 without updates."""
+        updates = (self.upstreams, self.members, self.pulse, self.loads, self.load_table, self.doubts)
+        return max((update.epoch for update in updates if update is not None), default=0)
 
     def store(self, message: Any) -> bool:
-        """Keep a message if it is newer than what we have; whether it was."""
+        """Store a message if it is newer than the stored one; returns whether it was."""
         match message:
             case ConfigurationNews():
                 if self.configuration is not None and message.ver <= self.configuration.ver:
@@ -57,9 +57,9 @@
                     return False
                 self.pulse = message
             case LoadNews():
-                if not _is_newer(message, self.table or self.loads):
+                if not _is_newer(message, self.load_table or self.loads):
                     return False
-                self.loads, self.table = message, None
+                self.loads, self.load_table = message, None
             case DoubtNews():
                 if not _is_newer(message, self.doubts):
                     return False
@@ -69,61 +69,64 @@
         return True
 
     def apply_step(self, message: LoadStep) -> Loads | None:
-        """Take a step of the loads: those that it tells of, as they were; None for one of an earlier term.
+        """Apply a load step; returns the previous loads of the upstreams in it, or None if its epoch is old.
 
-        Raises GapError for one that does not follow what we have.
+        Raises GapError for a step that does not follow the stored one.
         """
-        known = self.table or self.loads
+        known = self.load_table or self.loads
         if known is not None and message.epoch < known.epoch:
             return None
         if message.base == 0:
             table, before = LoadTable(message.epoch), dict(self.current_loads())
             if table.take(message.number, 0, message.names, message.figures) is not None:
-                self.table, self.loads = table, None
+                self.load_table, self.loads = table, None
                 return before | dict.fromkeys(table.loads.keys() - before.keys(), (0, 0))
-        elif self.table is not None and self.table.epoch == message.epoch:
-            told = self.table.take(message.number, message.base, message.names, message.figures)
-            if told is not None:
-                return told
-        raise GapError(f"step {message.number} of the loads follows {message.base}", "attach anew")
+        elif self.load_table is not None and self.load_table.epoch == message.epoch:
+            previous = self.load_table.take(message.number, message.base, message.names, message.figures)
+            if previous is not None:
+                return previous
+        raise GapError(
+            f"load step {message.number} is based on unknown step {message.base}",
+            "attach again for the complete loads",
+        )
 
     def current_loads(self) -> Loads:
-        """The sums as they are known."""
-        if self.table is not None:
-            return self.table.loads
+        """Return the known load sums."""
+        if self.load_table is not None:
+            return self.load_table.loads
         return {} if self.loads is None else {e.upstream: (e.calls, e.tokens) for e in self.loads.loads}
 
     def full_loads(self) -> LoadNews | None:
-        """The sums as those of an earlier edition hear them."""
-        if self.table is None:
+        """Return the load sums as a message for receivers of an earlier edition."""
+        if self.load_table is None:
             return self.loads
-        return LoadNews(self.table.epoch, self.table.number, pack(self.table.loads))
+        return LoadNews(self.load_table.epoch, self.load_table.number, pack(self.load_table.loads))
 
-    def updates_since(self, ver: int, list_stamp: tuple[int, int], steps: bool = False) -> list[News]:
-        """What somebody lacks who has this version and this list, in the order in which it is told.
+    def updates_since(self, ver: int, list_stamp: tuple[int, int], steps: bool = False) -> list[Update]:
+        """Return the updates that a receiver with this version and this list lacks, in sending order.
 
-        `steps`: it can hear what changes from now on.
+        `steps`: the receiver takes load steps.
         """
-        found: list[News] = []
+        updates: list[Update] = []
         if self.configuration is not None and self.configuration.ver > ver:
-            found.append(self.configuration)
+            updates.append(self.configuration)
         if self.upstreams is not None and (self.upstreams.epoch, self.upstreams.number) > list_stamp:
-            found.append(self.upstreams)
+            updates.append(self.upstreams)
         loads: LoadNews | LoadStep | None = None
-        if steps and self.table is not None:
-            loads = LoadStep(self.table.epoch, self.table.number, 0, *self.table.whole())
+        if steps and self.load_table is not None:
+            loads = LoadStep(self.load_table.epoch, self.load_table.number, 0, *self.load_table.whole())
         else:
             loads = self.full_loads()
-        found += [news for news in (self.members, self.pulse, loads, self.doubts) if news is not None]
-        return found
+        updates += [update for update in (self.members, self.pulse, loads, self.doubts) if update is not None]
+        return updates
 
     def clear_failures(self) -> None:
-        """What was held against upstreams under another primary is told anew by those who hold it."""
+        """Drop the failure sums of another primary; balancers report theirs again."""
         self.doubts = None
 
     def clear_loads(self) -> None:
-        """What was told of others' work is no use any more; the same sums are news when they come again."""
-        self.loads = self.table = None
+        """Drop the load sums, so that the same sums count as an update when they come again."""
+        self.loads = self.load_table = None
 
 
 def _is_newer(message: Any, known: Any) -> bool:
--- a/dissemination/counting.py
+++ b/dissemination/counting.py
@@ -1,4 +1,4 @@
-"""Which balancers are present and how many there are: budgets are shared out by their number."""
+"""Which balancers are present and how many: budgets are divided by their number."""
 
 from __future__ import annotations
 
@@ -7,43 +7,53 @@
 
 from dissemination.messages import Present, Pulse
 
-COUNT_S = 20.0  # balancers that were there within this still count: their part of a budget may be spent
-LINGER_S = 1.5  # one that has gone stays a member for so long: most only hear the news from elsewhere now
+# A balancer counts for this long after it has left, as its share of a budget may be spent.
+COUNT_WINDOW_S = 20.0
+# A balancer stays a member for this long after it has left, as most only change their parent.
+LEAVE_DELAY_S = 1.5
 
 
 class Presence:
-    """Who is present, as the primary tells it. Times in seconds."""
+    """The present balancers, as the primary publishes them. Times in seconds."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, tuple[Present, float]] = {}  # by node: when it was last present
+        self._last_seen: dict[str, tuple[Present, float]] = {}  # by node: when it was last present
         self._counts: deque[tuple[float, int]] = deque()
 
     def members(self, present: Mapping[str, Present], now: float) -> tuple[Present, ...]:
-        """Who is present or was a moment ago, by node."""
-        self._seen.update({node: (balancer, now) for node, balancer in present.items()})
-        self._seen = {node: seen for node, seen in self._seen.items() if now - seen[1] <= LINGER_S}
-        return tuple(self._seen[node][0] for node in sorted(self._seen))
-
-    def most(self, count: int, now: float) -> int:
-        """The most that were present at once within a while, with so many now."""
+        """Return the balancers that are present or were a moment ago, ordered by node."""
+        self._last_seen.update({node: (balancer, now) for node, balancer in present.items()})
+        self._last_seen = {
+            node: last_seen
+            for node, last_seen in self._last_seen.items()
+            if now - last_seen[1] <= LEAVE_DELAY_S
+        }
+        return tuple(self._last_seen[node][0] for node in sorted(self._last_seen))
+
+    def recent_peak(self, count: int, now: float) -> int:
+        """Return the most balancers present at once within the window, with `count` present now."""
         self._counts.append((now, count))
-        while now - self._counts[0][0] > COUNT_S:
+        while now - self._counts[0][0] > COUNT_WINDOW_S:
             self._counts.popleft()
         return max(n for _, n in self._counts)
 
 
 class BalancerCount:
-    """The number that the pulses tell; a new primary's holds only once what the last one told is old."""
+    """The number of balancers according to pulses.
+
+    After a change of primary the larger of the old and new numbers holds until the old one expires.
+    """
 
     def __init__(self) -> None:
-        self._epoch, self._number, self._heard_at = 0, 0, 0.0
-        self._earlier: deque[tuple[float, int]] = deque()  # of earlier epochs: until when (s) it counts
+        self._epoch, self._count, self._received_at = 0, 0, 0.0
+        # Counts of earlier epochs, each with its expiry (s).
+        self._earlier: deque[tuple[float, int]] = deque()
 
     def take(self, pulse: Pulse, now: float) -> int:
-        """The number that holds now (s), 0 if none is known; a pulse without one only says nothing new."""
+        """Return the number in force at `now` (s), 0 if unknown; a pulse without a number changes nothing."""
         if pulse.balancers:
-            if pulse.epoch != self._epoch and self._number:
-                self._earlier.append((self._heard_at + COUNT_S, self._number))
-            self._epoch, self._number, self._heard_at = pulse.epoch, pulse.balancers, now
+            if pulse.epoch != self._epoch and self._count:
+                self._earlier.append((self._received_at + COUNT_WINDOW_S, self._count))
+            self._epoch, self._count, self._received_at = pulse.epoch, pulse.balancers, now
         self._earlier = deque(entry for entry in self._earlier if entry[0] > now)
-        return max([self._number, *(number for _, number in self._earlier)])
+        return max([self._count, *(number for _, number in self._earlier)])
--- a/dissemination/doubts.py
+++ b/dissemination/doubts.py
@@ -1,7 +1,7 @@
-"""What balancers hold against upstreams: failures of the last seconds, reports up the tree, sums down.
+"""Recent failures of upstreams as seen by balancers: reports go up the tree, sums come down.
 
-The sums are kept by the zone of the balancers that saw them: what only one zone sees may be its links. Only
-upstreams that somebody holds something against are named.
+Sums are kept per zone of the observing balancers: failures that only one zone sees may be those of its
+network. Only upstreams with failures are listed.
 """
 
 from __future__ import annotations
@@ -13,105 +13,106 @@
 from dissemination.bulletin import LatestUpdates
 from dissemination.messages import DoubtNews, DoubtReport, Pulse, UpstreamFailures
 
-PERIOD_S = 0.1  # a change goes on no sooner after the one before
-MOST = 2**31 - 1  # that a message holds
-FailureCounts = dict[tuple[str, str], tuple[int, int]]  # upstream and zone: balancers, failures that they saw
+REPORT_INTERVAL_S = 0.1  # at least this long between two sums
+MAX_INT32 = 2**31 - 1  # limit of a message field
+# By upstream and zone: the number of balancers, and the failures that they saw.
+FailureCounts = dict[tuple[str, str], tuple[int, int]]
 
 
-def unpack(doubts: Iterable[UpstreamFailures]) -> FailureCounts:
-    """By upstream and zone."""
-    return {(d.upstream, d.zone): (d.balancers, d.failures) for d in doubts}
+def unpack(entries: Iterable[UpstreamFailures]) -> FailureCounts:
+    """Return the counts by upstream and zone."""
+    return {(d.upstream, d.zone): (d.balancers, d.failures) for d in entries}
 
 
-def pack(doubts: FailureCounts) -> tuple[UpstreamFailures, ...]:
-    """For a message; where nothing is held against an upstream it is left out."""
+def pack(counts: FailureCounts) -> tuple[UpstreamFailures, ...]:
+    """Return the message entries; upstreams without failures are left out."""
     return tuple(
-        UpstreamFailures(upstream, zone, min(balancers, MOST), min(failures, MOST))
-        for (upstream, zone), (balancers, failures) in sorted(doubts.items())
+        UpstreamFailures(upstream, zone, min(balancers, MAX_INT32), min(failures, MAX_INT32))
+        for (upstream, zone), (balancers, failures) in sorted(counts.items())
         if balancers > 0 and failures > 0
     )
 
 
 class FailureSum:
-    """The doubts below one process: its own and what its children report."""
+    """The failures seen below one process: its own and those that its children report."""
 
     def __init__(
-        self, own: Callable[[], FailureCounts], changed: Callable[[tuple[UpstreamFailures, ...]], None]
+        self, own: Callable[[], FailureCounts], on_change: Callable[[tuple[UpstreamFailures, ...]], None]
     ) -> None:
-        """`own`: what this process holds against upstreams. `changed`: told the sum, not too often."""
-        self._own, self._changed = own, changed
+        """`own`: returns the failures that this process has seen. `on_change`: called with a changed sum."""
+        self._own, self._on_change = own, on_change
         self._children: dict[object, FailureCounts] = {}
-        self._told: tuple[UpstreamFailures, ...] = ()
+        self._last_sent: tuple[UpstreamFailures, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
 
     def report(self, child: object, message: DoubtReport) -> None:
-        """A child's report, in place of its last one."""
+        """Replace a child's report."""
         self._children[child] = unpack(message.doubts)
         self.schedule()
 
     def remove_child(self, child: object) -> None:
-        """A child has gone; whoever it attaches to next hears of its doubts."""
+        """Remove the report of a child that is gone; it reports to its next parent."""
         if self._children.pop(child, None):
             self.schedule()
 
     def schedule(self) -> None:
-        """Something has changed: tell it soon."""
+        """Schedule sending the sum after a change."""
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(PERIOD_S, self._tell)
+            self._timer = asyncio.get_running_loop().call_later(REPORT_INTERVAL_S, self._send)
 
     def resend(self) -> None:
-        """Somebody new is told, who knows of no doubts: say now what there is."""
-        self._told = ()
+        """Send the sum at once, to a receiver that knows of no failures."""
+        self._last_sent = ()
         if self._timer is not None:
             self._timer.cancel()
-        self._tell()
+        self._send()
 
-    def _tell(self) -> None:
+    def _send(self) -> None:
         self._timer = None
         total = dict(self._own())
-        for part in self._children.values():
-            for key, (balancers, failures) in part.items():
+        for counts in self._children.values():
+            for key, (balancers, failures) in counts.items():
                 known = total.get(key, (0, 0))
                 total[key] = (known[0] + balancers, known[1] + failures)
-        packed = pack(total)
-        if packed != self._told:
-            self._told = packed
-            self._changed(packed)
+        entries = pack(total)
+        if entries != self._last_sent:
+            self._last_sent = entries
+            self._on_change(entries)
 
 
-class Judge(Protocol):
-    """Who sees failures and heeds those that others saw: a balancer."""
+class FailureObserver(Protocol):
+    """Observes failures of upstreams and uses those that others have seen: a balancer."""
 
     def failure_counts(self) -> FailureCounts:
-        """What our own calls saw."""
+        """Return the failures of this balancer's own calls."""
 
-    def apply_failure_counts(self, told: FailureCounts) -> None:
-        """What all balancers together saw."""
+    def apply_failure_counts(self, totals: FailureCounts) -> None:
+        """Use the failures that all balancers have seen together."""
 
-    def on_failures_changed(self, changed: Callable[[], None]) -> None:
-        """`changed` is called whenever `doubts` would tell something new."""
+    def on_failures_changed(self, on_change: Callable[[], None]) -> None:
+        """Have `on_change` called whenever the result of `failure_counts` changes."""
 
 
 class FailureExchange:
-    """One balancer's part in it: what it and those below it saw goes up, what all saw comes down."""
+    """Reports the failures of a balancer and those below it, and passes the received sums to it."""
 
-    def __init__(self, judge: Judge, latest: LatestUpdates, say: Callable[[Any], None]) -> None:
-        self._judge, self._latest = judge, latest
-        self.sum = FailureSum(judge.failure_counts, lambda doubts: say(DoubtReport(doubts)))
-        judge.on_failures_changed(self.sum.schedule)
+    def __init__(self, observer: FailureObserver, latest: LatestUpdates, send: Callable[[Any], None]) -> None:
+        self._observer, self._latest = observer, latest
+        self.sum = FailureSum(observer.failure_counts, lambda failures: send(DoubtReport(failures)))
+        observer.on_failures_changed(self.sum.schedule)
 
     def on_update(self, message: DoubtNews) -> None:
-        """Newer news."""
-        self._judge.apply_failure_counts(unpack(message.doubts))
+        """Handle a newer sum."""
+        self._observer.apply_failure_counts(unpack(message.doubts))
 
     def on_pulse(self, message: Pulse) -> None:
-        """Under another primary all is told anew, unless nothing is held against anybody any more."""
+        """Drop sums of an earlier epoch, as a new primary publishes none while there are no failures."""
         known = self._latest.doubts
         if known is not None and known.epoch < message.epoch:
             self.clear()
 
     def clear(self) -> None:
-        """What was told is no use any more; what our own calls saw stays."""
+        """Drop the received sums; failures of this balancer's own calls stay."""
         if self._latest.doubts is not None:
             self._latest.clear_failures()
-            self._judge.apply_failure_counts({})
+            self._observer.apply_failure_counts({})
--- a/dissemination/feed.py
+++ b/dissemination/feed.py
@@ -1,4 +1,4 @@
-"""The side that tells: whoever has attached hears all news from then on, and says who is below it."""
+"""The sending side: attached children receive all updates and report who is present below them."""
 
 from __future__ import annotations
 
@@ -23,136 +23,139 @@
 )
 from transport.wire import STEPS_EDITION, Link, MessageKinds, compress_frame
 
-LONG = ConfigurationNews | UpstreamNews | MemberNews  # what may be, and is worth to be packed
+COMPRESSIBLE = ConfigurationNews | UpstreamNews | MemberNews  # kinds worth compressing
 
 
 @dataclass(slots=True)
 class _Child:
-    """Somebody who hears the news from us: what it said, who is below it, and the list that it has."""
+    """An attached receiver: its request, who is present below it, and the list that it has."""
 
-    attached: Attach
+    request: Attach
     present: tuple[Present, ...]
     takes_steps: bool
     digest: bytes
 
 
 class Feed:
-    """The balancers that hear the news from us."""
+    """The children that receive updates from this process."""
 
-    def __init__(self, latest: LatestUpdates, kinds: MessageKinds, changed: Callable[[], None]) -> None:
-        """`changed`: told when others are present below us."""
-        self._latest, self._kinds, self._changed = latest, kinds, changed
+    def __init__(self, latest: LatestUpdates, kinds: MessageKinds, on_change: Callable[[], None]) -> None:
+        """`on_change`: called when the balancers present below this process change."""
+        self._latest, self._kinds, self._on_change = latest, kinds, on_change
         self._children: dict[Link, _Child] = {}
-        self._spoken: dict[Link, Speaks] = {}
-        self._kept: dict[type, tuple[Any, bytes, bytes]] = {}  # the last of each kind, its frame, and packed
-        self._listed: tuple[UpstreamNews | None, bytes] = None, b""
+        self._hellos: dict[Link, Speaks] = {}
+        # By type: the last message, its frame, and that compressed.
+        self._frame_cache: dict[type, tuple[Any, bytes, bytes]] = {}
+        self._list_digest: tuple[UpstreamNews | None, bytes] = None, b""
 
     def on_hello(self, link: Link, message: Speaks) -> None:
-        """Somebody says which edition it speaks and what it has; it is yet to attach."""
-        self._spoken[link] = message
+        """Store a peer's edition and the digest of its list, for its `Attach` that follows."""
+        self._hellos[link] = message
 
     def attach(self, link: Link, message: Attach) -> None:
-        """Somebody is to hear everything from now on, beginning with what it lacks."""
+        """Add a child, and send it the updates that it lacks."""
         for old, child in list(self._children.items()):
-            if child.attached.node == message.node and old is not link:
-                del self._children[old]  # it has come back by another connection
+            if child.request.node == message.node and old is not link:
+                del self._children[old]  # it is attached over a new connection
                 old.close()
         self._add(link, message, (Present(message.node, message.ip, message.zone),))
 
     def attach_relay(self, link: Link, message: RelayAttach) -> None:
-        """A control process that does not lead is to hear everything, for those whom it has taken in."""
-        attached = Attach(message.identity, "", "", message.ver, message.list_epoch, message.list_number)
-        self._add(link, attached, message.present)
+        """Add a control process that relays updates to balancers attached to it."""
+        request = Attach(message.identity, "", "", message.ver, message.list_epoch, message.list_number)
+        self._add(link, request, message.present)
 
     def _add(self, link: Link, message: Attach, present: tuple[Present, ...]) -> None:
-        spoken = self._spoken.get(link)
-        steps = spoken is not None and spoken.edition >= STEPS_EDITION
-        child = _Child(message, present, steps, spoken.digest if spoken is not None else b"")
+        hello = self._hellos.get(link)
+        takes_steps = hello is not None and hello.edition >= STEPS_EDITION
+        child = _Child(message, present, takes_steps, hello.digest if hello is not None else b"")
         self._children[link] = child
-        for news in self._latest.updates_since(message.ver, (message.list_epoch, message.list_number), steps):
-            if isinstance(news, UpstreamNews):
-                self._tell_list(link, child, news, None)
+        for update in self._latest.updates_since(
+            message.ver, (message.list_epoch, message.list_number), takes_steps
+        ):
+            if isinstance(update, UpstreamNews):
+                self._send_list(link, child, update, None)
             else:
-                link.send_bytes(self._frame(news, steps))
-        self._changed()
+                link.send_bytes(self._frame(update, takes_steps))
+        self._on_change()
 
     def on_roll(self, link: Link, message: Roll) -> None:
-        """A child says who is below it."""
+        """Store who is present below a child."""
         child = self._children.get(link)
         if child is not None and child.present != message.present:
             child.present = message.present
-            self._changed()
+            self._on_change()
 
     def on_closed(self, link: Link) -> None:
-        """A connection is over."""
-        self._spoken.pop(link, None)
+        """Remove the child of a closed connection."""
+        self._hellos.pop(link, None)
         if self._children.pop(link, None) is not None:
-            self._changed()
+            self._on_change()
 
     def broadcast(self, message: Any) -> None:
-        """Tell all children; each piece of news as its edition takes it."""
+        """Send a message to all children; load steps only to those that take them."""
         for link, child in list(self._children.items()):
             if isinstance(message, LoadStep) and not child.takes_steps:
                 continue
             link.send_bytes(self._frame(message, child.takes_steps))
 
-    def broadcast_list(self, news: UpstreamNews, change: UpstreamChange | None) -> None:
-        """Tell all children of a list; `change`: what is new in it since the one before."""
+    def broadcast_list(self, update: UpstreamNews, change: UpstreamChange | None) -> None:
+        """Send a list to all children; `change`: its difference from the previous list."""
         for link, child in list(self._children.items()):
-            self._tell_list(link, child, news, change)
+            self._send_list(link, child, update, change)
 
-    def _tell_list(
-        self, link: Link, child: _Child, news: UpstreamNews, change: UpstreamChange | None
+    def _send_list(
+        self, link: Link, child: _Child, update: UpstreamNews, change: UpstreamChange | None
     ) -> None:
-        """Only what it lacks, if it can be told that."""
-        digest = self._digest(news)
+        """Send a child the smallest message that brings its list up to date."""
+        digest = self._digest(update)
         if child.takes_steps and child.digest == digest:
-            link.send(unchanged_list(news))
+            link.send(unchanged_list(update))
         elif child.takes_steps and change is not None and child.digest == change.base:
             link.send(change)
         else:
-            link.send_bytes(self._frame(news, child.takes_steps))
+            link.send_bytes(self._frame(update, child.takes_steps))
         child.digest = digest
 
     def broadcast_full_loads(self, message: LoadNews) -> None:
-        """Tell the sums to the children of an earlier edition."""
+        """Send the load sums to children of an earlier edition."""
         for link, child in list(self._children.items()):
             if not child.takes_steps:
                 link.send(message)
 
     def has_earlier_editions(self) -> bool:
-        """Whether some children are of an edition that takes no steps."""
+        """Return whether any child is of an edition without load steps."""
         return any(not child.takes_steps for child in self._children.values())
 
-    def _frame(self, message: Any, steps: bool) -> bytes:
-        """As it goes out: encoded once for all that hear it, and packed where that pays and is understood."""
-        kept = self._kept.get(type(message))
-        if kept is None or kept[0] is not message:
+    def _frame(self, message: Any, takes_steps: bool) -> bytes:
+        """Return the frame of a message, encoded once for all children, and compressed if they take that."""
+        cached = self._frame_cache.get(type(message))
+        if cached is None or cached[0] is not message:
             frame = self._kinds.encode(message)
-            short = compress_frame(frame) if isinstance(message, LONG) else frame
-            kept = self._kept[type(message)] = message, frame, short
-        return kept[2] if steps else kept[1]
+            compressed = compress_frame(frame) if isinstance(message, COMPRESSIBLE) else frame
+            cached = self._frame_cache[type(message)] = message, frame, compressed
+        return cached[2] if takes_steps else cached[1]
 
-    def _digest(self, news: UpstreamNews) -> bytes:
-        if self._listed[0] is not news:
-            self._listed = news, digest_of(news)
-        return self._listed[1]
+    def _digest(self, update: UpstreamNews) -> bytes:
+        if self._list_digest[0] is not update:
+            self._list_digest = update, digest_of(update)
+        return self._list_digest[1]
 
     def redirect_all(self, message: Any) -> None:
-        """Send all children elsewhere."""
+        """Send a redirect to all children and remove them."""
         self.broadcast(message)
         self._children.clear()
 
     def present(self) -> dict[str, Present]:
-        """Everybody below us, by node."""
+        """Return all balancers present below this process, by node."""
         return {p.node: p for child in self._children.values() for p in child.present}
 
     def child_nodes(self) -> list[str]:
-        """Those that hear the news from us themselves, by node."""
-        return [child.attached.node for child in self._children.values()]
+        """Return the nodes of the attached children."""
+        return [child.request.node for child in self._children.values()]
 
     def drop_silent(self, now: float, silent_s: float) -> None:
-        """Let go of children whose connection has been silent for too long: they speak while they live."""
+        """Remove children that were silent for too long; a live child sends regularly."""
         for link in list(self._children):
             if now - link.last_received_at > silent_s:
                 link.close()
--- a/dissemination/follower.py
+++ b/dissemination/follower.py
@@ -1,4 +1,4 @@
-"""The side that hears: a connection to whoever tells us the news, and a new one when that is silent."""
+"""The receiving side: keeps a connection to a parent, and replaces it when the parent is silent."""
 
 from __future__ import annotations
 
@@ -35,29 +35,31 @@
 from transport.links import Links
 from transport.wire import EDITION, STEPS_EDITION, Link
 
-PULSE_INTERVAL_S = 0.3  # the control state is heard of so often
-STALE_AFTER_S = 0.9  # without a newer pulse for so long whoever tells us is behind itself
-PAUSE_S = 0.1  # between two attempts, more or less
-SOON = (0.1, 0.4)  # of it, where we were told whom to ask
-LED_S = 0.5  # whoever is sent on again sooner than this is sent in a circle, while nobody leads yet
-MOST_DIALLED = 3  # one after the other, before we look anew whom to dial
-MANY = 100  # so many balancers and more wait longer, so that all together ask 1,000 times a second at most
-ROLL_S = 1.0  # we are heard of so often by whoever tells us
-SETTLE_S = 1.0  # the tree has given us another place for so long before we move there
-MEND_S = 0.5  # all is asked for again no sooner after the last time
-SHUN_S = 4.0  # a process that was silent or out of reach is not asked for so long while there are others
+PULSE_INTERVAL_S = 0.3  # interval between the pulses of the control plane
+STALE_AFTER_S = 0.9  # a parent without a newer pulse for this long is itself out of date
+RETRY_DELAY_S = 0.1  # mean delay between two attempts
+REDIRECT_RETRY_SHARE = (0.1, 0.4)  # range of the share of that delay after a redirect
+# A redirect sooner than this after the last one is part of a loop, while there is no leader yet.
+REDIRECT_LOOP_S = 0.5
+MAX_DIALS = 3  # endpoints dialled before candidates are chosen again
+# Above so many balancers delays grow, so that all together make at most 1,000 attempts a second.
+LARGE_FLEET = 100
+ROLL_INTERVAL_S = 1.0  # a child reports to its parent at least this often
+REPARENT_DELAY_S = 1.0  # the tree has to assign another parent for this long before the follower moves
+RESYNC_INTERVAL_S = 0.5  # at least this long between two requests for complete state
+AVOID_S = 4.0  # a silent or unreachable process is tried last for this long
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """On which ports the processes of each kind hear others; alike on all machines."""
+    """The ports of each kind of process, equal on all machines."""
 
     control: int
     balancer: int
 
 
 class Follower:
-    """Keeps one balancer attached; what it hears goes into the bulletin and to `told`."""
+    """Keeps a balancer attached to a parent, and stores the updates that it receives."""
 
     def __init__(
         self,
@@ -66,141 +68,138 @@
         latest: LatestUpdates,
         ports: Ports,
         seeds: tuple[str, ...],
-        told: Callable[[Any, Any], None],
+        notify: Callable[[Any, Any], None],
         below: Callable[[], dict[str, Present]],
-        attached: Callable[[], None],
-        spoken: Callable[[], None],
+        on_attached: Callable[[], None],
+        on_hello: Callable[[], None],
         seed: int,
     ) -> None:
-        """`seeds`: IPs of control processes. `told`: each newer piece of news, and what is new in it:
-        an `UpstreamChange` of a list, the loads before a `LoadStep`. `below`: who hears us.
+        """`seeds`: IPs of control processes. `below`: returns the balancers attached below this one.
 
-        `attached`: whoever tells us the news from now on knows nothing of us yet. `spoken`: it has said
-        what edition it speaks.
+        `notify`: called with each newer update and what it changes: the `UpstreamChange` of a list, the
+        previous loads of a `LoadStep`. `on_attached`: called when a new parent has to be sent all reports.
+        `on_hello`: called when the parent has sent its edition.
         """
-        self._me, self._links, self._latest, self._told, self._below = me, links, latest, told, below
-        self._attached, self._spoken = attached, spoken
+        self._me, self._links, self._latest, self._notify, self._below = me, links, latest, notify, below
+        self._on_attached, self._on_hello = on_attached, on_hello
         self._list_copy = ListCopy()
         self._takes_steps = False
-        self._mended_at = -1e9
+        self._resynced_at = -1e9
         self._ports = ports
-        self._seeds = self._controls(seeds)
-        self._hints: list[Endpoint] = []
-        self._was_led, self._moved_at = False, -1e9
+        self._seeds = self._control_endpoints(seeds)
+        self._redirects: list[Endpoint] = []
+        self._was_redirected, self._redirected_at = False, -1e9
         self._random = random.Random(seed)
         self._link: Link | None = None
         self._parent: Endpoint | None = None
         self._pulsed_at = -1e9
-        self._ended = asyncio.Event()
-        self._rolled: tuple[Any, float] = (None, -1e9)
-        self._wanted: tuple[Endpoint | None, float] = (
-            None,
-            0.0,
-        )  # the relay that the tree gives us, and since when
-        self._shunned: dict[Endpoint, float] = {}  # when it was silent or out of reach
+        self._closed = asyncio.Event()
+        self._last_roll: tuple[Any, float] = (None, -1e9)
+        self._wanted_relay: tuple[Endpoint | None, float] = (None, 0.0)  # assigned relay, and since when
+        self._avoided_since: dict[Endpoint, float] = {}  # when a process was last silent or unreachable
 
     def is_fresh(self, within_s: float = STALE_AFTER_S) -> bool:
-        """Whether the control state was heard of a moment ago."""
+        """Return whether a pulse was received within this time."""
         return asyncio.get_running_loop().time() - self._pulsed_at <= within_s
 
     def age_s(self) -> float | None:
-        """Seconds since the control state was last heard of; None if it never was."""
+        """Return the seconds since the last pulse; None if there was none."""
         return asyncio.get_running_loop().time() - self._pulsed_at if self._pulsed_at > 0 else None
 
     def set_seeds(self, ips: tuple[str, ...]) -> None:
-        """The settings name other seeds."""
-        self._seeds = self._controls(ips)
+        """Replace the seeds."""
+        self._seeds = self._control_endpoints(ips)
 
-    def _controls(self, ips: Iterable[str]) -> list[Endpoint]:
-        """The control processes of machines."""
+    def _control_endpoints(self, ips: Iterable[str]) -> list[Endpoint]:
+        """Return the endpoints of the control processes at these IPs."""
         return [Endpoint(ip, self._ports.control) for ip in ips]
 
     def parent(self) -> Endpoint | None:
-        """Whoever tells us the news; None if nobody does."""
+        """Return the endpoint of the parent; None while not attached."""
         return self._parent if self._link is not None else None
 
     def is_parent_link(self, link: Link) -> bool:
-        """Whether this is the connection by which the news come."""
+        """Return whether this is the connection to the parent."""
         return link is self._link
 
     def on_message(self, link: Link, message: Any) -> None:
-        """A message by that connection."""
+        """Handle a message of the parent."""
         now = asyncio.get_running_loop().time()
         match message:
             case Moved(ips):
-                self._hints = self._controls(ips)
-                self._was_led, self._moved_at = now - self._moved_at >= LED_S, now
+                self._redirects = self._control_endpoints(ips)
+                self._was_redirected, self._redirected_at = now - self._redirected_at >= REDIRECT_LOOP_S, now
                 if self._parent is not None and (not ips or self._is_relay(self._parent)):
-                    self._shun(self._parent)  # it is behind itself, or does not know who leads
-                self._leave()
+                    self._avoid(self._parent)  # it is out of date, or does not know the leader
+                self._close_link()
             case Pulse() if self._latest.store(message):
                 self._pulsed_at = now
-                self._told(message, None)
+                self._notify(message, None)
             case HoldingNews():
-                self._told(message, None)
+                self._notify(message, None)
             case ConfigurationNews() | UpstreamNews() | MemberNews() | LoadNews() | DoubtNews():
                 if self._latest.store(message):
-                    self._told(message, None)
+                    self._notify(message, None)
             case UpstreamChange() | LoadStep():
-                self._heard_change(link, message, now)
+                self._apply_change(link, message, now)
             case Speaks(edition):
                 self._takes_steps = edition >= STEPS_EDITION
-                self._spoken()
+                self._on_hello()
 
-    def _heard_change(self, link: Link, message: UpstreamChange | LoadStep, now: float) -> None:
-        """A change: in force if it follows what we have; else all is told again."""
+    def _apply_change(self, link: Link, message: UpstreamChange | LoadStep, now: float) -> None:
+        """Apply a list change or load step; if it doesn't follow the known state, request all of it."""
         try:
             if isinstance(message, LoadStep):
                 before = self._latest.apply_step(message)
                 if before is not None:
-                    self._told(message, before)
+                    self._notify(message, before)
                 return
             known = self._latest.upstreams
             if known is None or (message.epoch, message.number) > (known.epoch, known.number):
-                news = self._list_copy.apply(known, message)
-                self._latest.store(news)
-                self._told(news, message)
+                update = self._list_copy.apply(known, message)
+                self._latest.store(update)
+                self._notify(update, message)
         except GapError as error:
-            if now - self._mended_at >= MEND_S:
-                self._mended_at = now
+            if now - self._resynced_at >= RESYNC_INTERVAL_S:
+                self._resynced_at = now
                 logger.info("event=gap error={!r}", str(error))
                 self._attach(link, whole=isinstance(message, UpstreamChange))
 
     def takes_steps(self) -> bool:
-        """Whether whoever tells us the news takes our loads as steps."""
+        """Return whether the parent takes load steps."""
         return self._takes_steps and self._link is not None
 
     def on_closed(self, link: Link) -> None:
-        """A connection is over."""
+        """Handle the end of a connection."""
         if link is self._link:
             self._link = None
-            self._ended.set()
+            self._closed.set()
 
     async def run(self) -> None:
-        """Stay attached for ever."""
+        """Stay attached to a parent forever."""
         while True:
-            chosen, moves = self._choose(), False
-            reached = await self._links.dial_any(chosen)
-            for endpoint in chosen if reached is None else chosen[: chosen.index(reached[0])]:
-                self._shun(endpoint)
+            candidates, is_reparenting = self._candidates(), False
+            reached = await self._links.dial_any(candidates)
+            for endpoint in candidates if reached is None else candidates[: candidates.index(reached[0])]:
+                self._avoid(endpoint)
             if reached is not None:
                 self._parent, self._link = reached
-                self._ended.clear()
+                self._closed.clear()
                 self._attach(self._link)
-                moves = await self._stay(self._parent)
-            if not moves:
-                shares = SOON if self._hints and self._was_led else (0.5, 1.5)
-                await asyncio.sleep(self._pause() * self._random.uniform(*shares))
+                is_reparenting = await self._follow_parent(self._parent)
+            if not is_reparenting:
+                shares = REDIRECT_RETRY_SHARE if self._redirects and self._was_redirected else (0.5, 1.5)
+                await asyncio.sleep(self._retry_delay_s() * self._random.uniform(*shares))
 
-    def _pause(self) -> float:
-        """In seconds; many balancers that look for a primary must not take the time of those who make one."""
+    def _retry_delay_s(self) -> float:
+        """Return the delay in seconds; large fleets wait longer, to leave time for electing a primary."""
         members = self._latest.members
-        return PAUSE_S * max(1.0, len(members.balancers) / MANY if members is not None else 1.0)
+        return RETRY_DELAY_S * max(1.0, len(members.balancers) / LARGE_FLEET if members is not None else 1.0)
 
-    # ---- where to
+    # ---- choice of the parent
 
     def _relay(self) -> Endpoint | None:
-        """The balancer that the tree gives us; None: the control state itself tells us."""
+        """Return the relay that the tree assigns; None if it is avoided or there is none."""
         members = self._latest.members
         if members is None:
             return None
@@ -208,7 +207,7 @@
         if parent is None:
             return None
         relay = Endpoint(parent.ip, self._ports.balancer)
-        return None if self._is_shunned(relay) else relay
+        return None if self._is_avoided(relay) else relay
 
     def _is_relay(self, endpoint: Endpoint | None) -> bool:
         members = self._latest.members
@@ -216,76 +215,73 @@
             return False
         return any(m.ip == endpoint.ip for m in members.balancers)
 
-    def _choose(self) -> list[Endpoint]:
-        """Whom to dial, one after the other until one takes us in.
-
-        First the relay that the tree gives us, or the leader if we know it; then others of the control state.
-        """
+    def _candidates(self) -> list[Endpoint]:
+        """Return the endpoints to dial: the assigned relay or the known leader, then control processes."""
         members = self._latest.members
         cores = members.cores if members is not None else ()
-        known = list(dict.fromkeys([*self._seeds, *self._controls(cores)]))
+        known = list(dict.fromkeys([*self._seeds, *self._control_endpoints(cores)]))
         self._random.shuffle(known)
-        known.sort(key=self._is_shunned)
+        known.sort(key=self._is_avoided)
         first = [relay] if (relay := self._relay()) and self.is_fresh(2 * STALE_AFTER_S) else []
-        if not first and self._hints:
-            first = [self._hints.pop(0)]
-        return list(dict.fromkeys([*first, *known]))[:MOST_DIALLED]
+        if not first and self._redirects:
+            first = [self._redirects.pop(0)]
+        return list(dict.fromkeys([*first, *known]))[:MAX_DIALS]
 
-    def _shun(self, endpoint: Endpoint) -> None:
-        self._shunned[endpoint] = asyncio.get_running_loop().time()
+    def _avoid(self, endpoint: Endpoint) -> None:
+        self._avoided_since[endpoint] = asyncio.get_running_loop().time()
 
-    def _is_shunned(self, endpoint: Endpoint) -> bool:
-        return asyncio.get_running_loop().time() - self._shunned.get(endpoint, -1e9) < SHUN_S
+    def _is_avoided(self, endpoint: Endpoint) -> bool:
+        return asyncio.get_running_loop().time() - self._avoided_since.get(endpoint, -1e9) < AVOID_S
 
-    async def _stay(self, parent: Endpoint) -> bool:
-        """Until the connection ends, is silent, or the tree has another place for us: True for that."""
+    async def _follow_parent(self, parent: Endpoint) -> bool:
+        """Follow the parent until it is lost; returns True if the tree has assigned another one."""
         loop = asyncio.get_running_loop()
         since = loop.time()
         while self._link is not None:
             stale_at = max(self._pulsed_at, since) + STALE_AFTER_S
             try:
                 async with asyncio.timeout(max(min(PULSE_INTERVAL_S, stale_at - loop.time()), 0.01)):
-                    await self._ended.wait()
+                    await self._closed.wait()
                 return False
             except TimeoutError:
                 pass
             now = loop.time()
-            self._call_roll(now)
+            self._send_roll(now)
             if now - max(self._pulsed_at, since) >= STALE_AFTER_S:
-                self._shun(parent)
-                self._leave()
+                self._avoid(parent)
+                self._close_link()
                 return False
             if self._is_misplaced(parent, now):
-                self._leave()
+                self._close_link()
                 return True
         return False
 
     def _is_misplaced(self, parent: Endpoint, now: float) -> bool:
-        """Whether the tree has had another place for us for a while."""
-        wanted = self._relay()
-        if wanted != self._wanted[0]:
-            self._wanted = wanted, now
-        if now - self._wanted[1] <= SETTLE_S or not self.is_fresh():
+        """Return whether the tree has assigned another parent for a while."""
+        wanted_relay = self._relay()
+        if wanted_relay != self._wanted_relay[0]:
+            self._wanted_relay = wanted_relay, now
+        if now - self._wanted_relay[1] <= REPARENT_DELAY_S or not self.is_fresh():
             return False
-        return wanted != parent if wanted is not None else self._is_relay(parent)
+        return wanted_relay != parent if wanted_relay is not None else self._is_relay(parent)
 
-    def _leave(self) -> None:
+    def _close_link(self) -> None:
         link, self._link = self._link, None
         if link is not None:
             link.close()
-        self._ended.set()
+        self._closed.set()
 
-    # ---- what we say
+    # ---- messages to the parent
 
     def send(self, message: Any) -> None:
-        """Tell whoever tells us the news, if anybody does."""
+        """Send a message to the parent, if there is one."""
         if self._link is not None:
             self._link.send(message)
 
     def _attach(self, link: Link, whole: bool = False) -> None:
-        """Say what we have; `whole`: the list is to come as if we had none."""
+        """Send what this process already has; `whole`: request the complete list."""
         known, listed = self._latest.configuration, None if whole else self._latest.upstreams
-        self._takes_steps = False  # until they say so
+        self._takes_steps = False  # until the parent sends its edition
         link.send(Speaks(EDITION, digest_of(listed)))
         link.send(
             Attach(
@@ -299,16 +295,16 @@
         )
         if epoch := self._latest.epoch():
             link.send(EpochHeard(epoch))
-        self._rolled = (None, -1e9)
-        self._call_roll(asyncio.get_running_loop().time())
-        self._attached()
+        self._last_roll = (None, -1e9)
+        self._send_roll(asyncio.get_running_loop().time())
+        self._on_attached()
 
-    def _call_roll(self, now: float) -> None:
-        """Say who is below us when that changes, and now and then that we are there."""
+    def _send_roll(self, now: float) -> None:
+        """Report who is present below this process: on changes, and regularly as a sign of life."""
         if self._link is None:
             return
-        everybody = {self._me.node: self._me, **self._below()}
-        present = tuple(everybody[node] for node in sorted(everybody))
-        if present != self._rolled[0] or now - self._rolled[1] >= ROLL_S:
-            self._rolled = (present, now)
+        members = {self._me.node: self._me, **self._below()}
+        present = tuple(members[node] for node in sorted(members))
+        if present != self._last_roll[0] or now - self._last_roll[1] >= ROLL_INTERVAL_S:
+            self._last_roll = (present, now)
             self._link.send(Roll(self._me.node, present))
--- a/dissemination/holdings.py
+++ b/dissemination/holdings.py
@@ -1,7 +1,8 @@
-"""Which upstreams have read the shared parts of prompts: what one balancer has seen is told to all.
+"""Which upstreams hold the shared parts of prompts in their cache, as seen by any balancer.
 
-A part that one upstream has read is dear to read again elsewhere. News only add: who hears one twice, or
-late, is none the worse. What has left the list is dropped; what an upstream has let go of is not known.
+A shared part that one upstream has read is expensive to read again at another. Updates only add entries, so a
+repeated or late one does no harm. Entries of upstreams that left the list are dropped; evictions from an
+upstream's cache are not known.
 """
 
 from __future__ import annotations
@@ -10,50 +11,50 @@
 
 from dissemination.messages import Holding
 
-MAX_SUBJECTS = 4096  # those heard of longest ago give way
-MAX_HOLDERS = 6  # of one subject that are told of: more add little choice
-MAX_FIRST_HAND = 512  # first-hand news that a process repeats to somebody new
+MAX_SUBJECTS = 4096  # the least recently reported are dropped
+MAX_HOLDERS = 6  # per subject; more would add little choice
+MAX_FIRST_HAND = 512  # observations of this process that are repeated to a new parent
 
 
 class Holdings:
-    """The table of one process: what it has heard, and what it has seen itself."""
+    """The holdings that a process knows, and those that it has observed itself."""
 
     def __init__(self) -> None:
         self._by_subject: dict[bytes, dict[str, None]] = {}
-        self._seen: dict[Holding, None] = {}
+        self._first_hand: dict[Holding, None] = {}
 
     def add(self, holdings: Iterable[Holding], first_hand: bool = False) -> tuple[Holding, ...]:
-        """Take news; returns what of them was new here."""
+        """Add holdings; returns those that were new."""
         new = []
         for holding in holdings:
             holders = self._by_subject.pop(holding.subject, {})
-            self._by_subject[holding.subject] = holders  # the latest last
+            self._by_subject[holding.subject] = holders  # moves the subject to the end
             if holding.upstream in holders or len(holders) >= MAX_HOLDERS:
                 continue
             holders[holding.upstream] = None
             new.append(holding)
             if first_hand:
-                self._seen[holding] = None
+                self._first_hand[holding] = None
         while len(self._by_subject) > MAX_SUBJECTS:
             del self._by_subject[next(iter(self._by_subject))]
-        while len(self._seen) > MAX_FIRST_HAND:
-            del self._seen[next(iter(self._seen))]
+        while len(self._first_hand) > MAX_FIRST_HAND:
+            del self._first_hand[next(iter(self._first_hand))]
         return tuple(new)
 
     def keep_only(self, upstreams: set[str]) -> None:
-        """Drop those that are not on the list any more."""
+        """Drop holdings of upstreams that are not in `upstreams`."""
         for subject in list(self._by_subject):
             holders = {u: None for u in self._by_subject[subject] if u in upstreams}
             if holders:
                 self._by_subject[subject] = holders
             else:
                 del self._by_subject[subject]
-        self._seen = {h: None for h in self._seen if h.upstream in upstreams}
+        self._first_hand = {h: None for h in self._first_hand if h.upstream in upstreams}
 
     def all(self) -> tuple[Holding, ...]:
-        """Everything, for somebody who hears the news from us."""
+        """Return all holdings, for a new child."""
         return tuple(Holding(s, u) for s, holders in self._by_subject.items() for u in holders)
 
     def first_hand(self) -> tuple[Holding, ...]:
-        """What we have seen ourselves, for whoever tells us the news and may know nothing."""
-        return tuple(self._seen)
+        """Return the holdings observed by this process, for a new parent that may know none."""
+        return tuple(self._first_hand)
--- a/dissemination/list_reader.py
+++ b/dissemination/list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the list of upstreams that is in force: after a change, only the entries that have changed."""
+"""Parses the list of upstreams; after a change, only the entries that changed."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class ListReader:
-    """The upstreams of the last list that was read; an entry that can't be read is left out."""
+    """The upstreams of the last parsed list; invalid entries are left out."""
 
     def __init__(self) -> None:
-        self._digest = b""  # of that list
+        self._digest = b""  # of the last parsed list
         self._by_id: dict[str, Upstream] = {}
 
-    def read(self, news: UpstreamNews, change: UpstreamChange | None) -> tuple[Upstream, ...]:
-        """The upstreams of a list; `change`: what is new in it since some list, perhaps the last one read.
+    def read(self, update: UpstreamNews, change: UpstreamChange | None) -> tuple[Upstream, ...]:
+        """Return the upstreams of a list; `change`: its difference from an earlier list, if known.
 
-        Raises WireError for a page that is no list of upstreams.
+        Raises WireError if the page is not a list of upstreams.
         """
         if change is not None and self._digest and change.base == self._digest:
             self._apply(change)
             return tuple(self._by_id[name] for name in sorted(self._by_id))
-        entries, _ = parse_upstreams(news.page)
+        entries, _ = parse_upstreams(update.page)
         self._by_id = {entry.id: entry for entry in entries}
-        self._digest = digest_of(news)
+        self._digest = digest_of(update)
         return entries
 
     def _apply(self, change: UpstreamChange) -> None:
-        """A change that has made a list already (`ListCopy.apply`), so it holds entries with ids."""
+        """Apply a change that `ListCopy.apply` has already validated, so all its entries have ids."""
         found, _ = parse_upstreams(b'{"upstreams":' + change.entries + b"}")
         for name in (*(str(entry["id"]) for entry in json.loads(change.entries)), *change.gone):
             self._by_id.pop(name, None)
--- a/dissemination/lists.py
+++ b/dissemination/lists.py
@@ -1,4 +1,4 @@
-"""The list of upstreams as it goes down the tree: whole to whoever comes, then what has changed in it."""
+"""The list of upstreams on its way down the tree: complete for a new child, then as changes."""
 
 from __future__ import annotations
 
@@ -13,102 +13,102 @@
 DIGEST_BYTES = 8
 
 
-def digest_of(news: UpstreamNews | None) -> bytes:
-    """What tells one list from another; empty for none."""
-    return b"" if news is None else hashlib.blake2b(news.page, digest_size=DIGEST_BYTES).digest()
+def digest_of(update: UpstreamNews | None) -> bytes:
+    """Return the digest of a list; empty for None."""
+    return b"" if update is None else hashlib.blake2b(update.page, digest_size=DIGEST_BYTES).digest()
 
 
 def encode_list(entries: list[Any]) -> bytes:
-    """The list as it goes to the balancers, alike for alike entries."""
+    """Encode the list for balancers; equal entries give equal bytes."""
     entries = sorted(entries, key=_id_of)
     return json.dumps({"upstreams": entries}, separators=(",", ":"), sort_keys=True).encode()
 
 
-def diff_lists(known: UpstreamNews | None, news: UpstreamNews) -> UpstreamChange | None:
-    """What is new in a list; None where that can't be told by ids alone, or is no shorter than the list."""
+def diff_lists(known: UpstreamNews | None, update: UpstreamNews) -> UpstreamChange | None:
+    """Return the difference of two lists; None if ids alone can't express it or it isn't much shorter."""
     if known is None:
         return None
-    old, new = _by_id(known.page), _by_id(news.page)
-    if old is None or new is None or encode_list(list(new.values())) != news.page:
+    old, new = _entries_by_id(known.page), _entries_by_id(update.page)
+    if old is None or new is None or encode_list(list(new.values())) != update.page:
         return None
-    entries = [e for i, e in new.items() if old.get(i) != e]
-    gone = tuple(i for i in old if i not in new)
+    entries = [entry for upstream_id, entry in new.items() if old.get(upstream_id) != entry]
+    gone = tuple(upstream_id for upstream_id in old if upstream_id not in new)
     body = json.dumps(entries, separators=(",", ":"), sort_keys=True).encode()
-    if len(body) + sum(len(i) for i in gone) >= len(news.page) // 2:
+    if len(body) + sum(len(upstream_id) for upstream_id in gone) >= len(update.page) // 2:
         return None
-    return UpstreamChange(news.epoch, news.number, digest_of(known), digest_of(news), body, gone)
+    return UpstreamChange(update.epoch, update.number, digest_of(known), digest_of(update), body, gone)
 
 
-def unchanged_list(news: UpstreamNews) -> UpstreamChange:
-    """For whoever has this list already, by an earlier stamp."""
-    digest = digest_of(news)
-    return UpstreamChange(news.epoch, news.number, digest, digest, b"[]", ())
+def unchanged_list(update: UpstreamNews) -> UpstreamChange:
+    """Return a change without entries, which gives an equal list a new stamp."""
+    digest = digest_of(update)
+    return UpstreamChange(update.epoch, update.number, digest, digest, b"[]", ())
 
 
 def apply_change(known: UpstreamNews | None, change: UpstreamChange) -> UpstreamNews:
-    """The list after a change; raises GapError where it does not begin with what we have."""
+    """Return the list after a change; raises GapError if the change is based on another list."""
     return ListCopy().apply(known, change)
 
 
 class ListCopy:
-    """A list with its entries encoded one by one: a change costs what it changes, not what is listed."""
+    """A list with separately encoded entries: a change costs only what it changes."""
 
     def __init__(self) -> None:
-        self._page: bytes | None = None  # the list that the other fields are of
+        self._page: bytes | None = None  # the list that the other fields describe
         self._digest = b""
         self._encoded: dict[str, bytes] = {}  # by id
-        self._order: list[str] = []  # the ids, sorted
+        self._order: list[str] = []  # sorted ids
 
     def apply(self, known: UpstreamNews | None, change: UpstreamChange) -> UpstreamNews:
-        """The list after a change; raises GapError where it does not begin with what we have."""
+        """Return the list after a change; raises GapError if the change is based on another list."""
         if known is None or self._digest_of(known) != change.base:
-            raise GapError("a change of a list that we do not have", "attach anew and hear all of it")
+            raise GapError("the change is based on an unknown list", "attach again for the complete list")
         if change.base == change.digest:
             return UpstreamNews(change.epoch, change.number, known.page)
         try:
-            self._read(known)
+            self._decode(known)
             self._apply(change)
         except (ValueError, TypeError, LookupError, RecursionError):
             self._page = None
-            raise GapError("a change of the list can't be read", "attach anew and hear all of it") from None
+            raise GapError("the list change is invalid", "attach again for the complete list") from None
         entries = b",".join(self._encoded[name] for name in self._order)
-        found = UpstreamNews(change.epoch, change.number, b'{"upstreams":[' + entries + b"]}")
-        digest = digest_of(found)
+        result = UpstreamNews(change.epoch, change.number, b'{"upstreams":[' + entries + b"]}")
+        digest = digest_of(result)
         if digest != change.digest:
             self._page = None
-            raise GapError("a change makes another list than was meant", "attach anew and hear all of it")
-        self._page, self._digest = found.page, digest
-        return found
+            raise GapError("the changed list does not match its digest", "attach again for the complete list")
+        self._page, self._digest = result.page, digest
+        return result
 
     def _digest_of(self, known: UpstreamNews) -> bytes:
         return self._digest if known.page is self._page else digest_of(known)
 
-    def _read(self, known: UpstreamNews) -> None:
-        """Take a list apart, unless it is the one at hand; raises ValueError."""
+    def _decode(self, known: UpstreamNews) -> None:
+        """Split a list into entries, unless it is the current one; raises ValueError."""
         if known.page is self._page:
             return
-        entries = _by_id(known.page)
+        entries = _entries_by_id(known.page)
         if entries is None:
-            raise ValueError("an entry has no id of its own")
-        self._encoded = {name: _encoded(entry) for name, entry in entries.items()}
+            raise ValueError("an entry has no unique id")
+        self._encoded = {name: _encode_entry(entry) for name, entry in entries.items()}
         self._order = sorted(self._encoded)
 
     def _apply(self, change: UpstreamChange) -> None:
-        """Put in and take out; raises ValueError, TypeError or LookupError on a change that is none."""
+        """Insert and remove entries; raises ValueError, TypeError or LookupError if the change is invalid."""
         entries = json.loads(change.entries)
         if not isinstance(entries, list):
-            raise ValueError("no list")
+            raise ValueError("the entries are not a list")
         for entry in entries:
-            name = str(entry["id"])
-            if name not in self._encoded:
-                insort(self._order, name)
-            self._encoded[name] = _encoded(entry)
-        for name in change.gone:
-            if self._encoded.pop(name, None) is not None:
-                del self._order[bisect_left(self._order, name)]
+            upstream_id = str(entry["id"])
+            if upstream_id not in self._encoded:
+                insort(self._order, upstream_id)
+            self._encoded[upstream_id] = _encode_entry(entry)
+        for upstream_id in change.gone:
+            if self._encoded.pop(upstream_id, None) is not None:
+                del self._order[bisect_left(self._order, upstream_id)]
 
 
-def _encoded(entry: Any) -> bytes:
+def _encode_entry(entry: Any) -> bytes:
     return json.dumps(entry, separators=(",", ":"), sort_keys=True).encode()
 
 
@@ -116,13 +116,13 @@
     return str(entry.get("id")) if isinstance(entry, dict) else ""
 
 
-def _by_id(page: bytes) -> dict[str, Any] | None:
-    """The entries of a list; None where one has no id of its own."""
+def _entries_by_id(page: bytes) -> dict[str, Any] | None:
+    """Return the entries of a list by id; None if the ids are not unique strings."""
     try:
         entries = json.loads(page)["upstreams"]
-        found = {e["id"]: e for e in entries}
+        result = {entry["id"]: entry for entry in entries}
     except (ValueError, TypeError, LookupError, RecursionError):
         return None
-    if len(found) != len(entries) or not all(isinstance(i, str) for i in found):
+    if len(result) != len(entries) or not all(isinstance(upstream_id, str) for upstream_id in result):
         return None
-    return found
+    return result
--- a/dissemination/loads.py
+++ b/dissemination/loads.py
@@ -1,6 +1,6 @@
-"""How much work all balancers together have out at each upstream: reports up the tree, sums down.
+"""The outstanding work of all balancers at each upstream: reports go up the tree, sums come down.
 
-A balancer's own calls are known at once; those of the others are a tenth of a second old.
+A balancer knows its own calls at once; sums of the others are about 0.1 s old.
 """
 
 from __future__ import annotations
@@ -8,31 +8,32 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from dissemination.load_steps import MOST, Figures, Loads, LoadStepEncoder, LoadTable
+from dissemination.load_steps import MAX_INT32, Figures, Loads, LoadStepEncoder, LoadTable
 from dissemination.messages import LoadNews, LoadReport, LoadReportStep, UpstreamLoad
 
-REPORT_INTERVAL_S = 0.04  # a change goes on no sooner after the one before
-STEP_ENTRY_S = 0.00005  # and no sooner than to look at all that has changed takes a few hundredths of a core
-# Of one upstream in a whole message, and a second to each of an earlier edition: many wait longer.
+REPORT_INTERVAL_S = 0.04  # at least this long between two sums
+STEP_ENTRY_S = 0.00005  # per changed upstream, so that steps take at most a few hundredths of a core
+# Size of an entry in a complete message, and bandwidth to each receiver of an earlier edition: in large
+# fleets complete messages are sent less often.
 ENTRY_BYTES, BYTES_S = 24, 20_000
 
 
 def unpack(loads: Iterable[UpstreamLoad]) -> Loads:
-    """By upstream."""
+    """Return the loads by upstream."""
     return {e.upstream: (e.calls, e.tokens) for e in loads}
 
 
 def pack(loads: Loads) -> tuple[UpstreamLoad, ...]:
-    """For a message; what has none is left out."""
+    """Return the message entries; upstreams without load are left out."""
     return tuple(
-        UpstreamLoad(u, min(max(c, 0), MOST), min(max(t, 0), MOST))
+        UpstreamLoad(u, min(max(c, 0), MAX_INT32), min(max(t, 0), MAX_INT32))
         for u, (c, t) in sorted(loads.items())
         if c > 0 or t > 0
     )
 
 
 def add(total: Loads, part: Loads) -> None:
-    """Add a part to a total."""
+    """Add the loads of a part to a total."""
     for upstream, (calls, tokens) in part.items():
         known = total.get(upstream, (0, 0))
         total[upstream] = (known[0] + calls, known[1] + tokens)
@@ -44,33 +45,33 @@
     def __init__(
         self,
         own: Callable[[], Loads],
-        changed: Callable[[tuple[UpstreamLoad, ...]], None],
-        stepped: Callable[[Figures, bool], None] | None = None,
+        on_sum: Callable[[tuple[UpstreamLoad, ...]], None],
+        on_step: Callable[[Figures, bool], None] | None = None,
         wants_whole: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`own`: the load of this process, a new dictionary each time.
+        """`own`: returns the load of this process as a new dictionary.
 
-        `changed`: told the sum, not too often, while `wants_whole`. `stepped`: told what is new in it, or
-        all of it (True).
+        `on_sum`: called with the complete sum, at a limited rate, while `wants_whole`. `on_step`: called with
+        changes of the sum, or with all of it (True).
         """
-        self._own, self._changed, self._stepped, self._wants_whole = own, changed, stepped, wants_whole
+        self._own, self._on_sum, self._on_step, self._wants_whole = own, on_sum, on_step, wants_whole
         self._children: dict[object, LoadTable] = {}
-        self._below: Loads = {}  # the sum of the children
-        self._own_known: Loads = {}
-        self._told: tuple[UpstreamLoad, ...] = ()
+        self._children_total: Loads = {}  # sum over the children
+        self._last_own: Loads = {}
+        self._last_sent: tuple[UpstreamLoad, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
-        self._period = REPORT_INTERVAL_S
-        self._teller = LoadStepEncoder()
+        self._interval_s = REPORT_INTERVAL_S
+        self._encoder = LoadStepEncoder()
         self._step_timer: asyncio.TimerHandle | None = None
 
     def report(self, child: object, message: LoadReport) -> None:
-        """A child's report, in place of its last one."""
+        """Replace a child's report."""
         table = LoadTable()
         table.loads = unpack(message.loads)
         self._replace(child, table)
 
     def report_step(self, child: object, message: LoadReportStep) -> bool:
-        """How a child's load has changed; False if that does not follow its last report."""
+        """Apply a change of a child's load; returns False if it does not follow the child's last report."""
         known = self._children.get(child)
         if message.base == 0:
             table = LoadTable()
@@ -81,130 +82,130 @@
         before = known.take(message.number, message.base, message.names, message.figures) if known else None
         if known is None or before is None:
             return False
-        self._move(before, known.loads)
+        self._apply_delta(before, known.loads)
         return True
 
     def _replace(self, child: object, table: LoadTable) -> None:
         known = self._children.pop(child, None)
         if known is not None:
-            self._move(known.loads, {})
+            self._apply_delta(known.loads, {})
         self._children[child] = table
-        self._move(dict.fromkeys(table.loads, (0, 0)), table.loads)
+        self._apply_delta(dict.fromkeys(table.loads, (0, 0)), table.loads)
 
     def remove_child(self, child: object) -> None:
-        """A child has gone; whoever it attaches to next hears of its load."""
+        """Remove the load of a child that is gone; it reports to its next parent."""
         known = self._children.pop(child, None)
         if known is not None:
-            self._move(known.loads, {})
+            self._apply_delta(known.loads, {})
 
-    def _move(self, before: Loads, after: Loads) -> None:
-        """Something of a child's load has changed: what it was, and what it is."""
+    def _apply_delta(self, before: Loads, after: Loads) -> None:
+        """Update the sum with the previous and current loads of a child."""
         for upstream, (old_calls, old_tokens) in before.items():
             calls, tokens = after.get(upstream, (0, 0))
-            known = self._below.get(upstream, (0, 0))
+            known = self._children_total.get(upstream, (0, 0))
             total = known[0] + calls - old_calls, known[1] + tokens - old_tokens
             if total == (0, 0):
-                self._below.pop(upstream, None)
+                self._children_total.pop(upstream, None)
             else:
-                self._below[upstream] = total
-        if self._stepped is not None:
-            self._teller.mark(before)
+                self._children_total[upstream] = total
+        if self._on_step is not None:
+            self._encoder.mark_changed(before)
         self.schedule()
 
     def total(self) -> Loads:
-        """The sum as it is now."""
+        """Return the current sum."""
         total = dict(self._own())
-        add(total, self._below)
+        add(total, self._children_total)
         return total
 
     def schedule(self) -> None:
-        """Something has changed: tell it soon."""
+        """Schedule sending the sum after a change."""
         loop = asyncio.get_running_loop()
         if self._timer is None and self._wants_whole():
-            self._timer = loop.call_later(self._period, self._tell)
-        if self._step_timer is None and self._stepped is not None:
-            self._step_timer = loop.call_later(self._step_period(), self._step)
+            self._timer = loop.call_later(self._interval_s, self._send_whole)
+        if self._step_timer is None and self._on_step is not None:
+            self._step_timer = loop.call_later(self._step_interval_s(), self._send_step)
 
-    def _step_period(self) -> float:
-        return max(REPORT_INTERVAL_S, STEP_ENTRY_S * len(self._teller.behind()))
+    def _step_interval_s(self) -> float:
+        return max(REPORT_INTERVAL_S, STEP_ENTRY_S * len(self._encoder.pending()))
 
     def resend(self) -> None:
-        """Somebody new is told: say it now, even if it is the same."""
-        self._told = ()
+        """Send the complete sum at once, to a new receiver."""
+        self._last_sent = ()
         if self._timer is not None:
             self._timer.cancel()
-        self._tell()
+        self._send_whole()
         self.resend_steps()
 
     def resend_steps(self) -> None:
-        """Somebody new takes steps: tell all of it now."""
-        if self._stepped is not None:
-            self._own_known = self._own()
-            total = dict(self._own_known)
-            add(total, self._below)
-            self._stepped(self._teller.whole(total), True)
-
-    def _tell(self) -> None:
+        """Send the complete sum as a first step, to a new receiver of steps."""
+        if self._on_step is not None:
+            self._last_own = self._own()
+            total = dict(self._last_own)
+            add(total, self._children_total)
+            self._on_step(self._encoder.whole(total), True)
+
+    def _send_whole(self) -> None:
         self._timer = None
         if not self._wants_whole():
             return
-        packed = pack(self.total())
-        self._period = max(REPORT_INTERVAL_S, ENTRY_BYTES * len(packed) / BYTES_S)
-        if packed != self._told:
-            self._told = packed
-            self._changed(packed)
+        entries = pack(self.total())
+        self._interval_s = max(REPORT_INTERVAL_S, ENTRY_BYTES * len(entries) / BYTES_S)
+        if entries != self._last_sent:
+            self._last_sent = entries
+            self._on_sum(entries)
 
-    def _step(self) -> None:
+    def _send_step(self) -> None:
         self._step_timer = None
-        if self._stepped is None:
+        if self._on_step is None:
             return
-        own, known = self._own(), self._own_known
-        self._teller.mark(u for u in own.keys() | known.keys() if own.get(u) != known.get(u))
-        self._own_known = own
-        if self._teller.is_long(len(own) + len(self._below)):
+        own, known = self._own(), self._last_own
+        self._encoder.mark_changed(u for u in own.keys() | known.keys() if own.get(u) != known.get(u))
+        self._last_own = own
+        if self._encoder.needs_restart(len(own) + len(self._children_total)):
             self.resend_steps()
             return
-        loads = {u: self._sum_of(u) for u in self._teller.behind()}
-        found = self._teller.step(loads, asyncio.get_running_loop().time())
-        if found is not None:
-            self._stepped(found, False)
-        if self._teller.behind():
+        loads = {u: self._total_of(u) for u in self._encoder.pending()}
+        figures = self._encoder.step(loads, asyncio.get_running_loop().time())
+        if figures is not None:
+            self._on_step(figures, False)
+        if self._encoder.pending():
             self.schedule()
 
-    def _sum_of(self, upstream: str) -> tuple[int, int]:
-        own, below = self._own_known.get(upstream, (0, 0)), self._below.get(upstream, (0, 0))
+    def _total_of(self, upstream: str) -> tuple[int, int]:
+        own, below = self._last_own.get(upstream, (0, 0)), self._children_total.get(upstream, (0, 0))
         return own[0] + below[0], own[1] + below[1]
 
 
 class PeerLoads:
-    """What the other balancers have out, out of the sums that come down."""
+    """The load of the other balancers, derived from the published sums."""
 
     def __init__(self) -> None:
-        self._others: Loads = {}
-        self._reported: Loads = {}  # our own part when the last step came
+        self._loads: Loads = {}
+        self._reported: Loads = {}  # this balancer's own part at the last step
 
     def take(self, message: LoadNews, reported: Loads) -> None:
-        """A newer sum; `reported`: our own part in it, as we have last reported it."""
+        """Take a new sum; `reported`: this balancer's part in it, as last reported."""
         others = {}
         for entry in message.loads:
             own = reported.get(entry.upstream, (0, 0))
             others[entry.upstream] = (max(entry.calls - own[0], 0), max(entry.tokens - own[1], 0))
-        self._others = others
+        self._loads = others
 
     def step(self, loads: Loads, changed: Iterable[str], reported: Loads) -> None:
-        """A step of the sum: what it is now, where it has changed, and our own part as last reported."""
+        """Apply a step: the sums, the upstreams that `changed`, and this balancer's part as `reported`."""
         known, self._reported = self._reported, reported
-        told = set(changed)
+        upstreams = set(changed)
         if known is not reported:
-            told.update(u for u in reported.keys() | known.keys() if reported.get(u) != known.get(u))
-        for upstream in told:
+            upstreams.update(u for u in reported.keys() | known.keys() if reported.get(u) != known.get(u))
+        for upstream in upstreams:
             total, own = loads.get(upstream, (0, 0)), reported.get(upstream, (0, 0))
-            self._others[upstream] = (max(total[0] - own[0], 0), max(total[1] - own[1], 0))
+            self._loads[upstream] = (max(total[0] - own[0], 0), max(total[1] - own[1], 0))
 
     def clear(self) -> None:
-        """Nothing has been heard for a while: what was known is no use any more."""
-        self._others = {}
+        """Drop the loads, which are outdated without recent updates."""
+        self._loads = {}
 
     def of(self, upstream: str) -> tuple[int, int]:
-        """Calls and tokens of the others at an upstream."""
-        return self._others.get(upstream, (0, 0))
+        """Return the calls and tokens of the other balancers at an upstream."""
+        return self._loads.get(upstream, (0, 0))
--- a/dissemination/messages.py
+++ b/dissemination/messages.py
@@ -1,4 +1,4 @@
-"""What goes up and down between the control state, the relays and the balancers."""
+"""Messages between the control plane, the relays and the balancers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Present:
-    """A balancer that is there."""
+    """A balancer that is present."""
 
     node: str
     ip: str
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """Calls that are out to an upstream, and prompt tokens that are to be read for them."""
+    """The outstanding calls at an upstream and their prompt tokens that are still to be read."""
 
     upstream: str
     calls: Int32
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """An upstream has read the shared parts of prompts on a subject."""
+    """An upstream holds the shared parts of prompts on a subject."""
 
     subject: bytes
     upstream: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFailures:
-    """So many balancers of a zone saw so many failures at an upstream in the last seconds."""
+    """How many balancers of a zone have recently seen how many failures of an upstream."""
 
     upstream: str
     zone: str
@@ -49,7 +49,7 @@
 @KINDS.declare(100)
 @dataclass(frozen=True, slots=True)
 class Attach:
-    """A balancer asks to be told everything from now on; what it has already need not come again."""
+    """A balancer asks for all updates from now on, and says which it already has."""
 
     node: str
     ip: str
@@ -62,7 +62,7 @@
 @KINDS.declare(101)
 @dataclass(frozen=True, slots=True)
 class Pulse:
-    """The control state is there and is this recent; so many balancers are present."""
+    """Heartbeat of the control plane, with the number of balancers (0 if unknown)."""
 
     epoch: int
     number: int
@@ -72,7 +72,7 @@
 @KINDS.declare(102)
 @dataclass(frozen=True, slots=True)
 class ConfigurationNews:
-    """A configuration that was acknowledged, or stays for good."""
+    """A committed configuration."""
 
     ver: int
     body: bytes
@@ -81,7 +81,7 @@
 @KINDS.declare(103)
 @dataclass(frozen=True, slots=True)
 class UpstreamNews:
-    """The platform's list, whole, as JSON."""
+    """The platform's complete list, as JSON."""
 
     epoch: int
     number: int
@@ -91,7 +91,7 @@
 @KINDS.declare(104)
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """Not here: try these, in order."""
+    """A redirect: try these IPs, in order."""
 
     ips: tuple[str, ...]
 
@@ -99,7 +99,7 @@
 @KINDS.declare(105, nested=(Present,))
 @dataclass(frozen=True, slots=True)
 class MemberNews:
-    """Which balancers are present, and the IPs of the control processes."""
+    """The present balancers, and the IPs of the control processes."""
 
     epoch: int
     number: int
@@ -110,7 +110,7 @@
 @KINDS.declare(106, nested=(Present,))
 @dataclass(frozen=True, slots=True)
 class Roll:
-    """Who is present below a relay, itself included."""
+    """Who is present below a relay, including itself."""
 
     node: str
     present: tuple[Present, ...]
@@ -119,7 +119,7 @@
 @KINDS.declare(107, nested=(UpstreamLoad,))
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The load that a balancer and all below it put on upstreams; what is not named has none from them."""
+    """The load of a balancer and all below it; unlisted upstreams have none."""
 
     loads: tuple[UpstreamLoad, ...]
 
@@ -127,7 +127,7 @@
 @KINDS.declare(108, nested=(UpstreamLoad,))
 @dataclass(frozen=True, slots=True)
 class LoadNews:
-    """The load that all balancers together put on upstreams."""
+    """The load of all balancers together."""
 
     epoch: int
     number: int
@@ -137,7 +137,7 @@
 @KINDS.declare(109, nested=(Holding,))
 @dataclass(frozen=True, slots=True)
 class HoldingReport:
-    """What balancers have seen read, on its way up."""
+    """Holdings observed by balancers, on their way up."""
 
     holdings: tuple[Holding, ...]
 
@@ -145,7 +145,7 @@
 @KINDS.declare(110, nested=(Holding,))
 @dataclass(frozen=True, slots=True)
 class HoldingNews:
-    """The same on its way down, to all."""
+    """Holdings on their way down, to all balancers."""
 
     holdings: tuple[Holding, ...]
 
@@ -153,19 +153,19 @@
 @KINDS.declare(111)
 @dataclass(frozen=True, slots=True)
 class Speaks:
-    """Said first on a connection: which edition we speak, and the digest of the list that we have."""
+    """The first message on a connection: the sender's edition and the digest of its list."""
 
     edition: Int32
     digest: bytes
 
 
-# 112 is `transport.wire.PACKED`: any other message, compressed
+# 112 is `transport.wire.COMPRESSED_KIND`: any other message, compressed
 
 
 @KINDS.declare(113)
 @dataclass(frozen=True, slots=True)
 class UpstreamChange:
-    """What is new in the list since the one with the digest `base`; `entries` as JSON, `gone` by id."""
+    """The difference from the list with the digest `base`: changed `entries` as JSON, ids that are `gone`."""
 
     epoch: int
     number: int
@@ -178,9 +178,9 @@
 @KINDS.declare(114)
 @dataclass(frozen=True, slots=True)
 class LoadStep:
-    """How the load of all has changed since the step `base` (0: all of it).
+    """The change of the load of all balancers since the step `base` (0: the complete load).
 
-    `names` take the next places; `figures` are place, calls, tokens; place, calls, tokens; and so on.
+    `names` take the next indexes; `figures` are index, calls and tokens, repeated.
     """
 
     epoch: int
@@ -193,7 +193,7 @@
 @KINDS.declare(115)
 @dataclass(frozen=True, slots=True)
 class LoadReportStep:
-    """The same of the load that a balancer and all below it put on upstreams."""
+    """The change of the load of a balancer and all below it, like `LoadStep`."""
 
     number: int
     base: int
@@ -204,7 +204,7 @@
 @KINDS.declare(116, nested=(UpstreamFailures,))
 @dataclass(frozen=True, slots=True)
 class DoubtReport:
-    """What a balancer and all below it hold against upstreams; what is not named is in good standing."""
+    """The failures seen by a balancer and all below it; unlisted upstreams have none."""
 
     doubts: tuple[UpstreamFailures, ...]
 
@@ -212,7 +212,7 @@
 @KINDS.declare(117, nested=(UpstreamFailures,))
 @dataclass(frozen=True, slots=True)
 class DoubtNews:
-    """What all balancers together hold against upstreams."""
+    """The failures seen by all balancers together."""
 
     epoch: int
     number: int
@@ -222,7 +222,7 @@
 @KINDS.declare(119)
 @dataclass(frozen=True, slots=True)
 class EpochHeard:
-    """The newest epoch of which a balancer has news: a leader of an earlier one is not believed."""
+    """The latest epoch that a balancer has seen: updates of a leader with an earlier one are ignored."""
 
     epoch: int
 
@@ -230,9 +230,10 @@
 @KINDS.declare(128, nested=(Present,))
 @dataclass(frozen=True, slots=True)
 class RelayAttach:
-    """A control process that does not lead asks for the news, for balancers that can't reach the leader.
+    """A control process that doesn't lead asks for updates, for balancers that can't reach the leader.
 
-    `present`: these balancers and all below them. Like `Attach` otherwise; a `Roll` without anybody ends it.
+    `present`: these balancers and all below them. Otherwise like `Attach`; a `Roll` without balancers ends
+    it.
     """
 
     identity: str
--- a/dissemination/relays.py
+++ b/dissemination/relays.py
@@ -1,4 +1,4 @@
-"""The tree of relays: who hears the news from whom, worked out by all alike from the list of members."""
+"""The tree of relays: each process derives its parent from the list of members, with the same result."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 
 from dissemination.messages import Present
 
-DEGREE = 8  # balancers that one relay tells
+DEGREE = 8  # children per relay
 
 
-def score(name: str, key: str) -> int:
-    """The rendezvous score of a name for a key: the highest wins; another member changes no other's score."""
+def rendezvous_score(name: str, key: str) -> int:
+    """Return the rendezvous score of a name for a key; it does not depend on other members."""
     return int.from_bytes(hashlib.blake2b(f"{key}/{name}".encode(), digest_size=8).digest(), "big")
 
 
 def _rank(member: Present) -> tuple[int, str]:
-    return score(member.node, "relay"), member.node
+    return rendezvous_score(member.node, "relay"), member.node
 
 
 def parent_of(own: str, zone: str, members: Iterable[Present]) -> Present | None:
-    """The balancer that tells us the news; None: the control state itself does.
+    """Return the parent of a balancer; None if that is a control process.
 
-    In each zone the balancers stand in the order of their scores, and each tells the next ones: news cross
-    into a zone once.
+    In each zone balancers are ordered by score and each is the parent of the next ones, so updates cross into
+    a zone once.
     """
     order = sorted((m for m in members if m.zone == zone), key=_rank)
-    place = next((i for i, m in enumerate(order) if m.node == own), None)
-    if not place:
+    index = next((i for i, m in enumerate(order) if m.node == own), None)
+    if not index:
         return None
-    return order[(place - 1) // DEGREE]
+    return order[(index - 1) // DEGREE]
 
 
 def heads_of(members: Iterable[Present]) -> dict[str, Present]:
-    """By zone: the first in that order, which hears the news from the control state itself."""
+    """Return the first balancer of each zone, which attaches to a control process."""
     zones: dict[str, list[Present]] = {}
     for member in members:
         zones.setdefault(member.zone, []).append(member)
     return {zone: min(zones[zone], key=_rank) for zone in sorted(zones)}
 
 
-def watched_by(own: str, members: Iterable[Present], most: int) -> list[Present]:
-    """The few others that a balancer knows and watches."""
+def watched_by(own: str, members: Iterable[Present], max_count: int) -> list[Present]:
+    """Return the few other balancers that a balancer watches."""
     others = [m for m in members if m.node != own]
-    return sorted(others, key=lambda m: (-score(m.node, own), m.node))[:most]
+    return sorted(others, key=lambda m: (-rendezvous_score(m.node, own), m.node))[:max_count]
--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -143,7 +143,7 @@
     def tell() -> None:
         teller = LoadStepEncoder(1e9)
         teller.whole({})
-        teller.mark(names[:changes])
+        teller.mark_changed(names[:changes])
         teller.step(loads, 1.0)
 
     return {
