--- a/tests/fabric.py
+++ b/tests/fabric.py
@@ -1,8 +1,8 @@
-"""The rig of the system's tests: a clock that jumps to the next timer, and a network inside one process.
+"""Simulated environment of the tests: a clock that jumps to the next timer, and an in-process network.
 
-`Loop` is an asyncio event loop that never sleeps (`mastturn.jumping`). `Network` stands in for TCP between
-IPs: delay, windows, cuts (silent, one way, refusing), resets, machines without power. `Process` is whoever
-runs on a machine: all that its code has scheduled waits while it is frozen, and after a kill.
+`Loop` is an asyncio event loop that never sleeps (`mastturn.jumping`). `Network` simulates TCP between IPs:
+delays, windows, cuts (silent, one-way, refusing), resets and machines without power. `Process` is a program
+on a machine: its callbacks are held while it is frozen, and dropped after a kill.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 from mastturn.jumping import JumpingLoop
 
-WINDOW = 64 * 1024  # bytes that a peer takes without its program reading them
-OUTSIDE = "10.99.0.1"  # whoever calls without being one of our processes
+WINDOW = 64 * 1024  # bytes that a peer accepts before its program reads them
+OUTSIDE = "10.99.0.1"  # source IP of clients that are no simulated process
 
 PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar("PROCESS", default=None)
 
 
 class Loop(JumpingLoop):
-    """An event loop on the fabric's clock and network."""
+    """An event loop with the simulated clock and network."""
 
     def __init__(self) -> None:
         super().__init__(PROCESS)
         self.network = Network(self)
-        self.signals: dict[int, Callable[[], Any]] = {}  # each as if the signal came
+        self.signals: dict[int, Callable[[], Any]] = {}  # by number; call one to deliver the signal
 
     def add_signal_handler(self, sig: int, callback: Any, *args: Any) -> None:  # type: ignore[override]
         self.signals[sig] = lambda: self.call_soon(callback, *args)
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """Something that a process which does not run had scheduled."""
+class _Suspended:
+    """A callback that was due while its process was frozen."""
 
     handle: asyncio.Handle
     is_timer: bool
@@ -48,7 +48,7 @@
 
 
 class Process:
-    """One program on a machine; its code and all that it has scheduled knows it by `PROCESS`."""
+    """One program on a machine; its code and callbacks run in a context where `PROCESS` is set to it."""
 
     def __init__(self, network: Network, name: str, ip: str) -> None:
         self.network, self.name, self.ip = network, name, ip
@@ -56,10 +56,10 @@
         self.context.run(PROCESS.set, self)
         self.runs = True
         self.is_dead = False
-        self._waiting: list[_Waiting] = []
+        self._suspended: list[_Suspended] = []
         self.ends: set[End] = set()
         self.servers: set[Server] = set()
-        self.machine: Any = None  # what it runs on, for the stand-ins
+        self.machine: Any = None  # used by stand-ins for the operating system
         network.processes.append(self)
 
     def run(
@@ -69,47 +69,47 @@
         callback: Callable[..., object],
         args: tuple[Any, ...],
     ) -> None:
-        """Carry out what was scheduled, now or once we run again."""
+        """Run a due callback, now or when the process is resumed."""
         if self.runs:
             callback(*args)
         else:
             context = contextvars.copy_context()
-            self._waiting.append(_Waiting(cell[0], is_timer, context, callback, args))
+            self._suspended.append(_Suspended(cell[0], is_timer, context, callback, args))
 
     def freeze(self) -> None:
-        """Nothing of it runs; the kernel below goes on taking connections and bytes."""
+        """Stop running callbacks; the simulated kernel still accepts connections and data."""
         self.runs = False
 
     def thaw(self) -> None:
-        """It runs again: timers that are due first, then what has arrived, as uvloop has it."""
+        """Resume: due timers first, then received data, in the order of uvloop."""
         if self.is_dead:
             return
         self.resume()
 
     def resume(self) -> None:
-        """Carry out what has waited."""
+        """Schedule the suspended callbacks."""
         self.runs = True
-        waiting, self._waiting = self._waiting, []
-        for item in sorted(waiting, key=lambda w: not w.is_timer):
+        suspended, self._suspended = self._suspended, []
+        for item in sorted(suspended, key=lambda w: not w.is_timer):
             if not item.handle.cancelled():
                 self.network.loop.call_soon(item.callback, *item.args, context=item.context)
 
     def kill(self, silently: bool = False) -> None:
-        """It ends at once; its kernel resets what is open, or says nothing if it has lost power too."""
+        """End at once; open connections are reset, or left silent on a loss of power."""
         self.runs, self.is_dead = False, True
         for server in list(self.servers):
             server.close()
         for end in list(self.ends):
-            end.drop(silently)
+            end.on_process_killed(silently)
         self.ends.clear()
 
     def exit(self) -> None:
-        """It has ended by itself: nothing that it may have left behind runs any more."""
+        """End after a regular stop, including anything left running."""
         self.kill()
 
 
 class Server:
-    """A listener, as `asyncio.Server`."""
+    """A listener with the interface of `asyncio.Server`."""
 
     def __init__(self, network: Network, factory: Any, address: tuple[str, int]) -> None:
         self.network, self.factory, self.address = network, factory, address
@@ -131,7 +131,7 @@
 
 
 class FakeSocket:
-    """Takes options; the network heeds the one that bounds how long bytes may stay without an answer."""
+    """Accepts socket options; the network applies TCP_USER_TIMEOUT."""
 
     def __init__(self) -> None:
         self.user_timeout_s: float | None = None
@@ -156,21 +156,21 @@
         self.peer: End = self
         self.options = FakeSocket()
         self.buffer = bytearray()
-        self.flight = 0  # bytes on their way or not read yet
+        self.in_flight = 0  # bytes in transit or unread
         self.on_wire: deque[Any] = deque()
-        self.stuck = 0  # items that wait for a path
-        self.stuck_since: float | None = None
+        self.blocked_items = 0  # items that wait for a path
+        self.blocked_since: float | None = None
         self.closing = self.gone = False
         self.paused = False
         self.unread: deque[Any] = deque()
         if self.process is not None:
             self.process.ends.add(self)
 
-    # ---- what programs call
+    # ---- interface for programs
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        found = {"peername": self.remote, "sockname": self.local, "socket": self.options}
-        return found.get(name, default)
+        info = {"peername": self.remote, "sockname": self.local, "socket": self.options}
+        return info.get(name, default)
 
     def write(self, data: Any) -> None:
         if self.closing or self.gone or not data:
@@ -178,7 +178,7 @@
         if self.network.tap is not None:
             self.network.tap(self, bytes(data))
         self.buffer += data
-        self.pump()
+        self.flush_buffer()
 
     def get_write_buffer_size(self) -> int:
         return len(self.buffer)
@@ -210,7 +210,7 @@
     def resume_reading(self) -> None:
         self.paused = False
         while self.unread and not self.paused:
-            self._take(self.unread.popleft())
+            self._deliver(self.unread.popleft())
 
     def set_protocol(self, protocol: Any) -> None:
         self.protocol = protocol
@@ -218,14 +218,14 @@
     def get_protocol(self) -> Any:
         return self.protocol
 
-    # ---- below
+    # ---- simulation
 
     def _finish(self) -> None:
-        self.network.carry(self, _END)
-        self.lose(None)
+        self.network.transmit(self, _END)
+        self.on_lost(None)
 
-    def lose(self, error: Exception | None) -> None:
-        """It is over for our side."""
+    def on_lost(self, error: Exception | None) -> None:
+        """Report the end of the connection to the program on this side."""
         if self.gone:
             return
         self.gone = self.closing = True
@@ -236,84 +236,84 @@
         if self.protocol is not None:
             self.network.loop.call_soon(self.protocol.connection_lost, error, context=self.context)
 
-    def drop(self, silently: bool) -> None:
-        """Its program was killed; without power the other side hears nothing."""
+    def on_process_killed(self, silently: bool) -> None:
+        """Close after the program was killed; without power the other side is not told."""
         self.gone = self.closing = True
         self.buffer.clear()
         if silently:
             self.on_wire.clear()
         else:
-            self.network.carry(self, _RESET)
+            self.network.transmit(self, _RESET)
 
-    def pump(self) -> None:
-        """Send what the other side's window takes."""
-        while self.buffer and self.flight < WINDOW:
-            chunk = bytes(self.buffer[: WINDOW - self.flight])
+    def flush_buffer(self) -> None:
+        """Send as much as the peer's window allows."""
+        while self.buffer and self.in_flight < WINDOW:
+            chunk = bytes(self.buffer[: WINDOW - self.in_flight])
             del self.buffer[: len(chunk)]
-            self.flight += len(chunk)
-            self.network.carry(self, chunk)
+            self.in_flight += len(chunk)
+            self.network.transmit(self, chunk)
         if self.buffer:
-            self.network.watch(self)
+            self.network.start_user_timeout(self)
         elif self.closing and not self.gone:
             self._finish()
 
-    def credit(self, size: int) -> None:
-        """The other side's program has read."""
-        self.flight -= size
-        if not self.stuck and self.network.is_open(self.remote[0], self.local[0]):
-            self.stuck_since = None
+    def on_peer_read(self, size: int) -> None:
+        """Free window space after the peer's program has read."""
+        self.in_flight -= size
+        if not self.blocked_items and self.network.is_open(self.remote[0], self.local[0]):
+            self.blocked_since = None
         if self.buffer or self.closing:
-            self.pump()
+            self.flush_buffer()
 
-    def take(self, item: Any) -> None:
-        """Something has arrived at our program."""
+    def on_arrival(self, item: Any) -> None:
+        """Handle an item that has arrived."""
         if self.paused and item is not _RESET:
             self.unread.append(item)
         else:
-            self._take(item)
+            self._deliver(item)
 
-    def _take(self, item: Any) -> None:
+    def _deliver(self, item: Any) -> None:
         if self.gone:
             if isinstance(item, bytes):
-                self.network.carry(self, _RESET)
+                self.network.transmit(self, _RESET)
             return
         if item is _RESET:
-            self.lose(ConnectionResetError(errno.ECONNRESET, "reset"))
+            self.on_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
         elif item is _END:
             if not self.protocol.eof_received():
                 self.close()
         else:
             try:
                 self.protocol.data_received(item)
-            except Exception as error:  # as asyncio has it: the connection ends, the process lives
+            except Exception as error:  # as in asyncio: the connection ends and the process goes on
                 self.network.loop.faults.append(f"data_received: {error!r}")
-                self.network.carry(self, _RESET)
-                self.lose(error)
+                self.network.transmit(self, _RESET)
+                self.on_lost(error)
             else:
                 sender = self.peer
-                self.network.loop.call_soon(sender.credit, len(item), context=sender.context)
+                self.network.loop.call_soon(sender.on_peer_read, len(item), context=sender.context)
 
 
 @dataclass
 class Network:
-    """TCP between IPs."""
+    """Simulated TCP between IPs."""
 
     loop: Loop
     delay_s: float = 0.001  # one way
     listeners: dict[tuple[str, int], Server] = field(default_factory=dict)
     tap: Callable[[End, bytes], None] | None = None
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # from, to: nothing gets through
-    refusing: set[str] = field(default_factory=set)  # IPs that refuse every connection
-    off: set[str] = field(default_factory=set)  # machines without power
-    delays: dict[tuple[str, str], float] = field(default_factory=dict)  # in seconds, one way
+    cuts: set[tuple[str, str]] = field(default_factory=set)  # (source, destination) pairs without a path
+    refusing: set[str] = field(default_factory=set)  # IPs that refuse all connections
+    off: set[str] = field(default_factory=set)  # IPs of machines without power
+    delays: dict[tuple[str, str], float] = field(default_factory=dict)  # seconds, one way
     ends: list[End] = field(default_factory=list)
     processes: list[Process] = field(default_factory=list)
     ports: int = 40_000
 
-    # ---- troubles
+    # ---- faults
 
     def cut(self, here: list[str], there: list[str], both_ways: bool = True) -> None:
-        """Nothing gets from here to there any more, nor back if `both_ways`; nobody is told."""
+        """Block packets from `here` to `there`, and back if `both_ways`, without any error."""
         for a in here:
             for b in there:
                 self.cuts.add((a, b))
@@ -321,39 +321,39 @@
                     self.cuts.add((b, a))
 
     def heal(self) -> None:
-        """All paths are there again; what was held up goes on."""
+        """Restore all paths and send what was blocked."""
         self.cuts.clear()
         self.flush()
 
     def flush(self) -> None:
-        """Send again what was held up: some path is open again."""
+        """Send blocked items again after a path was restored."""
         for end in self.ends:
-            held, end.stuck, end.stuck_since = end.stuck, 0, None
-            for _ in range(held):
+            blocked_items, end.blocked_items, end.blocked_since = end.blocked_items, 0, None
+            for _ in range(blocked_items):
                 self.loop.call_later(self.delay_s, self._arrive, end, context=contextvars.Context())
         self.ends = [end for end in self.ends if not (end.gone and end.peer.gone)]
 
     def reset(self, a: str, b: str) -> None:
-        """Both sides of all connections between two IPs hear of a reset."""
+        """Reset all connections between two IPs on both sides."""
         for end in list(self.ends):
             if (end.local[0], end.remote[0]) in ((a, b), (b, a)):
-                end.lose(ConnectionResetError(errno.ECONNRESET, "reset"))
+                end.on_lost(ConnectionResetError(errno.ECONNRESET, "reset"))
 
     def is_open(self, a: str, b: str) -> bool:
-        """Whether packets get from one IP to another."""
+        """Return whether packets get from one IP to another."""
         return a == b or ((a, b) not in self.cuts and b not in self.off and a not in self.off)
 
     # ---- connections
 
     def listen(self, factory: Any, host: str, port: int) -> Server:
-        """A new listener; raises OSError where there is one."""
+        """Return a new listener; raises OSError if the address is in use."""
         if (host, port) in self.listeners:
             raise OSError(errno.EADDRINUSE, f"address {host}:{port} is in use")
         server = self.listeners[host, port] = Server(self, factory, (host, port))
         return server
 
     async def connect(self, factory: Any, host: str, port: int) -> tuple[End, Any]:
-        """A new connection from whoever asks; hangs where nobody says anything."""
+        """Return a new connection; hangs if there is no path."""
         process = PROCESS.get()
         own = process.ip if process is not None else OUTSIDE
         delay = self.delay_of(own, host)
@@ -391,42 +391,42 @@
         return end
 
     def delay_of(self, a: str, b: str) -> float:
-        """How long a packet takes, in seconds."""
+        """Return the delay of a packet in seconds."""
         return self.delays.get((a, b), 0.0 if a == b else self.delay_s)
 
     # ---- packets
 
-    def carry(self, end: End, item: Any) -> None:
-        """Bring something to the other side, in order."""
+    def transmit(self, end: End, item: Any) -> None:
+        """Send an item to the peer, in order."""
         end.on_wire.append(item)
         delay = self.delay_of(end.local[0], end.remote[0])
         self.loop.call_later(delay, self._arrive, end, context=contextvars.Context())
 
     def _arrive(self, end: End) -> None:
         here, there = end.local[0], end.remote[0]
-        if end.stuck or not self.is_open(here, there):
-            end.stuck += 1
-            self.watch(end)
+        if end.blocked_items or not self.is_open(here, there):
+            end.blocked_items += 1
+            self.start_user_timeout(end)
             return
         if not end.on_wire:
             return
         item, peer = end.on_wire.popleft(), end.peer
         if not self.is_open(there, here):
-            self.watch(end)  # it arrives, and nobody hears of that
+            self.start_user_timeout(end)  # the item arrives, but no acknowledgement comes back
         if peer.process is not None and peer.process.is_dead:
-            if isinstance(item, bytes) and not end.gone:  # another kernel, or one that has closed it
-                self.loop.call_soon(end.take, _RESET, context=end.context)
+            if isinstance(item, bytes) and not end.gone:  # the connection is unknown at the other side
+                self.loop.call_soon(end.on_arrival, _RESET, context=end.context)
             return
-        self.loop.call_soon(peer.take, item, context=peer.context)
+        self.loop.call_soon(peer.on_arrival, item, context=peer.context)
 
-    def watch(self, end: End) -> None:
-        """Bytes are without an answer: the sender's kernel gives up after a while if it was told to."""
+    def start_user_timeout(self, end: End) -> None:
+        """Start TCP_USER_TIMEOUT, if set, for bytes that are not acknowledged."""
         limit = end.options.user_timeout_s
-        if end.stuck_since is None and limit is not None and not end.gone:
-            end.stuck_since = since = self.loop.time()
+        if end.blocked_since is None and limit is not None and not end.gone:
+            end.blocked_since = since = self.loop.time()
 
             def check() -> None:
-                if end.stuck_since == since and not end.gone:
-                    end.lose(TimeoutError(errno.ETIMEDOUT, "no answer"))
+                if end.blocked_since == since and not end.gone:
+                    end.on_lost(TimeoutError(errno.ETIMEDOUT, "no answer"))
 
             self.loop.call_later(limit, check, context=contextvars.Context())
--- a/tests/fabric_story.py
+++ b/tests/fabric_story.py
@@ -1,4 +1,4 @@
-"""A world that is played step by step, for scenarios in the operators' words."""
+"""Runs a simulated fleet step by step, for the behave features."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import behave  # type: ignore[import-untyped]
 
 from tests.fabric import Loop
-from tests.fabric_world import World, clean_up, set_up, stand_ins
+from tests.fabric_world import World, clean_up, patched_environment, set_up
 
 T = TypeVar("T")
 Step = TypeVar("Step", bound=Callable[..., None])
@@ -19,13 +19,13 @@
 
 
 class ScenarioRunner:
-    """One world; time goes by only while a step is played."""
+    """One fleet; simulated time passes only while a step runs."""
 
     def __init__(self) -> None:
         self._loop = Loop()
-        self._open = contextlib.ExitStack()
+        self._patches = contextlib.ExitStack()
         self.world = World(self._loop)
-        self._open.enter_context(stand_ins(1, self.world.transcript.log))
+        self._patches.enter_context(patched_environment(1, self.world.transcript.log))
 
     def begin(self, cores: int, edges: int, zones: int) -> None:
         """Start a fleet."""
@@ -38,13 +38,13 @@
         self.play(start())
 
     def play(self, step: Coroutine[Any, Any, T]) -> T:
-        """Play a step to its end."""
+        """Run a step to its end."""
         return self._loop.run_until_complete(step)
 
     def end(self) -> None:
-        """End all; raises AssertionError for what no program caught."""
+        """Stop everything; raises AssertionError for uncaught exceptions."""
         try:
             clean_up(self.world)
         finally:
-            self._open.close()
+            self._patches.close()
         assert not self._loop.faults, self._loop.faults
--- a/tests/fabric_world.py
+++ b/tests/fabric_world.py
@@ -1,4 +1,4 @@
-"""The rig's fleet: machines with real control processes and balancers; the transcript of what they say."""
+"""The simulated fleet: machines with real control processes and balancers, and a message transcript."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from consensus.codec import revive
 from consensus.views import View
 from control.node import KINDS, ControlNode
-from dissemination import messages as news
+from dissemination import messages as dissemination
 from mastturnd.balancing import BalancerRole
 from mastturnd.referral import ReferralNode
 from tests.fabric import OUTSIDE, PROCESS, End, Loop, Process
@@ -37,7 +37,7 @@
 
 
 class Role(Protocol):
-    """What every role of the program does."""
+    """The interface of every role of the program."""
 
     async def start(self) -> None: ...
 
@@ -46,8 +46,8 @@
     def reconfigure(self, settings: Settings) -> None: ...
 
 
-class Dice:
-    """Stands in for `secrets`: the same numbers in every run."""
+class FixedSecrets:
+    """Stands in for `secrets` with the same numbers in every run."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
@@ -61,7 +61,7 @@
 
 @dataclass
 class Machine:
-    """A machine, its disk, and what runs on it."""
+    """A machine with its disk and process."""
 
     name: str
     ip: str
@@ -79,14 +79,14 @@
 
     @property
     def plane(self) -> DataPlane:
-        """What the control side has told the balancer."""
+        """The balancer's stand-in, which records what the control plane sends."""
         assert isinstance(self.role, BalancerRole)
         plane: Any = self.role.balancer
         return plane  # type: ignore[no-any-return]
 
 
 class World:
-    """A fleet on the fabric."""
+    """A fleet in the simulated environment."""
 
     def __init__(self, loop: Loop, faults: int = 1, seed: int = 1) -> None:
         self.loop, self.network, self.faults = loop, loop.network, faults
@@ -99,20 +99,20 @@
         self.network.tap = self.transcript.tap
         self.rate_per_s = 42.0
         self.is_first = True
-        self.diskless = set[str]()  # names of machines with the control role that have no disk
+        self.diskless = set[str]()  # names of control machines without a disk
 
     def now(self) -> float:
-        """Milliseconds since the beginning."""
+        """Return the simulated time in milliseconds since the start."""
         return (self.loop.time() - self.began) * 1000
 
     # ---- machines
 
     def core(self, name: str, ip: str, zone: str) -> Machine:
-        """A machine of the core, not started yet."""
+        """Add a core machine, not started yet."""
         return self._machine(name, ip, zone, True)
 
     def edge(self, name: str, ip: str, zone: str) -> Machine:
-        """A machine for a balancer, not started yet."""
+        """Add a balancer machine, not started yet."""
         return self._machine(name, ip, zone, False)
 
     def _machine(self, name: str, ip: str, zone: str, is_core: bool) -> Machine:
@@ -121,7 +121,7 @@
         return machine
 
     def settings(self, name: str, ip: str, zone: str, is_core: bool) -> Settings:
-        """The settings of a machine as they are at the moment."""
+        """Return the current settings of a machine."""
         listen = {"ctl": f"{ip}:{CTL_PORT}"} if is_core else {"http": f"{ip}:8161", "readyz": f"{ip}:8167"}
         raw = {
             "node": name,
@@ -140,7 +140,7 @@
         return settings_file.parse(yaml.safe_dump(raw))
 
     def boot(self, *names: str) -> None:
-        """Start the processes of machines, with the settings of this moment."""
+        """Start the processes of machines with their current settings."""
         for name in names:
             machine = self.machines[name]
             machine.settings = self.settings(name, machine.ip, machine.zone, machine.is_core)
@@ -158,7 +158,7 @@
         await role.start()
 
     def kill(self, *names: str) -> None:
-        """End processes at once."""
+        """Kill processes."""
         for name in names:
             self.note(f"{name} is killed")
             process = self.machines[name].process
@@ -166,7 +166,7 @@
             process.kill()
 
     def power_off(self, *names: str) -> None:
-        """Machines lose power: nobody hears of it, and what was not synced is lost."""
+        """Cut the power of machines: peers get no reset, and unsynced data is lost."""
         for name in names:
             self.note(f"{name} loses power")
             machine = self.machines[name]
@@ -176,21 +176,21 @@
             machine.disk.lose_power()
 
     def freeze(self, name: str) -> None:
-        """A machine stands still."""
+        """Freeze a machine."""
         self.note(f"{name} freezes")
         process = self.machines[name].process
         assert process is not None
         process.freeze()
 
     def thaw(self, name: str) -> None:
-        """It goes on."""
+        """Resume a frozen machine."""
         self.note(f"{name} wakes")
         process = self.machines[name].process
         assert process is not None
         process.thaw()
 
     async def terminate(self, name: str) -> None:
-        """SIGTERM: the process ends in order."""
+        """Stop a process regularly, as on SIGTERM."""
         self.note(f"{name} is told to stop")
         machine = self.machines[name]
         process = machine.process
@@ -200,117 +200,117 @@
         process.exit()
 
     def cut(self, here: list[str], there: list[str], both_ways: bool = True) -> None:
-        """Nothing gets through between machines any more."""
+        """Block all traffic between machines."""
         way = "between" if both_ways else "from"
         self.note(f"nothing gets {way} {','.join(here)} {'and' if both_ways else 'to'} {','.join(there)}")
         self.network.cut([self.machines[n].ip for n in here], [self.machines[n].ip for n in there], both_ways)
 
     def heal(self) -> None:
-        """All paths are there again."""
+        """Restore all paths."""
         self.note("all links are back")
         self.network.heal()
 
-    # ---- what they know
+    # ---- state
 
     def node(self, name: str) -> ControlNode:
-        """The control process of a machine."""
+        """Return the control process of a machine."""
         role = self.machines[name].role
         assert isinstance(role, ControlNode)
         return role
 
     def cores(self) -> list[Machine]:
-        """The machines of the core."""
+        """Return the core machines."""
         return [m for m in self.machines.values() if m.is_core]
 
     def edges(self) -> list[Machine]:
-        """The machines with balancers."""
+        """Return the balancer machines."""
         return [m for m in self.machines.values() if not m.is_core]
 
     def running(self, machine: Machine) -> bool:
-        """Whether its process runs."""
+        """Return whether the process of a machine is running."""
         return machine.process is not None and machine.process.runs and machine.role is not None
 
     def primary(self) -> str:
-        """Who leads; empty if nobody does."""
+        """Return the name of the primary; empty if there is none."""
         leading = [m.name for m in self.cores() if self.running(m) and m.role.is_leader()]
         return leading[-1] if leading else ""
 
     def backup(self) -> str:
-        """The other that holds the data."""
+        """Return the other holder of the data."""
         replica = self.node(self.primary())._replica
         assert replica is not None and replica.primary is not None
         view = replica.primary.view
         return next(view.at(s).node for s in view.holders if s != view.primary)
 
     def witness(self) -> str:
-        """A member that holds no data."""
+        """Return a member without the data."""
         return next(m.name for m in self.cores() if m.name not in (self.primary(), self.backup()))
 
     # ---- time
 
     async def wait(self, seconds: float) -> None:
-        """Let time go by."""
+        """Let simulated time pass."""
         await asyncio.sleep(seconds)
 
-    async def wait_until(self, is_so: Callable[[], object], within_s: float, what: str = "") -> float:
-        """Let time go by until something is so; how long it took, in seconds."""
+    async def wait_until(self, condition: Callable[[], object], within_s: float, what: str = "") -> float:
+        """Wait until a condition holds; returns the seconds that it took."""
         since = self.loop.time()
-        while not is_so():
+        while not condition():
             if self.loop.time() - since > within_s:
                 raise AssertionError(f"not within {within_s} s: {what}\n{self.transcript.text()}")
             await asyncio.sleep(0.005)
         return self.loop.time() - since
 
     async def wait_served(self, within_s: float = 5.0) -> None:
-        """Until there is a primary and all balancers hear the news."""
+        """Wait until there is a primary and all balancers receive updates."""
 
         def is_served() -> bool:
             return bool(self.primary()) and all(m.role and m.role._follower.is_fresh() for m in self.edges())
 
-        await self.wait_until(is_served, within_s, "a primary that all balancers hear")
+        await self.wait_until(is_served, within_s, "a primary whose updates all balancers receive")
 
     def operator(self, name: str = "operator", *order: str) -> Operator:
-        """An operator who knows these machines, in this order; all of the core if none is named."""
+        """Return an operator who knows these machines, in this order; all core machines by default."""
         ctl = [self.machines[n].ctl for n in order] or [m.ctl for m in self.cores()]
         return Operator(name, ctl, self.name_of, self.note)
 
     def name_of(self, ip: str) -> str:
-        """The machine at an IP."""
+        """Return the name of the machine at an IP."""
         known = {m.ip: m.name for m in self.machines.values()}
         return known.get(ip, {PLATFORM[0]: "platform", OUTSIDE: "stranger"}.get(ip, ip))
 
     def note(self, text: str) -> None:
-        """A line of the transcript."""
+        """Add a line to the transcript."""
         self.transcript.add_line(text)
 
 
 class Transcript:
-    """Who said what to whom, at which millisecond; beats, pulses and rolls are left out."""
+    """All messages with sender, receiver and time in ms; the text omits heartbeats, pulses and rolls."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._readers: dict[End, FrameReader] = {}
         self.lines: list[str] = []
-        self.received: list[tuple[float, str, str, Any]] = []  # ms, from, to, message: all of them
+        self.received: list[tuple[float, str, str, Any]] = []  # time (ms), sender, receiver, message
         self.logs: list[str] = []
         self.is_quiet = False
 
     def add_line(self, text: str) -> None:
-        """One line, now."""
+        """Add a line with the current time."""
         if not self.is_quiet:
             self.lines.append(f"{self._world.now():8.0f}  {text}")
 
     def text(self) -> str:
-        """The whole transcript."""
+        """Return the complete transcript."""
         return "\n".join(self.lines) + "\n"
 
     def log(self, line: Any) -> None:
-        """A log line of one of our processes."""
+        """Record a log line of a simulated process."""
         process = PROCESS.get()
         self.logs.append(f"{process.name if process is not None else '-'}: {str(line).rstrip()}")
 
     def tap(self, end: End, data: bytes) -> None:
-        """Bytes that one end sends."""
+        """Record bytes sent by one end."""
         if not {CONTROL_PORT, BALANCER_PORT} & {end.local[1], end.remote[1]}:
             return
         here, there = self._world.name_of(end.local[0]), self._world.name_of(end.remote[0])
@@ -327,12 +327,12 @@
             self.add_line(f"{here} -> {there}: bytes that are no message")
 
     def messages(self, kind: type) -> list[tuple[float, str, str, Any]]:
-        """All messages of a kind: when (ms), from whom, to whom, what."""
+        """Return all messages of a kind with time (ms), sender and receiver."""
         return [entry for entry in self.received if isinstance(entry[3], kind)]
 
 
 def describe(message: Any) -> str | None:
-    """A message in standard words; None for what is said again and again."""
+    """Describe a message in standard terms; None for repeated messages such as heartbeats."""
     yes = "yes" if getattr(message, "ok", True) else "no"
     match message:
         case control.Ask(_, _, epoch, handover):
@@ -364,18 +364,18 @@
             return "I leave"
         case control.Released(_, _, epoch):
             return f"released, epoch {epoch}"
-        case news.Attach(_, _, _, ver):
+        case dissemination.Attach(_, _, _, ver):
             return f"subscribe, have version {ver}"
-        case news.ConfigurationNews(ver):
+        case dissemination.ConfigurationNews(ver):
             return f"configuration {ver}"
-        case news.UpstreamNews(_, _, page):
+        case dissemination.UpstreamNews(_, _, page):
             return f"list of {len(json.loads(page)['upstreams'])} upstreams"
-        case news.UpstreamChange(_, _, base, digest, entries, gone):
-            told = f"change of the list: {len(json.loads(entries))} entries, {len(gone)} gone"
-            return "the list stays" if base == digest else told
-        case news.MemberNews(_, _, balancers):
+        case dissemination.UpstreamChange(_, _, base, digest, entries, gone):
+            summary = f"change of the list: {len(json.loads(entries))} entries, {len(gone)} gone"
+            return "the list stays" if base == digest else summary
+        case dissemination.MemberNews(_, _, balancers):
             return f"members {','.join(p.node for p in balancers)}"
-        case news.Moved(ips):
+        case dissemination.Moved(ips):
             return f"moved, try {len(ips)} other"
     return None
 
@@ -389,15 +389,15 @@
 
 
 @contextlib.contextmanager
-def stand_ins(seed: int, say: Callable[[Any], None]) -> Iterator[None]:
-    """Everything that touches the machine underneath is replaced."""
-    dice = Dice(seed)
+def patched_environment(seed: int, log: Callable[[Any], None]) -> Iterator[None]:
+    """Replace everything that accesses the real machine."""
+    fixed_secrets = FixedSecrets(seed)
     logger.remove()
-    sink = logger.add(say, format="{level} {message}", level="DEBUG")
+    sink = logger.add(log, format="{level} {message}", level="DEBUG")
     with (
-        mock.patch("consensus.keeper.secrets", dice),
-        mock.patch("control.node.secrets", dice),
-        mock.patch("mastturnd.balancing.secrets", dice),
+        mock.patch("consensus.keeper.secrets", fixed_secrets),
+        mock.patch("control.node.secrets", fixed_secrets),
+        mock.patch("mastturnd.balancing.secrets", fixed_secrets),
         mock.patch("consensus.keeper.DiskQueue", InlineQueue),
         mock.patch("consensus.keeper.OsFiles", own_disk),
         mock.patch("tallies.journal.DiskQueue", InlineQueue),
@@ -416,15 +416,15 @@
 def play(
     scenario: Scenario, cores: int = 3, edges: int = 0, faults: int = 1, seed: int = 1, **more: Any
 ) -> World:
-    """Play a scenario on a fleet whose processes start together; the world as it was at the end.
+    """Run a scenario on a fleet whose processes start together; returns the final state.
 
-    Core i is at 10.(i).0.1 in zone i of `zones` (3 by default), balancers are dealt out to the zones in turn.
-    A fault that no program caught fails the play, unless `faulty=True`.
+    Core i has the IP 10.(i).0.1 in zone i of `zones` (3 by default); balancers are spread over the zones in
+    turn. An uncaught exception fails the run, unless `faulty=True`.
     """
     zones, is_faulty, starts = more.get("zones", 3), more.get("faulty", False), more.get("starts", True)
     loop = Loop()
     logs: list[Callable[[Any], None]] = []
-    with stand_ins(seed, lambda line: logs[0](line) if logs else None):
+    with patched_environment(seed, lambda line: logs[0](line) if logs else None):
         world = World(loop, faults, seed)
         logs.append(world.transcript.log)
         more.get("before", lambda world: None)(world)
@@ -439,7 +439,7 @@
 
 
 def set_up(world: World, cores: int, edges: int, zones: int) -> None:
-    """The machines of a fleet, not started yet."""
+    """Add the machines of a fleet, not started yet."""
     halls = [f"hall-{'abcdefgh'[i % zones]}" for i in range(max(cores, edges, 1))]
     if cores:
         world.seeds = [f"10.{i + 1}.0.1:{CTL_PORT}" for i in range(min(cores, 3))]
@@ -457,7 +457,7 @@
 
 
 def clean_up(world: World) -> None:
-    """End what still runs, and what was left behind by a kill."""
+    """Stop what still runs, and what a kill left behind."""
     loop, faults = world.loop, list(world.loop.faults)
     world.transcript.is_quiet = True
     world.network.tap = None
@@ -478,7 +478,7 @@
 
 
 def assert_approved(name: str, text: str) -> None:
-    """Compare a transcript with the approved one; a run with APPROVE=1 writes it anew."""
+    """Compare a text with its approved version; APPROVE=1 in the environment overwrites that."""
     path = APPROVED / f"{name}.txt"
     if os.environ.get("APPROVE") == "1":
         APPROVED.mkdir(exist_ok=True)
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -20,7 +20,7 @@
 from tests.balancer_stage import answer, configuration, playing, route
 from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
-from tests.test_dissemination_news import settled
+from tests.test_dissemination_news import wait_settled
 from umberworks.interface import Outcome
 
 PROMPT = Prompt(1000, 800, b"s")
@@ -185,10 +185,10 @@
         total = FailureSum(lambda: {("a", "z"): (1, 2)}, told.append)
         total.report("x", DoubtReport((UpstreamFailures("a", "z", 2, 3), UpstreamFailures("b", "y", 1, 1))))
         total.report("x", DoubtReport((UpstreamFailures("a", "z", 1, 1),)))
-        total._tell()
+        total._send()
         total.remove_child("x")
-        total._tell()
-        total._tell()
+        total._send()
+        total._send()
         assert told == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
 
     asyncio.run(scene())
@@ -198,7 +198,7 @@
 def test_failures_are_known_to_all_balancers_and_gone_when_they_are_taken_back() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         first, second, *others = world.edges()
         for machine in (first, second):
             machine.plane.held_against = {("i-1", "z"): (1, 2)}
@@ -218,7 +218,7 @@
 def test_a_take_over_keeps_what_is_held_and_drops_what_nobody_holds() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         first, second = world.edges()[:2]
         for machine, upstream in ((first, "i-1"), (second, "i-2")):
             machine.plane.held_against = {(upstream, "z"): (1, 2)}
--- a/tests/test_control_host_cuts.py
+++ b/tests/test_control_host_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts that stay: while more than half of the core is connected, orders are taken and come into force."""
+"""Lasting network cuts: while a majority of the core is connected, changes are accepted and take effect."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 PAIRS = [*itertools.combinations(["primary", "backup", "witness"], 2)]
 
 
-def named(world: World) -> dict[str, str]:
+def machines_by_role(world: World) -> dict[str, str]:
     return {"primary": world.primary(), "backup": world.backup(), "witness": world.witness()}
 
 
-async def orders_go_on(world: World, base: int, *at: str) -> int:
-    """One order after the other for a while, each in time; the newest version."""
+async def assert_orders_accepted(world: World, base: int, *at: str) -> int:
+    """Assert that several changes in a row are accepted in time; returns the latest version."""
     for _ in range(4):
         since = world.loop.time()
         ended = await world.operator("operator", *at).put(configuration(base + 1), base)
@@ -37,48 +37,48 @@
 def test_two_that_dont_reach_each_other_but_the_third(pair: tuple[str, str], way: str) -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        here, there = (named(world)[name] for name in pair)
+        here, there = (machines_by_role(world)[name] for name in pair)
         if way == "back":
             here, there = there, here
         world.cut([here], [there], both_ways=way == "both")
         await world.wait(3.0)
-        ver = await orders_go_on(world, 5)
+        ver = await assert_orders_accepted(world, 5)
         epochs = {m.epoch for at, _, _, m in world.transcript.messages(Pulse) if at > world.now() - 4000}
         assert len(epochs) <= 2, f"the primary changes again and again: {epochs}"
         world.heal()
         await world.wait(3.0)
-        await orders_go_on(world, ver)
+        await assert_orders_accepted(world, ver)
 
     play(scene, edges=3)
 
 
 @pytest.mark.parametrize("alone", ["primary", "backup", "witness"])
 def test_one_that_reaches_neither_of_the_others(alone: str) -> None:
-    """Balancers and operators reach all three: they have to go where the majority is."""
+    """Balancers and operators reach all three members and have to find the majority."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        names = named(world)
+        names = machines_by_role(world)
         others = [name for role, name in names.items() if role != alone]
         world.cut([names[alone]], others)
         await world.wait(3.0)
-        await orders_go_on(world, 5)
+        await assert_orders_accepted(world, 5)
         read = await world.operator("reader", names[alone], *others).get()
         assert read.status == 200 and read.body == configuration(9)
         world.heal()
         await world.wait(3.0)
-        await orders_go_on(world, 9, names[alone])
+        await assert_orders_accepted(world, 9, names[alone])
 
     play(scene, edges=3)
 
 
 @pytest.mark.parametrize("way", ["both", "there", "back"])
 def test_a_balancer_that_reaches_only_a_witness_and_others(way: str) -> None:
-    """It hears the news by its relay or not at all, never old ones, and all of them once the cut is over."""
+    """It gets updates through its relay or not at all, never outdated ones, and all of them after the cut."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        names = named(world)
+        names = machines_by_role(world)
         here, there = ["edge-1"], [names["primary"]]
         if way == "back":
             here, there = there, here
@@ -98,13 +98,13 @@
 def test_slow_links_of_one_machine(slow: str, delay_ms: int) -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        name = named(world)[slow]
+        name = machines_by_role(world)[slow]
         ip = world.machines[name].ip
         for machine in world.machines.values():
             if machine.ip != ip:
                 world.network.delays[ip, machine.ip] = world.network.delays[machine.ip, ip] = delay_ms / 1000
         await world.wait(3.0)
-        await orders_go_on(world, 5)
+        await assert_orders_accepted(world, 5)
         epochs = {m.epoch for at, _, _, m in world.transcript.messages(Pulse) if at > world.now() - 4000}
         assert len(epochs) <= 2, f"the primary changes again and again: {epochs}"
 
@@ -118,17 +118,17 @@
         for machine in world.cores():
             machine.disk.sync_s = sync_ms / 1000
         await world.wait(3.0)
-        await orders_go_on(world, 5)
+        await assert_orders_accepted(world, 5)
         world.kill(world.primary())
         await world.wait(ACK_S)
-        await orders_go_on(world, 9)
+        await assert_orders_accepted(world, 9)
 
     play(scene, edges=3)
 
 
 @pytest.mark.parametrize("trouble", ["cut", "cut-in", "cut-out", "freeze"])
 def test_whoever_leads_no_longer_answers_no_question_from_what_it_knew(trouble: str) -> None:
-    """A question that comes after a newer version was acknowledged is never answered by the older one."""
+    """A read that begins after a newer version was acknowledged never returns the older one."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -153,7 +153,7 @@
                 world.cut([old], others, both_ways=trouble == "cut")
         await world.wait_until(lambda: any(world.node(n).is_leader() for n in others), 3.0, "another leads")
         new = next(n for n in others if world.node(n).is_leader())
-        assert trouble != "cut" or world.node(old).is_leader()  # it does not know yet
+        assert trouble != "cut" or world.node(old).is_leader()  # not noticed yet
         ended = await world.operator("operator", new).put(configuration(6), 5)
         assert ended.status == 200 and ended.tries == 1
         await world.wait(1.0)
--- a/tests/test_control_host_losses.py
+++ b/tests/test_control_host_losses.py
@@ -1,4 +1,4 @@
-"""Machines of the core come, go and are replaced: nothing that was acknowledged is lost, and orders go on."""
+"""Core machines leave, return and are replaced: no acknowledged change is lost, and more are accepted."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.fabric_world import Scenario, World, assert_approved, play
 
 
-async def order(world: World, ver: int, base: int, *at: str) -> None:
-    """An order is acknowledged in time, and in force everywhere."""
+async def put_in_force(world: World, ver: int, base: int, *at: str) -> None:
+    """Assert that a change is acknowledged in time and takes effect everywhere."""
     since = world.loop.time()
     ended = await world.operator("operator", *at).put(configuration(ver), base)
     assert ended.status == 200
@@ -21,10 +21,10 @@
 
 
 async def wiped(world: World, which: str) -> None:
-    """A machine loses its disk right after it has acknowledged something, and comes back without."""
+    """A machine loses its disk right after an acknowledgement and returns with an empty one."""
     await start_fleet(world)
     name = {"primary": world.primary, "backup": world.backup, "witness": world.witness}[which]()
-    await order(world, 6, 5)
+    await put_in_force(world, 6, 5)
     world.power_off(name)
     world.machines[name].disk.wipe()
     world.note(f"{name} has lost its disk")
@@ -33,8 +33,8 @@
     await world.wait(4.0)
     members = [m for m in world.node(world.primary())._replica.primary.view.members]  # type: ignore[union-attr]
     assert sorted(m.node for m in members if m is not None) == ["core-1", "core-2", "core-3"]
-    await order(world, 7, 6, name)
-    # With the wiped one back, either of the others may go.
+    await put_in_force(world, 7, 6, name)
+    # With the wiped machine back, either of the others may fail.
     other = next(m.name for m in world.cores() if m.name != name)
     world.power_off(other)
     await world.wait(2.0)
@@ -43,7 +43,7 @@
 
 
 async def replaced(world: World, planned: bool) -> None:
-    """A machine of the core goes for good; another with an empty disk joins at another address."""
+    """A core machine is removed for good; another joins with an empty disk and another address."""
     await start_fleet(world)
     gone = world.primary()
     if planned:
@@ -55,33 +55,33 @@
     del world.machines[gone]
     world.core("core-4", "10.1.0.4", "hall-a")
     world.boot("core-4")
-    await order(world, 6, 5)
+    await put_in_force(world, 6, 5)
     await world.wait(4.0)
     members = [m for m in world.node(world.primary())._replica.primary.view.members]  # type: ignore[union-attr]
     assert sorted(m.node for m in members if m is not None) == ["core-2", "core-3", "core-4"]
-    # The new one counts: another may go now.
+    # The new machine counts: another may fail now.
     other = world.primary()
     world.power_off(other)
-    await order(world, 7, 6, *(m.name for m in world.cores() if m.name != other))
+    await put_in_force(world, 7, 6, *(m.name for m in world.cores() if m.name != other))
 
 
 async def all_killed(world: World) -> None:
-    """Everything is killed at once right after an acknowledgement, and starts again."""
+    """All processes are killed at once right after an acknowledgement, and restarted."""
     await start_fleet(world)
     ended = await world.operator().put(configuration(6), 5)
     assert ended.status == 200
-    everybody = list(world.machines)
-    world.kill(*everybody)
+    machine_names = list(world.machines)
+    world.kill(*machine_names)
     await world.wait(0.7)
-    world.boot(*everybody)
+    world.boot(*machine_names)
     started = world.loop.time()
     read = await world.operator("reader").get()
     assert read.status == 200 and read.body == configuration(6)
     assert world.loop.time() - started < ACK_S
     await wait_in_force(world, 6)
-    await world.wait(0.1)  # balancers hear the configuration at once; the list is read by who leads just now
+    await world.wait(0.1)  # the configuration arrives at once; the list is read by the new primary
     assert all(m.plane.is_allowed for m in world.edges())
-    await order(world, 9, 6)
+    await put_in_force(world, 9, 6)
 
 
 async def all_lose_power(world: World) -> None:
@@ -89,17 +89,17 @@
     await start_fleet(world)
     ended = await world.operator().put(configuration(6), 5)
     assert ended.status == 200
-    everybody = list(world.machines)
-    world.power_off(*everybody)
+    machine_names = list(world.machines)
+    world.power_off(*machine_names)
     await world.wait(1.0)
-    world.boot(*everybody)
+    world.boot(*machine_names)
     read = await world.operator("reader").get()
     assert read.status == 200 and read.body == configuration(6)
     await wait_in_force(world, 6)
 
 
 async def seeds_turned_over(world: World) -> None:
-    """Two machines of the core are replaced one after the other; the seeds in the file follow."""
+    """Two core machines are replaced one after the other; the seeds in the settings follow."""
     await start_fleet(world)
     for number, (gone, ip, hall) in enumerate(
         [("core-1", "10.1.0.4", "hall-a"), ("core-2", "10.2.0.5", "hall-b")]
@@ -113,15 +113,15 @@
         for machine in world.machines.values():
             machine.role.reconfigure(world.settings(machine.name, machine.ip, machine.zone, machine.is_core))
         world.note(f"the seeds are {','.join(m.name for m in world.cores())}")
-    await order(world, 6, 5)
+    await put_in_force(world, 6, 5)
     world.kill(*(m.name for m in world.machines.values()))
     await world.wait(0.5)
     world.boot(*world.machines)
-    await order(world, 7, 6)
+    await put_in_force(world, 7, 6)
 
 
 def test_a_newcomer_whose_seeds_were_all_down_joins_once_the_file_names_others() -> None:
-    """The file that it started with was old; it changes without a signal."""
+    """Its settings file was outdated at the start and changes without a signal."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -135,7 +135,7 @@
         world.seeds = seeds[1:]
         for machine in (new, balancer):
             machine.role.reconfigure(world.settings(machine.name, machine.ip, machine.zone, machine.is_core))
-        await world.wait_until(lambda: balancer.plane.ver == 5, 2.0, "the balancer hears the news")
+        await world.wait_until(lambda: balancer.plane.ver == 5, 2.0, "the balancer receives updates")
 
         def is_member() -> bool:
             replica = world.node(world.primary())._replica if world.primary() else None
@@ -152,11 +152,11 @@
         await start_fleet(world)
         first = world.primary()
         world.kill(first)
-        await order(world, 6, 5, *(m.name for m in world.cores() if m.name != first))
+        await put_in_force(world, 6, 5, *(m.name for m in world.cores() if m.name != first))
         second = world.primary()
         world.power_off(second)
         rest = [m.name for m in world.cores() if m.name not in (first, second)]
-        await order(world, 7, 6, *rest)
+        await put_in_force(world, 7, 6, *rest)
         world.boot(first, second)
         await world.wait(4.0)
         third = world.primary()
@@ -175,7 +175,7 @@
         world.kill("core-1")
         await world.wait(0.5)
         world.boot("core-1")
-        await order(world, 6, 5)
+        await put_in_force(world, 6, 5)
 
     play(scene, cores=1, edges=2, faults=0)
 
@@ -196,30 +196,30 @@
     assert_approved(f"losses-{name}", world.transcript.text())
 
 
-async def begun_anew(world: World) -> None:
-    """All disks of the core are lost, and it is begun anew: balancers that ran on hear its news again."""
+async def core_restarted_without_disks(world: World) -> None:
+    """All disks of the core are lost and it is bootstrapped again; running balancers follow it."""
     await start_fleet(world)
-    await order(world, 6, 5)
-    for _ in range(3):  # some terms, so that balancers have heard of a later epoch
+    await put_in_force(world, 6, 5)
+    for _ in range(3):  # several terms, so that balancers have seen a later epoch
         gone = world.primary()
         world.kill(gone)
         await world.wait(1.5)
         world.boot(gone)
         await world.wait(1.5)
-    heard = [m.role._latest.epoch() for m in world.edges()]
-    assert min(heard) >= 4
+    epochs = [m.role._latest.epoch() for m in world.edges()]
+    assert min(epochs) >= 4
     cores = [m.name for m in world.cores()]
     world.power_off(*cores)
     for name in cores:
         world.machines[name].disk.wipe()
     await world.wait(3.0)
     world.platform.entries = [upstream("i-1"), upstream("i-2"), upstream("i-3")]
-    world.is_first = True  # `bootstrap`, as at the first start
+    world.is_first = True  # `bootstrap` as at the first start
     world.boot(*cores)
     await world.wait_served(8.0)
     replica = world.node(world.primary())._replica
     assert replica is not None and replica.primary is not None
-    assert replica.primary.view.epoch > max(heard)
+    assert replica.primary.view.epoch > max(epochs)
     ended = await world.operator().put(configuration(7), 0)
     assert ended.status == 200
     await wait_in_force(world, 7)
@@ -228,9 +228,9 @@
         wanted = {"i-1", "i-2", "i-3"}
         return all({e.id for e in m.plane.listed[-1][1]} == wanted for m in world.edges())
 
-    await world.wait_until(has_list, 3.0, "the list of the core that was begun anew")
+    await world.wait_until(has_list, 3.0, "the list of the new core")
 
 
 def test_a_core_that_is_begun_anew_is_believed_by_balancers_that_ran_on() -> None:
-    """Its epochs counted from 1: balancers took no list, members or pulse until they were started again."""
-    play(begun_anew, edges=3)
+    """Its epochs started at 1 again: running balancers ignored its updates until they were restarted."""
+    play(core_restarted_without_disks, edges=3)
--- a/tests/test_control_host_platform.py
+++ b/tests/test_control_host_platform.py
@@ -1,4 +1,4 @@
-"""The platform's list: all pages or none, whatever it says; the last good one stays; the log is short."""
+"""The platform's list: all pages or none, the last valid list is kept, and errors are logged once."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def test_a_list_of_many_pages_is_read_within_the_platforms_rate() -> None:
-    """2,800 upstreams are 56 calls: asked all at once, one of them was turned away, and all was lost."""
+    """2,800 upstreams take 56 calls: sent all at once, one was rejected and the whole list was lost."""
 
     async def scene(world: World) -> None:
         world.platform.entries = [upstream(f"i-{n}") for n in range(2_800)]
@@ -106,7 +106,7 @@
 
 
 def test_what_is_missing_from_one_reading_of_many_pages_is_believed_gone_with_the_next() -> None:
-    """An upstream that leaves while pages are read moves all after it: one of them is on no page."""
+    """An upstream that leaves while pages are read shifts the later ones, so one of them is on no page."""
 
     async def scene(world: World) -> None:
         names = [f"i-{n}" for n in range(120)]
@@ -121,7 +121,7 @@
         assert await read({"i-3"}) == set(names) - {"i-3"}
         assert await read({"i-3"}) == set(names) - {"i-3"}
         assert await read(set()) == set(names)
-        world.platform.entries = [upstream("i-1")]  # one page: no doubt
+        world.platform.entries = [upstream("i-1")]  # a single page is consistent
         assert [e["id"] for e in await platform.read()] == ["i-1"]
 
     play(scene, starts=False)
@@ -145,7 +145,7 @@
 
 
 def test_a_page_that_is_told_again_as_it_was_is_not_read_again() -> None:
-    """The list of 2,800 took the primary 12 ms to pack, and more to read, every second."""
+    """Encoding a list of 2,800 took the primary 12 ms, and parsing more, every second."""
 
     async def scene(world: World) -> None:
         world.platform.entries = [upstream(f"i-{n}") for n in range(120)]
@@ -155,11 +155,11 @@
         world.platform.entries[60] = upstream("i-60", state="draining")
         third = await platform.read()
         assert [e["id"] for a, e in zip(first, third, strict=True) if a != e] == ["i-60"]
-        for page in range(40):  # each list of other pages: calls that are over are forgotten
+        for page in range(40):  # different page tokens each time; old pages must leave the cache
             world.platform.entries = [upstream(f"i-{n}") for n in range(60 + page)]
             world.platform.per_page = 3 + page
             await platform.read()
-        assert len(platform._pages) <= 2 * platform.pages + 8
+        assert len(platform._page_cache) <= 2 * platform.pages + 8
 
     play(scene, starts=False)
 
@@ -176,23 +176,23 @@
 def test_a_list_changes_as_an_upstream_turns_cold_or_warm_and_not_while_its_time_runs_down() -> None:
     times = ColdTimes()
 
-    def told(left_ms: float, at: float) -> bytes:
+    def published(left_ms: float, at: float) -> bytes:
         return pack(times.stabilize([upstream("a"), upstream("b", cold_left_ms=left_ms)], at))
 
-    first = told(3000, 10.0)
+    first = published(3000, 10.0)
     assert [e.get("cold_left_ms") for e in json.loads(first)["upstreams"]] == [None, 3000]
-    # A list lags, and by how much varies.
-    assert first == told(2000, 11.0) == told(1700, 12.1) == told(3, 12.99)
-    warm = told(0, 14.0)
+    # The list lags by a varying time.
+    assert first == published(2000, 11.0) == published(1700, 12.1) == published(3, 12.99)
+    warm = published(0, 14.0)
     assert warm == pack([upstream("a"), upstream("b")])
-    again = told(2800, 20.0)
+    again = published(2800, 20.0)
     assert json.loads(again)["upstreams"][1]["cold_left_ms"] == 2800
-    assert told(1900, 21.0) == again
-    anew = told(2800, 22.4)  # it has turned cold once more in between
-    assert anew != again
-    assert told(1000, 24.2) == anew
+    assert published(1900, 21.0) == again
+    restarted = published(2800, 22.4)  # it has turned cold again in between
+    assert restarted != again
+    assert published(1000, 24.2) == restarted
     times.stabilize([], 60.0)
-    assert not times._told
+    assert not times._published
 
 
 @pytest.mark.parametrize("odd", [None, True, "soon", -5, [], {}])
@@ -219,7 +219,7 @@
 
 
 def test_a_fault_in_the_work_of_a_role_does_not_end_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The primary's pulse and a lone balancer's watch go on behind a fault that nobody foresaw."""
+    """The primary's pulse and a lone balancer's reads of the list survive an unexpected exception."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
--- a/tests/test_control_host_transcripts.py
+++ b/tests/test_control_host_transcripts.py
@@ -1,4 +1,4 @@
-"""Whole exchanges of control processes, operators and balancers, compared with approved transcripts."""
+"""Complete exchanges of control processes, operators and balancers, compared with approved transcripts."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 async def resent(world: World) -> None:
-    """The answer is lost: the very same order is resent, to another process."""
+    """The response is lost, and the same change is sent again to another process."""
     await start_fleet(world)
     operator = world.operator("operator", "core-1", "core-2", "core-3")
     order = asyncio.create_task(operator.put(configuration(6), 5))
@@ -64,7 +64,7 @@
 
 
 async def write_while(world: World, trouble: str) -> None:
-    """Something happens to the primary while a write is under way."""
+    """The primary fails in some way during a write."""
     await start_fleet(world)
     primary = world.primary()
     others = [m.name for m in world.cores() if m.name != primary]
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("trouble", ["nobody leads", "the write hangs"])
 def test_an_operator_is_told_to_come_back_before_he_takes_us_for_silent(trouble: str) -> None:
-    """Callers go elsewhere after a second without a word."""
+    """Clients give up on a process after a second without a response."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
--- a/tests/test_dissemination_holdings.py
+++ b/tests/test_dissemination_holdings.py
@@ -1,4 +1,4 @@
-"""What upstreams have read: the table that each process keeps, and what of it goes on."""
+"""The table of holdings of each process, and which additions are passed on."""
 
 from __future__ import annotations
 
--- a/tests/test_dissemination_lists.py
+++ b/tests/test_dissemination_lists.py
@@ -1,4 +1,4 @@
-"""Changes of the list of upstreams: both sides come to the same bytes, or one asks for all of it."""
+"""Changes of the list: the receiver gets the same bytes as the sender, or requests the complete list."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 from tests.fabric_callers import upstream
 from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
-from tests.test_dissemination_feed import Desk, Wire, attach, link
+from tests.test_dissemination_feed import FakeLink, FeedSetup, attach, link
 from transport.wire import COMPRESSED_KIND, MAX_FRAME_BYTES, compress_frame, decompress_frame
 
 
-def news(entries: list[dict[str, Any]], number: int = 1) -> UpstreamNews:
+def list_update(entries: list[dict[str, Any]], number: int = 1) -> UpstreamNews:
     return UpstreamNews(1, number, pack(entries))
 
 
 def test_a_list_and_its_changes_are_the_list_that_was_meant() -> None:
-    dice = random.Random(1)
+    rng = random.Random(1)
     entries = {f"i-{n}": upstream(f"i-{n}") for n in range(60)}
-    here = there = news(list(entries.values()))
+    here = there = list_update(list(entries.values()))
     for number in range(2, 60):
-        for _ in range(dice.randint(0, 3)):
-            entries.pop(dice.choice(sorted(entries)))
-        for _ in range(dice.randint(0, 3)):
-            name = f"i-{dice.randint(0, 90)}"
-            entries[name] = upstream(name, state=dice.choice(["up", "draining"]))
-        now = news(dice.sample(list(entries.values()), len(entries)), number)
+        for _ in range(rng.randint(0, 3)):
+            entries.pop(rng.choice(sorted(entries)))
+        for _ in range(rng.randint(0, 3)):
+            name = f"i-{rng.randint(0, 90)}"
+            entries[name] = upstream(name, state=rng.choice(["up", "draining"]))
+        now = list_update(rng.sample(list(entries.values()), len(entries)), number)
         change = diff_lists(here, now)
         assert change is not None and len(change.entries) < len(now.page) / 4
         here, there = now, apply_change(there, change)
@@ -46,59 +46,60 @@
 
 
 def test_what_can_not_be_told_as_a_change_is_told_whole() -> None:
-    some = news([upstream(f"i-{n}") for n in range(9)])
+    some = list_update([upstream(f"i-{n}") for n in range(9)])
     assert diff_lists(None, some) is None
-    assert diff_lists(some, news([upstream("x"), upstream("x")], 2)) is None  # one id twice
-    assert diff_lists(some, news([{"no": "id"}], 2)) is None
+    assert diff_lists(some, list_update([upstream("x"), upstream("x")], 2)) is None  # duplicate id
+    assert diff_lists(some, list_update([{"no": "id"}], 2)) is None
     assert diff_lists(some, UpstreamNews(1, 2, b"no list")) is None
-    assert diff_lists(some, news([upstream(f"j-{n}") for n in range(9)], 2)) is None  # no shorter
+    # not shorter than the list
+    assert diff_lists(some, list_update([upstream(f"j-{n}") for n in range(9)], 2)) is None
 
 
 @pytest.mark.parametrize("spoil", ["base", "digest", "entries", "none"])
 def test_a_change_that_does_not_fit_is_a_gap(spoil: str) -> None:
-    known = news([upstream(f"i-{n}") for n in range(9)])
-    change = diff_lists(known, news([upstream(f"i-{n}") for n in range(1, 9)], 2))
+    known = list_update([upstream(f"i-{n}") for n in range(9)])
+    change = diff_lists(known, list_update([upstream(f"i-{n}") for n in range(1, 9)], 2))
     assert change is not None
     fields = {"base": change.base, "digest": change.digest, "entries": change.entries}
     fields |= {"base": {"base": b"other"}, "digest": {"digest": b"other"}, "entries": {"entries": b"[5"}}.get(
         spoil, {}
     )
     bad = UpstreamChange(1, 2, **fields, gone=change.gone)
-    with pytest.raises(GapError, match="attach anew"):
+    with pytest.raises(GapError, match="attach again"):
         apply_change(None if spoil == "none" else known, bad)
 
 
 def test_the_same_list_by_a_later_stamp() -> None:
-    known = news([upstream("a")])
+    known = list_update([upstream("a")])
     later = UpstreamNews(2, 7, known.page)
     assert apply_change(known, unchanged_list(later)) == later
     assert digest_of(None) == b"" and digest_of(known) == digest_of(later)
 
 
-# ---- who is told what
+# ---- lists and changes sent to children
 
 
-def hears(desk: Desk, node: str, edition: int, digest: bytes) -> Wire:
+def attach_child(setup: FeedSetup, node: str, edition: int, digest: bytes) -> FakeLink:
     to, wire = link()
-    desk.feed.on_hello(to, Speaks(edition, digest))
-    desk.feed.attach(to, attach(node, ver=5))
+    setup.feed.on_hello(to, Speaks(edition, digest))
+    setup.feed.attach(to, attach(node, ver=5))
     return wire
 
 
 def test_each_child_is_told_of_a_list_what_it_lacks() -> None:
-    desk = Desk()
-    old = news([upstream(f"i-{n}") for n in range(30)])
-    desk.bulletin.store(old)
-    has, lacks = hears(desk, "has", 3, digest_of(old)), hears(desk, "lacks", 3, b"")
-    before = hears(desk, "before", 2, digest_of(old))
+    setup = FeedSetup()
+    old = list_update([upstream(f"i-{n}") for n in range(30)])
+    setup.latest.store(old)
+    has, lacks = attach_child(setup, "has", 3, digest_of(old)), attach_child(setup, "lacks", 3, b"")
+    before = attach_child(setup, "before", 2, digest_of(old))
     assert has.sent == [unchanged_list(old)] and lacks.sent == [old] and before.sent == [old]
-    new = news([upstream(f"i-{n}") for n in range(1, 30)], 2)
+    new = list_update([upstream(f"i-{n}") for n in range(1, 30)], 2)
     change = diff_lists(old, new)
-    desk.bulletin.store(new)
-    desk.feed.broadcast_list(new, change)
+    setup.latest.store(new)
+    setup.feed.broadcast_list(new, change)
     assert has.sent[-1] == lacks.sent[-1] == change and before.sent[-1] == new
-    other = news([upstream("x")], 3)
-    desk.feed.broadcast_list(other, None)
+    other = list_update([upstream("x")], 3)
+    setup.feed.broadcast_list(other, None)
     assert has.sent[-1] == lacks.sent[-1] == before.sent[-1] == other
 
 
@@ -117,7 +118,7 @@
     play(scene, edges=3)
 
 
-# ---- packed frames
+# ---- compressed frames
 
 
 def test_long_frames_go_packed_to_those_that_take_them() -> None:
@@ -140,7 +141,7 @@
         b"\0\x65no zlib",
         b"\0\x65" + zlib.compress(b"abc")[:-2],
         b"\0\x65" + zlib.compress(b"abc") + b"more",
-        b"\0\x70" + zlib.compress(b"\0\x65"),  # packed twice
+        b"\0\x70" + zlib.compress(b"\0\x65"),  # compressed twice
         b"\0\x65" + zlib.compress(bytes(MAX_FRAME_BYTES + 1)),
     ],
 )
@@ -152,47 +153,47 @@
 
 
 def test_attaching_again_by_the_same_connection_tells_all() -> None:
-    desk = Desk()
-    listed = news([upstream(f"i-{n}") for n in range(30)])
-    desk.bulletin.store(listed)
+    setup = FeedSetup()
+    listed = list_update([upstream(f"i-{n}") for n in range(30)])
+    setup.latest.store(listed)
     to, wire = link()
-    desk.feed.on_hello(to, Speaks(3, digest_of(listed)))
-    desk.feed.attach(to, Attach("a", "ip", "hall-a", 5, 1, 1))
+    setup.feed.on_hello(to, Speaks(3, digest_of(listed)))
+    setup.feed.attach(to, Attach("a", "ip", "hall-a", 5, 1, 1))
     assert wire.sent == []
-    desk.feed.on_hello(to, Speaks(3, b""))
-    desk.feed.attach(to, Attach("a", "ip", "hall-a", 5, 0, 0))
+    setup.feed.on_hello(to, Speaks(3, b""))
+    setup.feed.attach(to, Attach("a", "ip", "hall-a", 5, 0, 0))
     assert wire.sent == [listed] and not wire.is_closed
 
 
 def test_a_copy_that_follows_changes_is_the_list_read_anew() -> None:
-    dice = random.Random(2)
+    rng = random.Random(2)
     entries = {f"i-{n}": upstream(f"i-{n}") for n in range(40)}
-    known, copy, reader = news(list(entries.values())), ListCopy(), ListReader()
+    known, copy, reader = list_update(list(entries.values())), ListCopy(), ListReader()
     reader.read(known, None)
     for number in range(2, 80):
-        for _ in range(dice.randint(0, 3)):
-            entries.pop(dice.choice(sorted(entries)))
-        for _ in range(dice.randint(1, 4)):
-            name = f"i-{dice.randint(0, 60)}"
-            entries[name] = upstream(name, state=dice.choice(["up", "draining", "no state"]))
-        now = news(list(entries.values()), number)
+        for _ in range(rng.randint(0, 3)):
+            entries.pop(rng.choice(sorted(entries)))
+        for _ in range(rng.randint(1, 4)):
+            name = f"i-{rng.randint(0, 60)}"
+            entries[name] = upstream(name, state=rng.choice(["up", "draining", "no state"]))
+        now = list_update(list(entries.values()), number)
         change = diff_lists(known, now)
         assert change is not None
-        if dice.random() < 0.2:  # one that does not fit comes between
+        if rng.random() < 0.2:  # an invalid change in between
             with pytest.raises(GapError):
                 copy.apply(known, UpstreamChange(1, number, change.base, b"other", change.entries, ("i-1",)))
         assert copy.apply(known, change) == now
         whole, _ = parse_upstreams(now.page)
-        assert reader.read(now, change if dice.random() < 0.8 else None) == whole
+        assert reader.read(now, change if rng.random() < 0.8 else None) == whole
         known = now
 
 
 def test_a_reader_that_has_missed_a_list_reads_the_whole_one() -> None:
     first, second = (
-        news([upstream(f"i-{n}") for n in range(9)]),
-        news([upstream(f"i-{n}") for n in range(8)], 2),
+        list_update([upstream(f"i-{n}") for n in range(9)]),
+        list_update([upstream(f"i-{n}") for n in range(8)], 2),
     )
-    third = news([upstream(f"i-{n}") for n in range(7)], 3)
+    third = list_update([upstream(f"i-{n}") for n in range(7)], 3)
     reader = ListReader()
     reader.read(first, None)
     change = diff_lists(second, third)
@@ -205,9 +206,9 @@
 
 
 def test_a_change_costs_a_reader_and_a_copy_what_has_changed() -> None:
-    """Entries that stay are the same objects and the same bytes: nothing of them is read or encoded again."""
-    known = news([upstream(f"i-{n}") for n in range(50)])
-    now = news([upstream(f"i-{n}", state="draining" if n == 7 else "up") for n in range(50)], 2)
+    """Unchanged entries stay the same objects and bytes: they are neither parsed nor encoded again."""
+    known = list_update([upstream(f"i-{n}") for n in range(50)])
+    now = list_update([upstream(f"i-{n}", state="draining" if n == 7 else "up") for n in range(50)], 2)
     change = diff_lists(known, now)
     assert change is not None
     reader = ListReader()
--- a/tests/test_dissemination_loads.py
+++ b/tests/test_dissemination_loads.py
@@ -1,4 +1,4 @@
-"""The sums of all balancers' work are right, with relays in between and after they have moved."""
+"""The load sums of all balancers are right through relays, and again after relays have changed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from dissemination.messages import Attach, LoadNews, LoadReport, LoadStep, UpstreamLoad
 from tests.fabric_scenes import start_fleet
 from tests.fabric_world import Machine, World, play
-from tests.test_dissemination_news import settled
+from tests.test_dissemination_news import wait_settled
 
-UP_S = 0.5  # a change is known everywhere within this
+SUM_TIMEOUT_S = 0.5  # a change reaches every balancer within this
 
 
-def work(world: World, each: int = 1) -> dict[str, tuple[int, int]]:
-    """Each balancer has its number of calls out at one upstream; what all have out."""
+def set_loads(world: World, each: int = 1) -> dict[str, tuple[int, int]]:
+    """Set outstanding calls at one upstream, different for each balancer; returns the total."""
     for number, machine in enumerate(world.edges(), 1):
         machine.plane.put_load(**{"i-1": (number * each, 100 * number * each)})
     count = len(world.edges())
@@ -25,14 +25,14 @@
     return {"i-1": (total, 100 * total)}
 
 
-def is_right(world: World, among: list[Machine] | None = None) -> bool:
-    """Every balancer that runs knows exactly what the others that run have out."""
+def sums_are_right(world: World, among: list[Machine] | None = None) -> bool:
+    """Return whether every running balancer knows the exact load of the other running ones."""
     running = among or [m for m in world.edges() if world.running(m)]
     calls = sum(m.plane.work.get("i-1", (0, 0))[0] for m in running)
     return all(m.plane.others("i-1")[0] == calls - m.plane.work.get("i-1", (0, 0))[0] for m in running)
 
 
-def seen(world: World) -> str:
+def describe_loads(world: World) -> str:
     return ", ".join(f"{m.name} {m.plane.work} others {m.plane.others('i-1')}" for m in world.edges())
 
 
@@ -40,14 +40,14 @@
 def test_sums_are_right_through_relays(edges: int) -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
-        work(world, 3)
-        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
+        await wait_settled(world)
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, describe_loads(world))
+        set_loads(world, 3)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, describe_loads(world))
         for machine in world.edges():
             machine.plane.put_load()
-        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, describe_loads(world))
         assert all(m.plane.others("i-1") == (0, 0) for m in world.edges())
 
     play(scene, edges=edges, zones=1)
@@ -56,13 +56,13 @@
 @pytest.mark.parametrize("trouble", ["kill", "power", "freeze", "cut", "restart"])
 @pytest.mark.parametrize("whom", ["relay", "leaf", "primary"])
 def test_sums_are_right_again_after_a_trouble(trouble: str, whom: str) -> None:
-    """Nobody's work is counted twice, or after it has gone, for longer than it takes to be noticed."""
+    """No load counts twice, or after its balancer is gone, for longer than detecting that takes."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        relay = await settled(world)
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S)
+        relay = await wait_settled(world)
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S)
         leaf = next(m.name for m in world.edges() if m.name != relay and world.running(m))
         name = {"relay": relay, "leaf": leaf, "primary": world.primary()}[whom]
         match trouble:
@@ -80,57 +80,59 @@
                 world.boot(name)
         if trouble == "cut" and whom != "primary":
             alone = world.machines[name].plane
-            alone.work = {}  # nobody is to count what it has out
+            alone.work = {}  # the others must not count its load
             others = [m for m in world.edges() if m.name != name]
-            await world.wait_until(lambda: is_right(world, others), 5.0, "without the one that is cut off")
-            await calm(world)
-            assert is_right(world, others), seen(world)
-            assert alone.others("i-1") == (0, 0)  # what it knew is no use any more
+            await world.wait_until(
+                lambda: sums_are_right(world, others), 5.0, "without the one that is cut off"
+            )
+            await wait_stable(world)
+            assert sums_are_right(world, others), describe_loads(world)
+            assert alone.others("i-1") == (0, 0)  # its knowledge of the others has expired
             world.heal()
-        await world.wait_until(lambda: is_right(world), 5.0, "all that run")
-        await calm(world)
-        assert is_right(world), seen(world)
+        await world.wait_until(lambda: sums_are_right(world), 5.0, "all that run")
+        await wait_stable(world)
+        assert sums_are_right(world), describe_loads(world)
         if trouble == "freeze":
             world.thaw(name)
-            await world.wait_until(lambda: is_right(world), 3.0, "after it has woken")
-            await calm(world)
-            assert is_right(world), seen(world)
+            await world.wait_until(lambda: sums_are_right(world), 3.0, "after the thaw")
+            await wait_stable(world)
+            assert sums_are_right(world), describe_loads(world)
 
     play(scene, edges=12, zones=1)
 
 
-async def calm(world: World) -> None:
-    """Until nobody has attached anew for 3 s."""
+async def wait_stable(world: World) -> None:
+    """Wait until no balancer has attached for 3 s."""
 
-    def is_calm() -> bool:
+    def is_stable() -> bool:
         attached = world.transcript.messages(Attach)
         return not attached or world.now() - attached[-1][0] > 3000
 
-    await world.wait_until(is_calm, 12.0, "nobody attaches any more")
+    await world.wait_until(is_stable, 12.0, "no balancer attaches again")
 
 
 @pytest.mark.parametrize("edges", [4, 12])
 def test_sums_hardly_dip_while_the_tree_changes(edges: int) -> None:
-    """Most balancers move to other relays: what is known of all work is never far off for long."""
+    """While most balancers change their relay, the known total is off by half for at most 250 ms."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        relay = await settled(world)
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S)
+        relay = await wait_settled(world)
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S)
         world.kill(relay)
         await world.wait(0.5)
         world.boot(relay)
         await world.wait(0.5)
-        far = dict.fromkeys(world.machines, 0)  # ms, without a break
+        wrong_ms = dict.fromkeys(world.machines, 0)  # ms without a break
         for _ in range(1000):
             await world.wait(0.01)
             running = [m for m in world.edges() if m.name != relay]
             calls = sum(m.plane.work["i-1"][0] for m in running)
             for machine in running:
                 known = machine.plane.others("i-1")[0] + machine.plane.work["i-1"][0]
-                far[machine.name] = far[machine.name] + 10 if not 0.5 <= known / calls <= 1.5 else 0
-                assert far[machine.name] <= 250, f"{machine.name} knows of {known} of {calls}"
+                wrong_ms[machine.name] = wrong_ms[machine.name] + 10 if not 0.5 <= known / calls <= 1.5 else 0
+                assert wrong_ms[machine.name] <= 250, f"{machine.name} knows of {known} of {calls}"
 
     play(scene, edges=edges, zones=1)
 
@@ -138,37 +140,37 @@
 def test_a_balancer_that_attaches_hears_the_sums_though_nothing_changes() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S)
+        await wait_settled(world)
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S)
         world.edge("edge-new", "10.1.1.77", "hall-a")
         world.boot("edge-new")
         await world.wait_until(lambda: world.machines["edge-new"].role is not None, 1.0)
-        await world.wait_until(lambda: is_right(world), 1.0, seen(world))
-        await world.wait(5.0)  # it has moved to its relay
-        assert is_right(world), seen(world)
+        await world.wait_until(lambda: sums_are_right(world), 1.0, describe_loads(world))
+        await world.wait(5.0)  # until it has moved to its relay
+        assert sums_are_right(world), describe_loads(world)
 
     play(scene, edges=4, zones=1)
 
 
 @pytest.mark.parametrize("away_s", [0.1, 0.6, 2.0])
 def test_sums_reported_before_anybody_led_are_told_by_who_leads_then(away_s: float) -> None:
-    """Balancers wait where they are while a core starts anew; nothing of their work changes meanwhile."""
+    """Sums reported while there is no primary are published by the next one, without another change."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S)
+        await wait_settled(world)
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S)
         world.kill("core-1", "core-2", "core-3")
         for machine in world.edges():
             machine.role._others.clear()
         await world.wait(away_s)
         world.boot("core-1", "core-2", "core-3")
         await world.wait_until(lambda: world.primary(), 2.0, "a primary")
-        await world.wait_until(lambda: is_right(world), 2.5, "the sums are right")
-        await calm(world)
-        assert is_right(world), seen(world)
+        await world.wait_until(lambda: sums_are_right(world), 2.5, "the sums are right")
+        await wait_stable(world)
+        assert sums_are_right(world), describe_loads(world)
 
     play(scene, edges=4, zones=1)
 
@@ -176,14 +178,14 @@
 def test_the_news_are_not_told_more_often_than_they_may() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         since = world.now()
         for number in range(1000):
             world.machines[f"edge-{number % 4 + 1}"].plane.put_load(**{"i-1": (number, 0)})
             await world.wait(0.001)
-        told = [entry for entry in world.transcript.messages(LoadStep) if entry[0] > since]
-        by_link = {(here, there) for _, here, there, _ in told}
-        assert len(by_link) == 4 and len(told) / len(by_link) <= 1000 / 40 + 2
+        steps = [entry for entry in world.transcript.messages(LoadStep) if entry[0] > since]
+        by_link = {(here, there) for _, here, there, _ in steps}
+        assert len(by_link) == 4 and len(steps) / len(by_link) <= 1000 / 40 + 2
         assert not [entry for entry in world.transcript.messages(LoadNews) if entry[0] > since]
 
     play(scene, edges=4, zones=1)
@@ -208,22 +210,22 @@
 
 def test_a_child_that_has_gone_is_forgotten() -> None:
     async def scene(world: World) -> None:
-        told: list[tuple[UpstreamLoad, ...]] = []
-        loads = LoadSum(lambda: {"a": (1, 1)}, told.append)
+        sums: list[tuple[UpstreamLoad, ...]] = []
+        loads = LoadSum(lambda: {"a": (1, 1)}, sums.append)
         loads.report("x", LoadReport((UpstreamLoad("a", 4, 4),)))
         await world.wait(0.1)
         loads.report("x", LoadReport((UpstreamLoad("a", 2, 2),)))
         await world.wait(0.1)
         loads.remove_child("x")
         await world.wait(0.1)
-        assert [t[0].calls for t in told] == [5, 3, 1]
+        assert [t[0].calls for t in sums] == [5, 3, 1]
 
     play(scene, starts=False)
 
 
 @pytest.mark.parametrize(("upstreams", "least_s", "most_s"), [(1, 0.0, 0.05), (2_800, 3.0, 4.0)])
 def test_sums_of_many_upstreams_go_on_less_often(upstreams: int, least_s: float, most_s: float) -> None:
-    """Found by the capacity page: 2,800 entries, 25 times a second, are 1.7 MB a second to each told."""
+    """Complete sums of 2,800 upstreams, sent 25 times a second, would take 1.7 MB/s per receiver."""
     loads: Loads = {f"u{n}": (1, 1) for n in range(upstreams)}
 
     async def scene() -> None:
--- a/tests/test_dissemination_news.py
+++ b/tests/test_dissemination_news.py
@@ -1,4 +1,4 @@
-"""News reach every balancer in time, whatever happens to whoever passes them on."""
+"""Updates reach every balancer in time, whatever happens to relays and control processes."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from transport.links import Links
 
 
-def relays(world: World) -> dict[str, str]:
-    """Who hears the news from which balancer, as it stands."""
+def relay_parents(world: World) -> dict[str, str]:
+    """Return the relay from which each balancer currently receives updates."""
     names = {m.ip: m.name for m in world.edges()}
     parents = {m.name: m.role._follower.parent() for m in world.edges() if world.running(m)}
     return {
@@ -31,25 +31,25 @@
     }
 
 
-async def settled(world: World) -> str:
-    """The tree stands: each balancer hears from whom it is to; the relay that most hear from."""
+async def wait_settled(world: World) -> str:
+    """Wait until every balancer has its assigned parent; returns the relay with the most children."""
 
-    def stands() -> bool:
-        known = relays(world)
+    def is_settled() -> bool:
+        known = relay_parents(world)
         members = [m.role._follower._me for m in world.edges()]
         wanted = {m.node: parent_of(m.node, m.zone, members) for m in members}
         return known == {node: parent.node for node, parent in wanted.items() if parent is not None}
 
-    await world.wait_until(stands, 10.0, "the tree stands")
-    known = list(relays(world).values())
+    await world.wait_until(is_settled, 10.0, "every balancer has its parent")
+    known = list(relay_parents(world).values())
     return max(known, key=known.count) if known else ""
 
 
 def test_the_tree_of_relays_forms_and_news_go_down_it() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
-        direct = [m for m in world.edges() if m.name not in relays(world)]
+        await wait_settled(world)
+        direct = [m for m in world.edges() if m.name not in relay_parents(world)]
         assert len(direct) == 1
         await world.operator().put(configuration(6), 5)
         await wait_in_force(world, 6, 0.1)
@@ -62,7 +62,7 @@
 def test_a_relay_in_trouble_holds_no_news_up(trouble: str, phase: float) -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        relay = await settled(world)
+        relay = await wait_settled(world)
         await world.wait(phase)
         match trouble:
             case "freeze":
@@ -84,7 +84,7 @@
 def test_a_relay_that_freezes() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        relay = await settled(world)
+        relay = await wait_settled(world)
         world.transcript.lines.clear()
         world.freeze(relay)
         await world.operator().put(configuration(6), 5)
@@ -94,7 +94,7 @@
         world.thaw(relay)
         await wait_in_force(world, 6)
         await world.wait(3.0)
-        await settled(world)
+        await wait_settled(world)
 
     world = play(scene, edges=4, zones=1)
     assert_approved("news-relay-freezes", world.transcript.text())
@@ -102,11 +102,11 @@
 
 @pytest.mark.parametrize("edges", [3, 12])
 def test_the_gap_when_the_primary_is_told_to_stop(edges: int) -> None:
-    """A successor is named: orders and news go on long before they are taken for lost."""
+    """With a named successor, commands and updates continue long before the primary would count as lost."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         primary = world.primary()
         since = world.now()
         await world.terminate(primary)
@@ -121,14 +121,14 @@
         await wait_in_force(world, 6, 0.5)
         gaps = [world.loop.time() - m.role._follower._pulsed_at for m in world.edges()]
         assert max(gaps) < 0.9
-        told = [at for at, _, to, _ in world.transcript.messages(Pulse) if to.startswith("edge")]
-        assert max(b - a for a, b in itertools.pairwise(told)) < 600
+        pulse_times = [at for at, _, to, _ in world.transcript.messages(Pulse) if to.startswith("edge")]
+        assert max(b - a for a, b in itertools.pairwise(pulse_times)) < 600
 
     play(scene, edges=edges, zones=1)
 
 
 def test_whoever_leads_no_longer_sends_the_balancers_on_at_once() -> None:
-    """The primary hands over and lives on: nobody waits until it is taken for silent."""
+    """The old primary keeps running after a handover: balancers are redirected without a timeout."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -147,23 +147,23 @@
 
 
 def test_who_is_below_a_relay_that_waited_for_a_primary_is_known_at_once() -> None:
-    """It said so while nobody led yet, and does not repeat it for a second."""
+    """A relay reports its members while there is no primary, and does not repeat that for a second."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         world.kill("core-1", "core-2", "core-3")
         await world.wait(0.1)
         world.boot("core-1", "core-2", "core-3")
         since = world.now()
         await world.wait_until(lambda: world.primary(), 2.0, "a primary")
         await world.wait(0.7)
-        news = [
+        members = [
             m
             for at, here, _, m in world.transcript.messages(MemberNews)
             if at > since and here in world.primary()
         ]
-        assert len(news[-1].balancers) == 12
+        assert len(members[-1].balancers) == 12
 
     play(scene, edges=12, zones=1)
 
@@ -174,11 +174,14 @@
         world.cut(["edge-1"], ["core-1", "core-2", "core-3"])
         await world.wait(1.5)
         process = Process(world.network, "edge-9", "10.1.1.9")
-        heard: list[Any] = []
+        received: list[Any] = []
 
         async def attach() -> None:
             links = Links(
-                KINDS, Endpoint("10.1.1.9", BALANCER_PORT), lambda link, m: heard.append(m), lambda link: None
+                KINDS,
+                Endpoint("10.1.1.9", BALANCER_PORT),
+                lambda link, m: received.append(m),
+                lambda link: None,
             )
             link = await links.dial(Endpoint(world.machines["edge-1"].ip, BALANCER_PORT))
             assert link is not None
@@ -186,7 +189,7 @@
             await asyncio.sleep(0.5)
 
         await world.loop.create_task(attach(), context=process.context)
-        assert [type(m) for m in heard] == [Moved]
+        assert [type(m) for m in received] == [Moved]
 
     play(scene, edges=2)
 
@@ -210,11 +213,11 @@
 
 
 def test_a_machine_without_power_among_the_seeds_holds_no_balancer_up() -> None:
-    """All lose power, and one of the control state stays away: the others take the balancers in."""
+    """All machines lose power and one control process stays down: the others accept the balancers."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         primary = world.primary()
         names = [m.name for m in world.machines.values()]
         world.power_off(*names)
@@ -241,12 +244,12 @@
         world.platform.entries[0]["state"] = "draining"
         await world.wait(40.0)
         assert world.platform.calls[0][0] - since < 4.0
-        told = [next(t for t, e in m.plane.listed if e[0].state == "draining") for m in world.edges()]
-        assert max(told) - since <= 12.0  # where they are many one reads for its zone
+        seen_at = [next(t for t, e in m.plane.listed if e[0].state == "draining") for m in world.edges()]
+        assert max(seen_at) - since <= 12.0  # in large fleets one balancer reads for its zone
         assert all(m.plane.listed[-1][1][0].state == "draining" for m in world.edges())
         assert len(world.platform.calls) / 40.0 <= rate / 4 * 1.1
         assert world.platform.busiest_second() <= rate / 2
-        # Once the control state is there, nobody else asks.
+        # With the control plane back, only the primary reads the list.
         world.boot("core-1", "core-2", "core-3")
         await world.wait_served()
         await world.wait(1.0)
@@ -273,9 +276,9 @@
     asked_s = sum(pages / turn.period for turn in turns.values())
     assert asked_s <= calls_s * 1.001 or all(t.period == LEAST_S for t in turns.values())
     readers = {turn.reader for turn in turns.values()} - {""}
-    tells = [ip for turn in turns.values() for ip in turn.tells]
+    receivers = [ip for turn in turns.values() for ip in turn.tells]
     spared = [m.ip for m in members if turns[m.node].reader]
-    assert sorted(tells) == sorted(spared)  # whoever waits for a reader is told by it, once
+    assert sorted(receivers) == sorted(spared)  # every balancer with a reader is sent the list by exactly one
     for ip in readers:
         reader = next(m for m in members if m.ip == ip)
         assert turns[reader.node].tells and not turns[reader.node].reader
@@ -304,14 +307,14 @@
 
 
 def test_a_strangers_list_is_not_taken() -> None:
-    """Only the reader of our zone is believed, and only while no control process is heard of."""
+    """Only the zone's reader is accepted, and only without contact to the control plane."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
         other, reader = Process(world.network, "x", "10.77.0.1"), world.machines["edge-1"]
         plane = world.machines["edge-2"].plane
 
-        async def tell() -> None:
+        async def send_list() -> None:
             own = Endpoint(other.ip, BALANCER_PORT)
             links = Links(KINDS, own, lambda link, message: None, lambda link: None)
             links.send(
@@ -319,11 +322,11 @@
             )
             await asyncio.sleep(0.2)
 
-        await world.loop.create_task(tell(), context=other.context)
+        await world.loop.create_task(send_list(), context=other.context)
         assert plane.ids == ["i-1", "i-2"]
         world.power_off("core-1", "core-2", "core-3")
         await world.wait(2.5)
-        await world.loop.create_task(tell(), context=other.context)
+        await world.loop.create_task(send_list(), context=other.context)
         assert plane.ids == ["i-1", "i-2"] and reader is not None
 
     play(scene, edges=2, zones=1)
@@ -340,18 +343,18 @@
         world.platform.entries = [upstream("i-4")]
         world.heal()
         await world.wait_until(
-            lambda: world.machines["edge-1"].plane.ids == ["i-4"], 2.5, "it hears the list"
+            lambda: world.machines["edge-1"].plane.ids == ["i-4"], 2.5, "it receives the list"
         )
         world.platform.entries = [upstream("i-5")]
         await world.wait_until(
-            lambda: all(m.plane.ids == ["i-5"] for m in world.edges()), 1.5, "all hear the list"
+            lambda: all(m.plane.ids == ["i-5"] for m in world.edges()), 1.5, "all receive the list"
         )
 
     play(scene, edges=2)
 
 
 def test_a_list_that_is_as_it_was_in_an_earlier_term_is_told_again() -> None:
-    """The first primary leads again and reads the list that it told last; another was told meanwhile."""
+    """A primary leads again and reads its own last list, while another list was published in between."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -365,7 +368,7 @@
         world.heal()
         world.kill(third)
         await world.wait_until(
-            lambda: world.primary() == second and world.backup() == first, 3.0, "the first holds"
+            lambda: world.primary() == second and world.backup() == first, 3.0, "the first one holds the data"
         )
         world.boot(third)
         await world.wait(2.0)
@@ -380,7 +383,7 @@
 
 
 def test_number_of_balancers_is_never_below_the_truth() -> None:
-    """Whoever was there within 20 s counts, also when the primary changes meanwhile."""
+    """A balancer counts for 20 s after it has gone, also across a change of primary."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -423,11 +426,11 @@
 
 
 def test_a_balancer_attaches_again_only_where_it_has_to() -> None:
-    """A calm fleet stays as it is."""
+    """Without changes in the fleet no balancer attaches again."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
+        await wait_settled(world)
         before = len(world.transcript.messages(Attach))
         await world.wait(30.0)
         assert len(world.transcript.messages(Attach)) == before
--- a/tests/test_dissemination_steps.py
+++ b/tests/test_dissemination_steps.py
@@ -1,4 +1,4 @@
-"""Loads as steps: both sides agree, the most wrong goes first, a bound of bytes holds, a gap is mended."""
+"""Load steps: both sides agree, the largest errors go first, bandwidth is bounded, gaps are repaired."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from control.publisher import Publisher
 from dissemination.bulletin import LatestUpdates
 from dissemination.load_steps import (
+    BURST_S,
     BYTES_S,
-    MOST,
-    MOST_PLACES,
-    SAVED_S,
+    MAX_INDEXES,
+    MAX_INT32,
     Figures,
     Loads,
     LoadStepEncoder,
@@ -38,13 +38,13 @@
 from tests.fabric_callers import upstream
 from tests.fabric_scenes import start_fleet
 from tests.fabric_world import Machine, World, play
-from tests.test_dissemination_loads import UP_S, is_right, seen, work
-from tests.test_dissemination_news import settled
+from tests.test_dissemination_loads import SUM_TIMEOUT_S, describe_loads, set_loads, sums_are_right
+from tests.test_dissemination_news import wait_settled
 from tests.test_transport_strangers import connect, port_of
 
 
-async def listed(world: World, entries: list[dict[str, Any]]) -> None:
-    """The platform's list is this one, and all balancers have it."""
+async def publish_list(world: World, entries: list[dict[str, Any]]) -> None:
+    """Set the platform's list and wait until all balancers have it."""
     world.platform.entries = entries
     names = sorted(e["id"] for e in entries)
     await world.wait_until(lambda: all(sorted(m.plane.ids) == names for m in world.edges()), 2.5, "the list")
@@ -56,22 +56,22 @@
 
 @pytest.mark.parametrize("bytes_s", [2_000, BYTES_S, 1e9])
 def test_the_other_side_follows_and_is_right_once_there_is_time(bytes_s: float) -> None:
-    dice, loads = random.Random(1), {f"u{n}": (n % 3, n % 5 * 100) for n in range(120)}
-    teller, table, now, number = LoadStepEncoder(bytes_s), LoadTable(), 10.0, 1
-    assert table.take(1, 0, *teller.whole(loads)) is not None
+    rng, loads = random.Random(1), {f"u{n}": (n % 3, n % 5 * 100) for n in range(120)}
+    encoder, table, now, number = LoadStepEncoder(bytes_s), LoadTable(), 10.0, 1
+    assert table.take(1, 0, *encoder.whole(loads)) is not None
     assert clean(table.loads) == clean(loads)
     for _ in range(500):
-        for name in dice.sample(sorted(loads), 20):
-            loads[name] = (dice.randint(0, 4), dice.randint(0, 3) * 1_000)
-            teller.mark([name])
+        for name in rng.sample(sorted(loads), 20):
+            loads[name] = (rng.randint(0, 4), rng.randint(0, 3) * 1_000)
+            encoder.mark_changed([name])
         now += 0.04
-        if (found := teller.step(loads, now)) is not None:
+        if (found := encoder.step(loads, now)) is not None:
             before = table.take(number + 1, number, *found)
             assert before is not None
             number += 1
-    while teller.behind():
+    while encoder.pending():
         now += 0.04
-        found = teller.step(loads, now)
+        found = encoder.step(loads, now)
         if found is not None:
             assert table.take(number + 1, number, *found) is not None
             number += 1
@@ -79,50 +79,50 @@
 
 
 def test_steps_stay_within_their_bytes_whatever_changes() -> None:
-    """The capacity page's first gap: all by name were 77 times what a balancer may spend."""
-    dice, names = random.Random(2), [f"i-{n:08x}" for n in range(2_800)]
+    """Sending all loads by name would exceed a balancer's bandwidth 77 times."""
+    rng, names = random.Random(2), [f"i-{n:08x}" for n in range(2_800)]
     loads = dict.fromkeys(names, (9, 9_000))
-    teller, now, sent, number = LoadStepEncoder(), 0.0, 0, 1
-    teller.whole(loads)
+    encoder, now, sent, number = LoadStepEncoder(), 0.0, 0, 1
+    encoder.whole(loads)
     for _ in range(250):
         now += 0.04
-        for name in dice.choices(names, k=384):  # 9,600 changes a second
-            loads[name] = (dice.randint(0, 40), dice.randint(0, 4) * 12_000)
-            teller.mark([name])
-        if (found := teller.step(loads, now)) is not None:
+        for name in rng.choices(names, k=384):  # 9,600 changes a second
+            loads[name] = (rng.randint(0, 40), rng.randint(0, 4) * 12_000)
+            encoder.mark_changed([name])
+        if (found := encoder.step(loads, now)) is not None:
             sent += len(KINDS.encode(LoadStep(7, number + 1, number, *found)))
             number += 1
-    assert 0.7 * BYTES_S < sent / now < 1.2 * BYTES_S + SAVED_S * BYTES_S / now
+    assert 0.7 * BYTES_S < sent / now < 1.2 * BYTES_S + BURST_S * BYTES_S / now
 
 
 def test_what_is_most_wrong_goes_first() -> None:
     loads = {f"u{n:03d}": (20, 0) for n in range(400)}
-    teller = LoadStepEncoder()
-    teller.whole(loads)
+    encoder = LoadStepEncoder()
+    encoder.whole(loads)
     for name in loads:
         loads[name] = (21, 0)
     loads["u399"] = loads["u200"] = (0, 0)
     loads["u300"] = (20, 40_000)
-    teller.mark(loads)
-    found = teller.step(loads, 1.0)
+    encoder.mark_changed(loads)
+    found = encoder.step(loads, 1.0)
     assert found is not None
-    places = found[1][::3]
-    assert {200, 300, 399} <= set(places) and len(places) < 250
+    indexes = found[1][::3]
+    assert {200, 300, 399} <= set(indexes) and len(indexes) < 250
 
 
 def test_nothing_waits_for_ever_while_more_changes_than_may_be_told() -> None:
-    """Found by the hollow fleet: readers' changes, one of one call, kept all other news from being told."""
-    dice, busy, calm = random.Random(3), [f"r{n}" for n in range(1_200)], [f"d{n}" for n in range(1_600)]
+    """Frequent small changes, of one call each, must not keep all other changes from being sent."""
+    rng, busy, calm = random.Random(3), [f"r{n}" for n in range(1_200)], [f"d{n}" for n in range(1_600)]
     loads = dict.fromkeys(calm, (20, 0)) | dict.fromkeys(busy, (0, 0))
-    teller, table, now, number = LoadStepEncoder(), LoadTable(), 0.0, 1
-    table.take(1, 0, *teller.whole({}))
-    teller.mark(loads)
+    encoder, table, now, number = LoadStepEncoder(), LoadTable(), 0.0, 1
+    table.take(1, 0, *encoder.whole({}))
+    encoder.mark_changed(loads)
     while now < 4.0:
         now += 0.04
-        for name in dice.choices(busy, k=190):  # 4,800 changes a second
+        for name in rng.choices(busy, k=190):  # 4,800 changes a second
             loads[name] = (1 - loads[name][0], 12_000 * (1 - loads[name][0]))
-            teller.mark([name])
-        if (found := teller.step(loads, now)) is not None:
+            encoder.mark_changed([name])
+        if (found := encoder.step(loads, now)) is not None:
             assert table.take(number + 1, number, *found) is not None
             number += 1
     assert all(table.loads.get(name) == (20, 0) for name in calm)
@@ -130,31 +130,31 @@
 
 
 def test_a_name_crosses_once_and_places_of_what_is_gone_begin_anew() -> None:
-    teller, loads = LoadStepEncoder(1e9), {"a": (1, 1)}
-    assert teller.whole(loads) == (("a",), (0, 1, 1))
+    encoder, loads = LoadStepEncoder(1e9), {"a": (1, 1)}
+    assert encoder.whole(loads) == (("a",), (0, 1, 1))
     loads |= {"a": (2, 1), "b": (5, 0)}
-    teller.mark(["a", "b"])
-    assert teller.step(loads, 1.0) == (("b",), (0, 2, 1, 1, 5, 0))
-    teller.mark(["a", "b"])
-    assert teller.step(loads, 2.0) is None  # nothing new
-    assert not teller.is_long(2)
+    encoder.mark_changed(["a", "b"])
+    assert encoder.step(loads, 1.0) == (("b",), (0, 2, 1, 1, 5, 0))
+    encoder.mark_changed(["a", "b"])
+    assert encoder.step(loads, 2.0) is None  # unchanged
+    assert not encoder.needs_restart(2)
     for n in range(3_000):
         loads = {f"n{n}": (1, 0)}
-        teller.mark(loads)
-        teller.step(loads, 3.0 + n)
-    assert teller.is_long(1)
-    teller.whole(loads)
-    assert not teller.is_long(1)
+        encoder.mark_changed(loads)
+        encoder.step(loads, 3.0 + n)
+    assert encoder.needs_restart(1)
+    encoder.whole(loads)
+    assert not encoder.needs_restart(1)
 
 
 @pytest.mark.parametrize(
     ("number", "base", "names", "figures"),
     [
-        (9, 5, [], []),  # another base
+        (9, 5, [], []),  # unknown base
         (9, 1, [], [0, 1]),
-        (9, 1, [], [1, 1, 1]),  # no such place
+        (9, 1, [], [1, 1, 1]),  # unknown index
         (9, 1, [], [-1, 1, 1]),
-        (9, 0, ["x"] * (MOST_PLACES + 1), []),
+        (9, 0, ["x"] * (MAX_INDEXES + 1), []),
     ],
 )
 def test_what_does_not_follow_changes_nothing(number: int, base: int, names: Any, figures: Any) -> None:
@@ -163,37 +163,37 @@
     assert table.take(number, base, names, figures) is None
     assert table.loads == {"a": (3, 4)} and table.number == 1
     assert table.take(2, 1, ["b"], [1, -7, 2**62]) == {"b": (0, 0)}
-    assert table.loads == {"a": (3, 4), "b": (0, MOST)}
+    assert table.loads == {"a": (3, 4), "b": (0, MAX_INT32)}
 
 
 def test_the_bulletin_keeps_steps_and_tells_both_editions() -> None:
-    bulletin = LatestUpdates()
-    assert bulletin.apply_step(LoadStep(2, 5, 0, ("a", "b"), (0, 1, 10, 1, 2, 20))) == {
+    latest = LatestUpdates()
+    assert latest.apply_step(LoadStep(2, 5, 0, ("a", "b"), (0, 1, 10, 1, 2, 20))) == {
         "a": (0, 0),
         "b": (0, 0),
     }
-    assert bulletin.apply_step(LoadStep(2, 6, 5, ("c",), (0, 0, 0, 2, 4, 0))) == {"a": (1, 10), "c": (0, 0)}
+    assert latest.apply_step(LoadStep(2, 6, 5, ("c",), (0, 0, 0, 2, 4, 0))) == {"a": (1, 10), "c": (0, 0)}
     whole = LoadNews(2, 6, (UpstreamLoad("b", 2, 20), UpstreamLoad("c", 4, 0)))
-    assert bulletin.full_loads() == whole
-    assert bulletin.updates_since(0, (0, 0)) == [whole]
+    assert latest.full_loads() == whole
+    assert latest.updates_since(0, (0, 0)) == [whole]
     newcomer = LatestUpdates()
-    (step,) = bulletin.updates_since(0, (0, 0), steps=True)
+    (step,) = latest.updates_since(0, (0, 0), steps=True)
     assert isinstance(step, LoadStep) and newcomer.apply_step(step) is not None
     later = LoadStep(2, 9, 6, (), (1, 7, 7))
-    assert newcomer.apply_step(later) == bulletin.apply_step(later) == {"b": (2, 20)}
-    assert newcomer.current_loads() == clean(bulletin.current_loads())
-    with pytest.raises(GapError, match="attach anew"):
-        bulletin.apply_step(LoadStep(2, 11, 10, (), ()))
-    assert bulletin.apply_step(LoadStep(1, 99, 0, ("z",), (0, 1, 1))) is None  # of an earlier term
-    assert bulletin.store(LoadNews(3, 1, ())) and bulletin.current_loads() == {}
+    assert newcomer.apply_step(later) == latest.apply_step(later) == {"b": (2, 20)}
+    assert newcomer.current_loads() == clean(latest.current_loads())
+    with pytest.raises(GapError, match="attach again"):
+        latest.apply_step(LoadStep(2, 11, 10, (), ()))
+    assert latest.apply_step(LoadStep(1, 99, 0, ("z",), (0, 1, 1))) is None  # of an earlier term
+    assert latest.store(LoadNews(3, 1, ())) and latest.current_loads() == {}
     with pytest.raises(GapError):
-        bulletin.apply_step(LoadStep(3, 2, 1, (), ()))
+        latest.apply_step(LoadStep(3, 2, 1, (), ()))
 
 
 def test_sums_of_steps_and_whole_reports_are_the_same() -> None:
     async def scene(world: World) -> None:
-        told: list[tuple[Figures, bool]] = []
-        total = LoadSum(lambda: {"a": (1, 1)}, lambda packed: None, lambda f, whole: told.append((f, whole)))
+        steps: list[tuple[Figures, bool]] = []
+        total = LoadSum(lambda: {"a": (1, 1)}, lambda packed: None, lambda f, whole: steps.append((f, whole)))
         total.report("x", LoadReport((UpstreamLoad("a", 4, 4), UpstreamLoad("b", 1, 0))))
         assert total.report_step("y", LoadReportStep(1, 0, ("b",), (0, 2, 2)))
         assert total.total() == {"a": (5, 5), "b": (3, 2)}
@@ -205,9 +205,9 @@
         total.remove_child("y")
         assert total.total() == {"a": (1, 1)}
         await world.wait(0.1)
-        assert told == [((("a",), (0, 1, 1)), False)]
+        assert steps == [((("a",), (0, 1, 1)), False)]
         total.resend_steps()
-        assert told[1:] == [((("a",), (0, 1, 1)), True)]
+        assert steps[1:] == [((("a",), (0, 1, 1)), True)]
 
     play(scene, starts=False)
 
@@ -216,23 +216,24 @@
     others = PeerLoads()
     others.step({"a": (5, 50), "b": (1, 1)}, ["a", "b"], {"a": (2, 60)})
     assert others.of("a") == (3, 0) and others.of("b") == (1, 1)
-    others.step({"a": (5, 50), "b": (1, 1)}, [], {"b": (1, 1)})  # one of ours ended, another's began
+    # one of this balancer's calls ended and another balancer's began
+    others.step({"a": (5, 50), "b": (1, 1)}, [], {"b": (1, 1)})
     assert others.of("a") == (5, 50) and others.of("b") == (0, 0)
 
 
-# ---- a gap
+# ---- gaps
 
 
 def test_a_step_that_is_missing_is_noticed_and_mended() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S)
+        await wait_settled(world)
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S)
         for machine in world.edges():
-            machine.role._latest.table.number -= 1  # as if one had been lost
-        work(world, 2)
-        await world.wait_until(lambda: is_right(world), 2.0, seen(world))
+            machine.role._latest.load_table.number -= 1  # as if a step had been lost
+        set_loads(world, 2)
+        await world.wait_until(lambda: sums_are_right(world), 2.0, describe_loads(world))
         assert any("event=gap" in line for line in world.transcript.logs)
         assert len(world.transcript.messages(Attach)) < 40
 
@@ -242,13 +243,13 @@
 def test_a_change_of_another_list_is_noticed_and_mended() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        relay = await settled(world)
-        await listed(world, [upstream(f"i-{n}") for n in range(20)])
+        relay = await wait_settled(world)
+        await publish_list(world, [upstream(f"i-{n}") for n in range(20)])
         victim = next(m for m in world.edges() if m.name != relay).role
         known = victim._latest.upstreams
         victim._latest.upstreams = UpstreamNews(known.epoch, known.number, b'{"upstreams":[]}')
         since = world.now()
-        await listed(world, [upstream(f"i-{n}") for n in range(1, 20)])
+        await publish_list(world, [upstream(f"i-{n}") for n in range(1, 20)])
         whole = [entry for entry in world.transcript.messages(UpstreamNews) if entry[0] > since]
         changes = [entry for entry in world.transcript.messages(UpstreamChange) if entry[0] > since]
         assert len(whole) == 1 and len(changes) == 4
@@ -259,28 +260,30 @@
 # ---- two editions side by side
 
 
-def earlier(message: Any) -> bool:
-    """What a core of the edition before passes over."""
+def is_unknown_to_earlier_core(message: Any) -> bool:
+    """Return whether a core of the earlier edition ignores this message."""
     return isinstance(message, Speaks | LoadReportStep)
 
 
 def test_balancers_of_this_edition_below_a_core_of_the_one_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard = Publisher.heard
+    on_message = Publisher.on_message
     monkeypatch.setattr(
-        Publisher, "heard", lambda self, link, m: None if earlier(m) else heard(self, link, m)
+        Publisher,
+        "on_message",
+        lambda self, link, m: None if is_unknown_to_earlier_core(m) else on_message(self, link, m),
     )
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        await settled(world)
-        await listed(world, [upstream(f"i-{n}") for n in range(20)])
-        work(world)
-        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
-        await listed(world, world.platform.entries[1:])
-        work(world, 3)
-        await world.wait_until(lambda: is_right(world), UP_S, seen(world))
-        told = world.transcript.messages(LoadStep)
-        assert not [entry for entry in told if entry[1].startswith("core")]
+        await wait_settled(world)
+        await publish_list(world, [upstream(f"i-{n}") for n in range(20)])
+        set_loads(world)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, describe_loads(world))
+        await publish_list(world, world.platform.entries[1:])
+        set_loads(world, 3)
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, describe_loads(world))
+        steps = world.transcript.messages(LoadStep)
+        assert not [entry for entry in steps if entry[1].startswith("core")]
         assert world.transcript.messages(LoadNews)
 
     play(scene, edges=12, zones=1)
@@ -290,22 +293,22 @@
 def test_a_balancer_of_the_edition_before_hears_all_whole(below: str) -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        relay = await settled(world)
-        await listed(world, [upstream(f"i-{n}") for n in range(20)])
+        relay = await wait_settled(world)
+        await publish_list(world, [upstream(f"i-{n}") for n in range(20)])
         name = world.primary() if below == "core" else relay
         old = await connect(world.machines[name].ip, port_of(world, name))
         old.transport.write(KINDS.encode(Attach("edge-old", "10.1.1.99", "hall-a", 0, 0, 0)))
         report = LoadReport((UpstreamLoad("i-1", 7, 700),))
         old.transport.write(KINDS.encode(report))
-        work(world)
+        set_loads(world)
         calls = sum(m.plane.work["i-1"][0] for m in world.edges()) + 7
 
         def knows(machine: Machine) -> bool:
             return bool(machine.plane.others("i-1")[0] + machine.plane.work["i-1"][0] == calls)
 
-        await world.wait_until(lambda: all(knows(m) for m in world.edges()), UP_S, "its load counts")
+        await world.wait_until(lambda: all(knows(m) for m in world.edges()), SUM_TIMEOUT_S, "its load counts")
         await world.wait(0.2)
-        await listed(world, world.platform.entries[1:])
+        await publish_list(world, world.platform.entries[1:])
         await world.wait(0.1)
         got = [m for _, here, there, m in world.transcript.received if here == name and there == "stranger"]
         assert not [m for m in got if isinstance(m, UpstreamChange | LoadStep | Speaks)]
@@ -315,7 +318,7 @@
         sums = [m for m in got if isinstance(m, LoadNews)][-1]
         assert {e.upstream: e.calls for e in sums.loads} == {"i-1": calls}
         old.transport.abort()
-        await world.wait_until(lambda: is_right(world), UP_S, "it has gone")
+        await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, "it has gone")
 
     play(scene, edges=4, zones=1)
 
@@ -331,8 +334,8 @@
 def test_the_first_message_of_a_connection_says_the_edition() -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        said = [m for _, here, _, m in world.transcript.received if here.startswith("edge")]
-        assert isinstance(said[0], Speaks) and isinstance(said[1], Attach)
+        received = [m for _, here, _, m in world.transcript.received if here.startswith("edge")]
+        assert isinstance(received[0], Speaks) and isinstance(received[1], Attach)
         await asyncio.sleep(0)
 
     play(scene, edges=1)
--- a/tests/test_dissemination_tables.py
+++ b/tests/test_dissemination_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the news: nothing older takes a newer one's place, the tree is the same for all."""
+"""Stored updates are never replaced by older ones, and all members derive the same relay tree."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from dissemination.bulletin import LatestUpdates
-from dissemination.counting import COUNT_S, BalancerCount
+from dissemination.counting import COUNT_WINDOW_S, BalancerCount
 from dissemination.messages import (
     ConfigurationNews,
     LoadNews,
@@ -33,22 +33,22 @@
 def test_whatever_the_order_the_newest_stays(kind: str) -> None:
     stamps = [(1, 1), (1, 2), (1, 30), (2, 1), (2, 2), (7, 1)]
     for order in itertools.islice(itertools.permutations(stamps), 0, 720, 7):
-        bulletin, newest = LatestUpdates(), (0, 0)
+        latest, newest = LatestUpdates(), (0, 0)
         for stamp in order:
-            assert bulletin.store(KINDS[kind](*stamp)) == (stamp > newest)
-            assert not bulletin.store(KINDS[kind](*stamp))  # the same once more
+            assert latest.store(KINDS[kind](*stamp)) == (stamp > newest)
+            assert not latest.store(KINDS[kind](*stamp))  # the same again
             newest = max(newest, stamp)
-            assert getattr(bulletin, kind) == KINDS[kind](*newest)
+            assert getattr(latest, kind) == KINDS[kind](*newest)
 
 
 def test_configurations_go_by_their_version_alone() -> None:
-    bulletin = LatestUpdates()
-    assert bulletin.store(ConfigurationNews(5, b"five"))
-    assert not bulletin.store(ConfigurationNews(5, b"other")) and not bulletin.store(
+    latest = LatestUpdates()
+    assert latest.store(ConfigurationNews(5, b"five"))
+    assert not latest.store(ConfigurationNews(5, b"other")) and not latest.store(
         ConfigurationNews(4, b"four")
     )
-    assert bulletin.configuration == ConfigurationNews(5, b"five")
-    assert bulletin.store(ConfigurationNews(9, b"nine"))
+    assert latest.configuration == ConfigurationNews(5, b"five")
+    assert latest.store(ConfigurationNews(9, b"nine"))
 
 
 def test_what_is_no_news_is_not_taken() -> None:
@@ -56,17 +56,17 @@
 
 
 def test_everything_is_what_somebody_lacks_the_configuration_first() -> None:
-    bulletin = LatestUpdates()
-    assert bulletin.updates_since(0, (0, 0)) == []
-    news = [ConfigurationNews(5, b""), *(make(2, 3) for make in KINDS.values())]
-    for message in news:
-        bulletin.store(message)
-    assert bulletin.updates_since(0, (0, 0)) == news
-    assert bulletin.updates_since(5, (2, 2)) == news[1:]
-    assert bulletin.updates_since(5, (2, 3)) == bulletin.updates_since(9, (3, 0)) == news[2:]
-    bulletin.clear_loads()
-    assert bulletin.updates_since(5, (2, 3)) == news[2:4]
-    assert bulletin.store(news[-1])  # the same sums are news again
+    latest = LatestUpdates()
+    assert latest.updates_since(0, (0, 0)) == []
+    updates = [ConfigurationNews(5, b""), *(make(2, 3) for make in KINDS.values())]
+    for message in updates:
+        latest.store(message)
+    assert latest.updates_since(0, (0, 0)) == updates
+    assert latest.updates_since(5, (2, 2)) == updates[1:]
+    assert latest.updates_since(5, (2, 3)) == latest.updates_since(9, (3, 0)) == updates[2:]
+    latest.clear_loads()
+    assert latest.updates_since(5, (2, 3)) == updates[2:4]
+    assert latest.store(updates[-1])  # the same sums count as new again
 
 
 def members(count: int, zones: int) -> list[Present]:
@@ -118,11 +118,11 @@
     count = BalancerCount()
     assert count.take(Pulse(1, 1, 0), 0.0) == 0
     assert count.take(Pulse(1, 2, 6), 1.0) == 6
-    assert count.take(Pulse(1, 3, 5), 2.0) == 5  # the primary itself knows how long the sixth counts
+    assert count.take(Pulse(1, 3, 5), 2.0) == 5  # only the primary knows how long the sixth balancer counts
     assert count.take(Pulse(2, 1, 0), 3.0) == 5
     assert count.take(Pulse(2, 2, 4), 4.0) == 5
     assert count.take(Pulse(3, 1, 2), 5.0) == 5
-    assert count.take(Pulse(3, 2, 2), 2.0 + COUNT_S - 0.1) == 5
-    assert count.take(Pulse(3, 3, 2), 2.0 + COUNT_S) == 4
-    assert count.take(Pulse(3, 4, 2), 4.0 + COUNT_S) == 2
-    assert count.take(Pulse(3, 5, 9), 4.5 + COUNT_S) == 9
+    assert count.take(Pulse(3, 2, 2), 2.0 + COUNT_WINDOW_S - 0.1) == 5
+    assert count.take(Pulse(3, 3, 2), 2.0 + COUNT_WINDOW_S) == 4
+    assert count.take(Pulse(3, 4, 2), 4.0 + COUNT_WINDOW_S) == 2
+    assert count.take(Pulse(3, 5, 9), 4.5 + COUNT_WINDOW_S) == 9
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -190,8 +190,8 @@
 def test_an_oracle_serves_more_than_chance_where_boxes_differ() -> None:
     slow = troubles.Slow(at_s=0.0, for_s=20.0, part=0.4, slower=6.0)
     assert (
-        played(slow, version=baseline("oracle")).components.whole
-        > played(slow, version=baseline("random")).components.whole
+        played(slow, version=baseline("oracle")).parts.whole
+        > played(slow, version=baseline("random")).parts.whole
     )
 
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -110,7 +110,7 @@
         try:
             message = revive(message)
         except (ValueError, KeyError, TypeError):
-            return  # `ControlNode._heard` ends the connection
+            return  # `ControlNode._on_message` ends the connection
     kinds.encode(message)  # what was taken is passed on, or told again
 
 
@@ -168,7 +168,7 @@
         for piece in cut(raw, places):
             if not transport.ended:
                 link.data_received(piece)
-        assert len(link._reader._held) <= len(raw)
+        assert len(link._reader._buffer) <= len(raw)
 
     asyncio.run(talk())
 
@@ -327,7 +327,7 @@
         def hang_up(self) -> None:
             return None
 
-    platform._line = Line()  # type: ignore[assignment]
+    platform._connection = Line()  # type: ignore[assignment]
     try:
         entries = asyncio.run(platform.read())
     except PlatformError:
@@ -449,13 +449,13 @@
 
     reader = ConfigurationReader()
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return False
 
     def leader(self) -> Any:
         return SimpleNamespace(ctl="10.0.0.1:1")
 
-    def token(self) -> int:
+    def next_token(self) -> int:
         return 1
 
 
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -36,7 +36,7 @@
             return Answer(200, [], DEEP, True)
 
     platform: Any = PlatformList(("127.0.0.1", 1))
-    platform._line = Line()
+    platform._connection = Line()
     with pytest.raises(PlatformError, match="no JSON"):
         asyncio.run(platform.read())
 
--- a/tests/test_leader_out_of_reach.py
+++ b/tests/test_leader_out_of_reach.py
@@ -1,11 +1,7 @@
-"""A leader that the other members reach and some balancers do not: they hear its news from a member.
-
-Seen: after the leader was killed, balancers of three zones of four kept a version that was 2.5 s and more
-out of date until 5 s later, while the leader took new ones. How: the zone of the new leader refused new
-connections from other zones and kept the established ones, so the other members heard its beats and every
-balancer outside that had to dial it was refused. Cause: news came from the leader alone, and the other
-members only said where it is. Proof: a balancer told so many times came back each time, and a member that
-passes the leader's news on ends it (`control/news_relay.py`).
+"""A leader that other members reach and some balancers don't: a member relays its updates.
+
+Balancers of three zones out of four kept an outdated version for 5 s after a change of leader. The new
+leader's zone refused new connections and kept established ones, so members reached it and balancers did not.
 """
 
 from __future__ import annotations
@@ -14,19 +10,19 @@
 
 import pytest
 
-from control.news_relay import RETURN_S, Referrals
+from control.news_relay import RETURN_WINDOW_S, Redirects
 from dissemination.follower import STALE_AFTER_S
 from tests.fabric_callers import configuration
 from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import World, play
 from transport.endpoint import Endpoint
 
-WITHIN_S = 5.0  # `contact_ms` and `apply_ms`, with what a takeover takes
+WITHIN_S = 5.0  # `contact_ms` and `apply_ms`, and the time of a takeover
 CONTACT_S = 4.0
 
 
-def refuse(world: World, node: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """No balancer gets a new connection to a machine."""
+def refuse_connections(world: World, node: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Refuse all new connections of balancers to a machine."""
     ip = world.machines[node].ip
     for machine in world.edges():
         links: Any = machine.role._links
@@ -41,23 +37,23 @@
 def test_balancers_hear_a_leader_that_only_other_members_reach(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(world: World) -> None:
         await start_fleet(world)
-        first, heir = world.primary(), world.backup()
-        refuse(world, heir, monkeypatch)
+        first, successor = world.primary(), world.backup()
+        refuse_connections(world, successor, monkeypatch)
         world.kill(first)
-        await world.wait_until(lambda: world.primary() == heir, 3.0, "the backup leads")
-        assert (await world.operator("operator", heir).put(configuration(6), 5)).status == 200
+        await world.wait_until(lambda: world.primary() == successor, 3.0, "the backup leads")
+        assert (await world.operator("operator", successor).put(configuration(6), 5)).status == 200
         await wait_in_force(world, 6, WITHIN_S)
 
     play(scene, edges=3)
 
 
-def heard_by_leader(world: World) -> set[str]:
-    """The balancers that are present, as the leader tells it."""
+def balancers_known_to_leader(world: World) -> set[str]:
+    """Return the balancers that the leader reports as present."""
     return {balancer.node for balancer in world.node(world.primary()).components()[1].reported_state()[0]}
 
 
 def test_balancers_of_a_zone_without_a_path_to_the_leader_go_on() -> None:
-    """Two zones that have no path while a third reaches both; and all is as before once they have one."""
+    """Two zones have no path to each other and a third reaches both; the relay ends when the path is back."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -68,20 +64,18 @@
         await world.wait(CONTACT_S)
         assert (await world.operator("operator", leader).put(configuration(6), 5)).status == 200
         await wait_in_force(world, 6)
-        assert heard_by_leader(world) == {m.name for m in world.edges()}
+        assert balancers_known_to_leader(world) == {m.name for m in world.edges()}
         world.heal()
-        passing_on = [world.node(m.name).components()[1].relay for m in world.cores()]
-        await world.wait_until(
-            lambda: not any(r.is_running() for r in passing_on), 20.0, "nothing is passed on"
-        )
+        relays = [world.node(m.name).components()[1].relay for m in world.cores()]
+        await world.wait_until(lambda: not any(r.is_running() for r in relays), 20.0, "no relay is running")
         await world.wait_served()
-        assert heard_by_leader(world) == {m.name for m in world.edges()}
+        assert balancers_known_to_leader(world) == {m.name for m in world.edges()}
 
     play(scene, edges=6)
 
 
 def test_the_leaders_news_come_from_its_heir_once_it_is_gone() -> None:
-    """A member that passed them on leads; the balancers below it stay."""
+    """The relaying member becomes the leader, and the balancers attached to it stay."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
@@ -97,14 +91,14 @@
 
 
 def test_the_news_go_on_while_the_last_balancer_is_on_its_way_back() -> None:
-    """Seen: no pulse for 0.9 s and more, as the member had told the leader that nobody is below it."""
+    """No pulse came for 0.9 s and more, as the member had reported to the leader that none was left."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
         leader, follower = world.primary(), world.edges()[0].role._follower
         world.cut([leader, world.backup()], ["edge-1"])
         await world.wait(CONTACT_S)
-        follower._leave()
+        follower._close_link()
         for _ in range(30):
             await world.wait(0.1)
             assert follower.is_fresh(STALE_AFTER_S)
@@ -113,10 +107,10 @@
 
 
 def test_only_who_comes_back_soon_has_not_reached_the_leader() -> None:
-    referrals = Referrals()
-    assert not referrals.has_come_back("edge-1", "10.1.0.1", 0.0)
-    referrals.add("edge-1", "10.1.0.1", 0.0)
-    assert referrals.has_come_back("edge-1", "10.1.0.1", RETURN_S)
-    assert not referrals.has_come_back("edge-1", "10.1.0.1", RETURN_S + 0.1)
-    assert not referrals.has_come_back("edge-1", "10.2.0.1", 1.0)
-    assert not referrals.has_come_back("edge-2", "10.1.0.1", 1.0)
+    redirects = Redirects()
+    assert not redirects.has_come_back("edge-1", "10.1.0.1", 0.0)
+    redirects.add("edge-1", "10.1.0.1", 0.0)
+    assert redirects.has_come_back("edge-1", "10.1.0.1", RETURN_WINDOW_S)
+    assert not redirects.has_come_back("edge-1", "10.1.0.1", RETURN_WINDOW_S + 0.1)
+    assert not redirects.has_come_back("edge-1", "10.2.0.1", 1.0)
+    assert not redirects.has_come_back("edge-2", "10.1.0.1", 1.0)
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -1,4 +1,4 @@
-"""Schemas that dataclasses give: what each type becomes, and what has none."""
+"""Avro schemas derived from dataclasses: the type of each field, and unsupported types."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from transport.schema import Int32, fields_of, reader_of
+from transport.schema import Int32, avro_fields, make_reader
 from transport.wire import FrameReader, MessageKinds
 
 
@@ -27,9 +27,9 @@
 
 
 def test_each_type_has_its_own() -> None:
-    leaf = {"type": "record", "name": "Leaf", "fields": fields_of(Leaf)}
-    assert fields_of(Leaf) == [{"name": "name", "type": "string"}, {"name": "size", "type": "int"}]
-    assert fields_of(Tree, (Leaf,)) == [
+    leaf = {"type": "record", "name": "Leaf", "fields": avro_fields(Leaf)}
+    assert avro_fields(Leaf) == [{"name": "name", "type": "string"}, {"name": "size", "type": "int"}]
+    assert avro_fields(Tree, (Leaf,)) == [
         {"name": "number", "type": "long"},
         {"name": "body", "type": "bytes"},
         {"name": "is_new", "type": "boolean"},
@@ -47,7 +47,7 @@
 
 
 def test_what_is_read_is_made_of_tuples() -> None:
-    read = reader_of(Tree, (Leaf,))
+    read = make_reader(Tree, (Leaf,))
     raw: dict[str, Any] = {"number": 1, "body": b"", "is_new": True, "names": ["a"], "leaves": []}
     assert read(raw) == Tree(1, b"", True, ("a",), ())
 
@@ -58,7 +58,7 @@
 
 
 def test_a_type_that_avro_has_none_for_is_told() -> None:
-    with pytest.raises(TypeError, match="float has no Avro type; name a plain one"):
-        fields_of(Odd)
+    with pytest.raises(TypeError, match="float has no Avro type; use a supported type"):
+        avro_fields(Odd)
     with pytest.raises(TypeError, match="Leaf has no Avro type"):
-        fields_of(Tree)
+        avro_fields(Tree)
--- a/tests/test_tallies_in_cuts.py
+++ b/tests/test_tallies_in_cuts.py
@@ -213,7 +213,7 @@
         await start_fleet(world)
         one, *others = apps(world)
         for other in others:
-            monkeypatch.setattr(world.node(other.machine).tallies, "heard", lambda ip, message: None)
+            monkeypatch.setattr(world.node(other.machine).tallies, "on_message", lambda ip, message: None)
             monkeypatch.setattr(world.node(other.machine).tallies, "tick", lambda others: None)
         await world.wait(1.0)
         since = world.loop.time()
--- a/tests/test_transport_strangers.py
+++ b/tests/test_transport_strangers.py
@@ -1,4 +1,4 @@
-"""Strangers and bad bytes on every port: bounded, told in a line, and nobody else notices."""
+"""Unknown peers and invalid bytes on every port: bounded, logged in one line, without effect on others."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from config.errors import WireError
 from consensus import messages as control
 from control.node import KINDS
-from dissemination import messages as news
+from dissemination import messages as dissemination
 from tests.fabric import End
 from tests.fabric_callers import Answer, ask, call, configuration
 from tests.fabric_scenes import start_fleet, wait_in_force
@@ -22,7 +22,7 @@
 
 
 class Stranger(asyncio.Protocol):
-    """Somebody who connects and says what he likes."""
+    """A client that sends arbitrary bytes."""
 
     def __init__(self) -> None:
         self.got, self.lost_at = b"", 0.0
@@ -45,12 +45,12 @@
 
 
 def port_of(world: World, name: str) -> int:
-    """Where the process of a machine hears the others."""
+    """Return the port on which a machine's process accepts other processes."""
     return CONTROL_PORT if world.machines[name].is_core else BALANCER_PORT
 
 
-async def goes_on(world: World, ver: int, base: int) -> None:
-    """The fleet works as if nothing had happened."""
+async def assert_fleet_works(world: World, ver: int, base: int) -> None:
+    """Assert that a new configuration is accepted and takes effect quickly."""
     assert (await world.operator().put(configuration(ver), base)).status == 200
     await wait_in_force(world, ver, 0.2)
 
@@ -82,13 +82,13 @@
         assert len(world.transcript.logs) <= lines + 1
         await world.wait(1.0)
         assert all(m.role._follower.is_fresh() for m in world.edges())
-        await goes_on(world, 6, 5)
+        await assert_fleet_works(world, 6, 5)
 
     play(scene, edges=2)
 
 
-def strange_messages() -> list[Any]:
-    """Messages in good form that make no sense."""
+def nonsensical_messages() -> list[Any]:
+    """Return well-formed messages with nonsensical values."""
     nowhere = {"epoch": 99, "primary": 7, "holders": [8], "members": [None]}
     empty = {"epoch": 2**62, "primary": 0, "holders": [], "members": []}
     member = {"identity": "x", "node": "x", "ip": "10.9.9.9", "port": 1, "ctl": "", "zone": ""}
@@ -108,46 +108,46 @@
         control.Installed("x", "", 1, True, 0, None),
         control.Promised("x", "", 1, True, 0, None),
         control.Answer("x", "", 1, True, 0, None),
-        news.Pulse(big, big, 10**6),
-        news.ConfigurationNews(big, b"no configuration"),
-        news.UpstreamNews(big, big, b"no list"),
-        news.MemberNews(big, big, (), ()),
-        news.Moved(("10.9.9.9",)),
-        news.Roll("x", (news.Present("x", "10.9.9.9", "hall-a"),)),
-        news.LoadReport((news.UpstreamLoad("i-1", 2**31 - 1, 2**31 - 1),)),
-        news.LoadNews(big, big, (news.UpstreamLoad("i-1", -5, -5),)),
-        news.DoubtReport(
+        dissemination.Pulse(big, big, 10**6),
+        dissemination.ConfigurationNews(big, b"no configuration"),
+        dissemination.UpstreamNews(big, big, b"no list"),
+        dissemination.MemberNews(big, big, (), ()),
+        dissemination.Moved(("10.9.9.9",)),
+        dissemination.Roll("x", (dissemination.Present("x", "10.9.9.9", "hall-a"),)),
+        dissemination.LoadReport((dissemination.UpstreamLoad("i-1", 2**31 - 1, 2**31 - 1),)),
+        dissemination.LoadNews(big, big, (dissemination.UpstreamLoad("i-1", -5, -5),)),
+        dissemination.DoubtReport(
             (
-                news.UpstreamFailures("i-1", "", 2**31 - 1, 2**31 - 1),
-                news.UpstreamFailures("", "hall-a", -5, -5),
+                dissemination.UpstreamFailures("i-1", "", 2**31 - 1, 2**31 - 1),
+                dissemination.UpstreamFailures("", "hall-a", -5, -5),
             )
         ),
-        news.DoubtNews(big, big, (news.UpstreamFailures("i-1", "hall-z", 2**31 - 1, -5),)),
-        news.Speaks(-1, b""),
-        news.Speaks(2**31 - 1, b"x" * 1_000),
-        news.UpstreamChange(big, big, b"", b"", b"no list", ("i-1",)),
-        news.UpstreamChange(1, big, b"", b"x", b'[{"id": 5}, 7]', ()),
-        news.LoadStep(big, big, 0, ("i-1",), (0, -5, -5)),
-        news.LoadStep(big, 5, 4, (), (2**40, 1, 1, 7)),
-        news.LoadReportStep(big, 0, ("i-1",), (0, 2**62, 2**62)),
-        news.LoadReportStep(5, 4, (), (9, 9, 9)),
-        news.Attach("", "", "", -1, -1, -1),
+        dissemination.DoubtNews(big, big, (dissemination.UpstreamFailures("i-1", "hall-z", 2**31 - 1, -5),)),
+        dissemination.Speaks(-1, b""),
+        dissemination.Speaks(2**31 - 1, b"x" * 1_000),
+        dissemination.UpstreamChange(big, big, b"", b"", b"no list", ("i-1",)),
+        dissemination.UpstreamChange(1, big, b"", b"x", b'[{"id": 5}, 7]', ()),
+        dissemination.LoadStep(big, big, 0, ("i-1",), (0, -5, -5)),
+        dissemination.LoadStep(big, 5, 4, (), (2**40, 1, 1, 7)),
+        dissemination.LoadReportStep(big, 0, ("i-1",), (0, 2**62, 2**62)),
+        dissemination.LoadReportStep(5, 4, (), (9, 9, 9)),
+        dissemination.Attach("", "", "", -1, -1, -1),
     ]
 
 
 @pytest.mark.parametrize("where", ["core-1", "core-3", "edge-1"])
 def test_strange_messages_break_nothing(where: str) -> None:
-    """A process of ours would not send them; whoever does is not one of us, and the news go on."""
+    """No process of the system sends these; updates to balancers must continue."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        for message in strange_messages():
+        for message in nonsensical_messages():
             stranger = await connect(world.machines[where].ip, port_of(world, where))
             stranger.transport.write(KINDS.encode(message))
             await world.wait(0.02)
             stranger.transport.abort()
         await world.wait(6.0)
-        await goes_on(world, 6, 5)
+        await assert_fleet_works(world, 6, 5)
         assert all(m.plane.ids == ["i-1", "i-2"] for m in world.edges())
 
     play(scene, edges=2)
@@ -158,41 +158,41 @@
         await start_fleet(world)
         strangers = [await connect(world.machines["core-1"].ip) for _ in range(3)]
         for stranger in strangers:
-            load = news.LoadReport((news.UpstreamLoad("i-1", 2**62, 2**62),))
+            load = dissemination.LoadReport((dissemination.UpstreamLoad("i-1", 2**62, 2**62),))
             stranger.transport.write(KINDS.encode(load))
         await world.wait(0.5)
         for stranger in strangers:
             stranger.transport.abort()
-        await goes_on(world, 6, 5)
+        await assert_fleet_works(world, 6, 5)
 
     play(scene, edges=2)
 
 
 def test_frames_cut_anywhere_are_the_same_frames() -> None:
-    dice = random.Random(1)
-    sent = [KINDS.encode(m) for m in strange_messages()]
+    rng = random.Random(1)
+    sent = [KINDS.encode(m) for m in nonsensical_messages()]
     stream = b"".join(sent)
     for _ in range(50):
         reader, found, rest = FrameReader(), [], stream
         while rest:
-            size = dice.choice([1, 2, 5, 6, 7, dice.randint(1, 300)])
+            size = rng.choice([1, 2, 5, 6, 7, rng.randint(1, 300)])
             found += reader.feed(rest[:size])
             rest = rest[size:]
         assert [struct.pack(">IH", len(f.body), f.number) + f.body for f in found] == sent
 
 
 def test_bytes_that_are_spoilt_are_a_wire_error_or_a_message() -> None:
-    """Whatever the bytes of a frame are, nothing but WireError comes of them."""
-    dice = random.Random(2)
-    frames = [KINDS.encode(m) for m in strange_messages()]
+    """Random bytes in a frame raise nothing but WireError."""
+    rng = random.Random(2)
+    frames = [KINDS.encode(m) for m in nonsensical_messages()]
     errors = 0
     for _ in range(4000):
-        frame = bytearray(dice.choice(frames))
-        for _ in range(dice.randint(1, 4)):
+        frame = bytearray(rng.choice(frames))
+        for _ in range(rng.randint(1, 4)):
             if len(frame) > 6:
-                frame[dice.randrange(6, len(frame))] = dice.randrange(256)
+                frame[rng.randrange(6, len(frame))] = rng.randrange(256)
         number = struct.unpack_from(">H", frame, 4)[0]
-        body = bytes(frame[6 : dice.randint(6, len(frame))] if dice.random() < 0.3 else frame[6:])
+        body = bytes(frame[6 : rng.randint(6, len(frame))] if rng.random() < 0.3 else frame[6:])
         try:
             KINDS.decode(number, body)
         except WireError as error:
@@ -206,7 +206,7 @@
         await start_fleet(world)
         ip = world.machines["core-1"].ip
         stranger = await connect(ip)
-        stranger.transport.write(KINDS.encode(news.Attach("s", "10.99.0.1", "hall-a", 0, 0, 0)))
+        stranger.transport.write(KINDS.encode(dissemination.Attach("s", "10.99.0.1", "hall-a", 0, 0, 0)))
         await world.wait(0.1)
         stranger.transport.pause_reading()
         base = 5
@@ -223,10 +223,12 @@
     play(scene, edges=2)
 
 
-# ---- ctl
+# ---- the operators' API
 
 
-async def say(world: World, raw: bytes, where: str = "core-1", silence_s: float = 8.0) -> Answer | None:
+async def send_request(
+    world: World, raw: bytes, where: str = "core-1", silence_s: float = 8.0
+) -> Answer | None:
     return await ask((world.machines[where].ip, CTL_PORT), raw, silence_s)
 
 
@@ -251,7 +253,7 @@
     "a body too deep": (call("PUT", "/api/config", b"[" * 100_000, If_Match="5"), 400),
     "an upgrade": (
         b"GET /api/config HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\r\n",
-        200,  # nobody has to change over
+        200,  # an upgrade may be ignored
     ),
     "no host at all": (b"GET /api/config HTTP/1.1\r\n\r\n", 200),
     "an old version": (b"GET /api/config HTTP/1.0\r\n\r\n", 200),
@@ -266,7 +268,7 @@
 
     async def scene(world: World) -> None:
         await start_fleet(world)
-        answer = await say(world, raw)
+        answer = await send_request(world, raw)
         assert answer is not None and answer.status == status
         if status >= 400:
             assert b'"error": "' in answer.body and b"\n" not in answer.body
@@ -342,10 +344,10 @@
         for _ in range(400):
             stranger.transport.write(call("PUT", "/api/config", b"x" * 60_000, If_Match="5"))
             await world.wait(0.0005)
-        callers = world.node("core-1")._calls._open
-        held = sum(len(c._body) + sum(len(one.body) for one, _ in c._waiting) for c in callers)
+        callers = world.node("core-1")._http_server._open
+        held = sum(len(c._body) + sum(len(one.body) for one, _ in c._queue) for c in callers)
         assert held <= 32 * 2**20
-        assert all(len(c._waiting) <= 64 for c in callers)
+        assert all(len(c._queue) <= 64 for c in callers)
         await world.wait(5.0)
         assert (await world.operator().get()).status == 200
 
@@ -365,30 +367,32 @@
             await world.wait(0.1)
         assert (await world.operator().get()).body == configuration(25)
         await world.wait(0.1)
-        assert not world.node("core-1")._calls._open and not world.node("core-1")._owed
+        assert not world.node("core-1")._http_server._open and not world.node("core-1")._pending_commands
 
     play(scene)
 
 
 def test_the_largest_configuration_that_is_taken_is_kept_and_told() -> None:
-    """What the call's bound lets through fits every frame and every record; what is larger gets 413."""
+    """A body at the limit fits every frame and record; a larger one gets status 413."""
 
     async def scene(world: World) -> None:
         await start_fleet(world)
         empty = len(configuration(6, padding=""))
         body = configuration(6, padding="x" * (MAX_BODY_BYTES - empty))
         assert len(body) == MAX_BODY_BYTES
-        answer = await say(world, call("PUT", "/api/config", body, If_Match="5"), silence_s=10.0)
+        answer = await send_request(world, call("PUT", "/api/config", body, If_Match="5"), silence_s=10.0)
         assert answer is not None and answer.status == 200
         await wait_in_force(world, 6)
         world.kill("core-1", "core-2", "core-3")
         world.boot("core-1", "core-2", "core-3")
         await world.wait(1.0)
-        read = await say(world, call("GET", "/api/config"), world.primary(), 10.0)
+        read = await send_request(world, call("GET", "/api/config"), world.primary(), 10.0)
         assert read is not None and read.body == body
         more = configuration(7, padding="x" * (MAX_BODY_BYTES - empty + 1))
-        answer = await say(world, call("PUT", "/api/config", more, If_Match="6"), world.primary(), 10.0)
+        answer = await send_request(
+            world, call("PUT", "/api/config", more, If_Match="6"), world.primary(), 10.0
+        )
         assert answer is not None and answer.status == 413
-        await goes_on(world, 8, 6)
+        await assert_fleet_works(world, 8, 6)
 
     play(scene, edges=2)
--- a/transport/__init__.py
+++ b/transport/__init__.py
@@ -1,1 +1,1 @@
-"""How the system's processes talk: Avro frames over TCP, links between them, and operators' HTTP calls."""
+"""Transport between the system's processes: Avro frames over TCP, and the HTTP server for operators."""
--- a/transport/endpoint.py
+++ b/transport/endpoint.py
@@ -1,4 +1,4 @@
-"""Where a process of the system listens for the others: several share the IP of a machine."""
+"""The address of a process: several processes share the IP of a machine, each with its own port."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Endpoint(NamedTuple):
-    """The IP and the port by which one process is told from all others."""
+    """The IP and port that identify a process."""
 
     ip: str
     port: int
--- a/transport/links.py
+++ b/transport/links.py
@@ -1,4 +1,4 @@
-"""Connections between the system's processes: one listener, and a connection to each that is spoken to."""
+"""Connections to other processes of the system: one listener, and outgoing connections by endpoint."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 from transport.endpoint import Endpoint
 from transport.wire import Link, MessageKinds
 
-DIAL_S = 0.5  # a connection comes up within this, or the peer is out of reach
-STAGGER_S = 0.1  # where one of several is wanted, the next is dialled if the one before is not up by then
-SILENT_S = 0.8  # one on which nothing was heard for so long is not trusted while another can be had
-DROP_S = 4.0  # one on which nothing was heard for so long is closed
-HELD_FRAMES = 64  # wait for a connection that comes up
-USER_TIMEOUT_MS = 1_500  # bytes that the peer's machine does not take for so long end the connection
+CONNECT_TIMEOUT_S = 0.5  # a peer whose connection takes longer counts as unreachable
+# `dial_any` dials the next endpoint if the one before is not connected by then.
+CONNECT_STAGGER_S = 0.1
+# After this silence frames are still sent, and another connection is dialled beside the silent one.
+SUSPECT_AFTER_S = 0.8
+CLOSE_AFTER_SILENT_S = 4.0  # after this silence a connection is closed once there is another to the same peer
+MAX_QUEUED_FRAMES = 64  # frames that wait for a connection being established
+USER_TIMEOUT_MS = 1_500  # unacknowledged bytes end the connection after this
 
-Heard = Callable[[Link, Any], None]
+OnMessage = Callable[[Link, Any], None]
 
 
-def harden(sock: socket.socket | None) -> None:
-    """A machine that is gone without a word must not hold a connection for ever."""
+def set_socket_options(sock: socket.socket | None) -> None:
+    """Disable Nagle's algorithm and bound how long a vanished machine can hold a connection."""
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -29,21 +31,21 @@
 
 
 class Links:
-    """All connections of this process to others of the system, by the endpoint of each."""
+    """All connections of this process to other processes, by endpoint."""
 
     def __init__(
         self,
         kinds: MessageKinds,
         own: Endpoint,
-        heard: Heard,
-        ended: Callable[[Link], None],
+        on_message: OnMessage,
+        on_closed: Callable[[Link], None],
         peers_share_port: bool = True,
     ) -> None:
-        """`peers_share_port`: whoever calls us listens on our port of its own machine.
+        """`peers_share_port`: a peer that connects here listens on this process's own port at its machine.
 
-        Else a caller is nobody that is spoken to by name until `identify` says who it is.
+        Otherwise nothing is sent to an accepted connection's peer by endpoint until `identify` names it.
         """
-        self.kinds, self._own, self._heard, self._told_end = kinds, own, heard, ended
+        self.kinds, self._own, self._on_message, self._on_closed = kinds, own, on_message, on_closed
         self._peers_share_port = peers_share_port
         self._by_endpoint: dict[Endpoint, list[Link]] = {}
         self._unidentified: set[Link] = set()
@@ -53,42 +55,47 @@
         self._is_stopped = False
 
     async def start(self) -> None:
-        """Listen; raises OSError."""
+        """Start listening; raises OSError if the address can't be bound."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: self._new(self._called), *self._own, backlog=512)
+        self._server = await loop.create_server(
+            lambda: self._new_link(self._on_accepted), *self._own, backlog=512
+        )
 
     def stop(self) -> None:
-        """Close everything; nothing is sent any more."""
+        """Close all connections and the listener; later sends are ignored."""
         self._is_stopped = True
         for task in self._tasks:
             task.cancel()
         if self._server is not None:
             self._server.close()
-        for link in [*self._unidentified, *(k for links in self._by_endpoint.values() for k in links)]:
+        for link in [
+            *self._unidentified,
+            *(candidate for links in self._by_endpoint.values() for candidate in links),
+        ]:
             link.close()
 
-    def _new(self, begun: Callable[[Link], None]) -> Link:
-        return Link(self.kinds, self._heard, self._ended, begun)
+    def _new_link(self, on_connected: Callable[[Link], None]) -> Link:
+        return Link(self.kinds, self._on_message, self._on_link_closed, on_connected)
 
-    def _called(self, link: Link) -> None:
-        """Somebody has called us."""
-        harden(link.socket())
+    def _on_accepted(self, link: Link) -> None:
+        """Register an incoming connection."""
+        set_socket_options(link.socket())
         if self._peers_share_port:
-            self._file(link, Endpoint(link.peer, self._own.port))
+            self._register(link, Endpoint(link.peer, self._own.port))
         else:
             self._unidentified.add(link)
 
-    def _file(self, link: Link, endpoint: Endpoint) -> None:
+    def _register(self, link: Link, endpoint: Endpoint) -> None:
         link.endpoint = endpoint
         self._by_endpoint.setdefault(endpoint, []).append(link)
 
     def identify(self, link: Link, endpoint: Endpoint) -> None:
-        """A caller has shown who it is: what is for that process may go by this connection from now on."""
+        """Bind an incoming connection to its endpoint: messages to that process may use it from now on."""
         if link in self._unidentified:
             self._unidentified.remove(link)
-            self._file(link, endpoint)
+            self._register(link, endpoint)
 
-    def _ended(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self._unidentified.discard(link)
         if link.endpoint is not None:
             links = self._by_endpoint.get(link.endpoint, [])
@@ -96,34 +103,34 @@
                 links.remove(link)
             if not links:
                 self._by_endpoint.pop(link.endpoint, None)
-        self._told_end(link)
+        self._on_closed(link)
 
     def find(self, endpoint: Endpoint) -> Link | None:
-        """The connection to a process that was heard of last, if one is up."""
-        links = [k for k in self._by_endpoint.get(endpoint, ()) if k.is_up()]
-        return max(links, key=lambda k: k.last_received_at, default=None)
+        """Return the open connection to a process that received data last; None if there is none."""
+        links = [candidate for candidate in self._by_endpoint.get(endpoint, ()) if candidate.is_up()]
+        return max(links, key=lambda candidate: candidate.last_received_at, default=None)
 
     def send(self, endpoint: Endpoint, message: Any) -> None:
-        """Send to a process, by what connection there is or a new one; it may be lost."""
+        """Send a message to a process, over an open connection or a new one; it may be lost."""
         self.send_frame(endpoint, self.kinds.encode(message))
 
     def send_frame(self, endpoint: Endpoint, frame: bytes) -> None:
-        """The same with a message that is encoded already."""
+        """Send an encoded message, as `send` does."""
         if self._is_stopped:
             return
         now = asyncio.get_running_loop().time()
         link = self.find(endpoint)
         if link is not None:
             for old in list(self._by_endpoint.get(endpoint, ())):
-                if now - old.last_received_at > DROP_S and old is not link:
+                if now - old.last_received_at > CLOSE_AFTER_SILENT_S and old is not link:
                     old.close()
             link.send_bytes(frame)
-            if now - link.last_received_at <= SILENT_S:
+            if now - link.last_received_at <= SUSPECT_AFTER_S:
                 return
-        waiting = self._dialing.get(endpoint)
-        if waiting is not None:
-            if link is None and len(waiting) < HELD_FRAMES:
-                waiting.append(frame)
+        queued = self._dialing.get(endpoint)
+        if queued is not None:
+            if link is None and len(queued) < MAX_QUEUED_FRAMES:
+                queued.append(frame)
             return
         self._dialing[endpoint] = [] if link is not None else [frame]
         task = asyncio.get_running_loop().create_task(self._dial(endpoint))
@@ -132,24 +139,24 @@
 
     async def _dial(self, endpoint: Endpoint) -> None:
         link = await self.dial(endpoint)
-        waiting = self._dialing.pop(endpoint, [])
+        queued = self._dialing.pop(endpoint, [])
         if link is not None:
-            for frame in waiting:
+            for frame in queued:
                 link.send_bytes(frame)
 
     async def dial_any(self, endpoints: Sequence[Endpoint]) -> tuple[Endpoint, Link] | None:
-        """A connection to the first of these that takes us in; None if nobody does."""
+        """Return the first endpoint that accepts a connection, and the connection; None if none does."""
         dials: dict[asyncio.Task[Link | None], Endpoint] = {}
         found: tuple[Endpoint, Link] | None = None
-        waiting = list(endpoints)
+        remaining = list(endpoints)
         try:
-            while found is None and (waiting or dials):
-                if waiting:
-                    endpoint = waiting.pop(0)
+            while found is None and (remaining or dials):
+                if remaining:
+                    endpoint = remaining.pop(0)
                     dials[asyncio.get_running_loop().create_task(self.dial(endpoint))] = endpoint
-                wait_s = STAGGER_S if waiting else None
-                done, _ = await asyncio.wait(dials, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
-                for dial in done:
+                wait_s = CONNECT_STAGGER_S if remaining else None
+                finished, _ = await asyncio.wait(dials, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
+                for dial in finished:
                     endpoint, link = dials.pop(dial), dial.result()
                     if link is not None and found is None and link.is_up():
                         found = endpoint, link
@@ -157,30 +164,31 @@
                         link.close()
         finally:
             for dial in dials:
-                dial.add_done_callback(_close_late)
+                dial.add_done_callback(_close_unused)
                 dial.cancel()
         return found
 
     async def dial(self, endpoint: Endpoint) -> Link | None:
-        """A new connection to a process; None if none comes up."""
+        """Return a new connection to a process; None if it can't be established in time."""
 
-        def begun(link: Link) -> None:
-            harden(link.socket())
-            self._file(link, endpoint)
+        def on_connected(link: Link) -> None:
+            set_socket_options(link.socket())
+            self._register(link, endpoint)
 
         try:
-            async with asyncio.timeout(DIAL_S):
-                # On loopback the kernel would call from 127.0.0.1 for all of us, and IPs tell us apart.
-                here = (self._own.ip, 0) if self._own.ip.startswith("127.") else None
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                # On loopback the kernel would use 127.0.0.1 as the source of every process, and peers are
+                # identified by IP.
+                local_addr = (self._own.ip, 0) if self._own.ip.startswith("127.") else None
                 _, link = await asyncio.get_running_loop().create_connection(
-                    lambda: self._new(begun), endpoint.ip, endpoint.port, local_addr=here
+                    lambda: self._new_link(on_connected), endpoint.ip, endpoint.port, local_addr=local_addr
                 )
         except (OSError, TimeoutError):
             return None
         return link
 
 
-def _close_late(dial: asyncio.Task[Link | None]) -> None:
-    """It came up all the same."""
+def _close_unused(dial: asyncio.Task[Link | None]) -> None:
+    """Close a connection that was established although it is no longer wanted."""
     if not dial.cancelled() and dial.exception() is None and (link := dial.result()) is not None:
         link.close()
--- a/transport/tasks.py
+++ b/transport/tasks.py
@@ -1,4 +1,4 @@
-"""Work that goes on for as long as the process does."""
+"""Background tasks that run as long as the process."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 
 from loguru import logger
 
-AGAIN_S = 0.5  # after a fault
+RESTART_DELAY_S = 0.5  # after an exception
 
 
 async def run_forever(work: Callable[[], Awaitable[None]]) -> None:
-    """Do endless work; a fault in it is logged, and it begins anew: a process without it would look well."""
+    """Run endless work, restarting it after an exception.
+
+    The exception is logged. Without the restart a process would look healthy while a part of it has stopped.
+    """
     while True:
         try:
             await work()
             return
         except Exception:
             logger.exception("event=work_failed name={}", getattr(work, "__qualname__", "?"))
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
