--- a/fleet/registry/entries.py
+++ b/fleet/registry/entries.py
@@ -1,17 +1,15 @@
-"""One instance as the list shows it, and which of two reports of it is the later one.
-
-Replicas take writes without asking each other, so that any two reports of one instance must be comparable
-by themselves. `order` is total; the greater one wins, on every replica, in whatever order they come:
-
-1. the higher `incarnation`: a new process is not what was said of the one before it;
-2. the higher `word`: within an incarnation an instance goes from active to leaving to removed and never
-   back, so that a removal wins over a renewal that another replica took meanwhile (the renewal says that
-   the process lives, the removal that nobody wants it; a process that is wanted again comes with a new
-   incarnation);
-3. the higher `turn`: counts what replicas did with it, moves of its lease and lapses, and lets the replica
-   that holds a lease refute another's belief that it has lapsed;
-4. at the same turn one that has not lapsed, and then the names and values: any order will do, if it is
-   one.
+"""Defines a registry entry and the total order that resolves conflicting versions of it.
+
+Replicas accept writes without coordination, so any two versions of an entry must be comparable on their own.
+`order` is total and the greater version wins on every replica, whatever the order of arrival:
+
+1. the higher `incarnation`: statements about an earlier process don't apply to a new one;
+2. the higher `lifecycle`: within an incarnation an instance goes from active to leaving to removed and never
+   back, so that a removal wins over a renewal that another replica accepted meanwhile (the renewal says that
+   the process is alive, the removal that it is unwanted; to return, it registers with a new incarnation);
+3. the higher `turn`, a counter that replicas increment when they move a lease or mark it lapsed; by
+   incrementing it, the holder of a lease refutes another replica's claim that the lease has lapsed;
+4. with equal turns, a version that has not lapsed, then names and values: any order that is total will do.
 """
 
 from __future__ import annotations
@@ -21,34 +19,38 @@
 import math
 from dataclasses import dataclass, replace
 
-LARGEST = 2**53 - 1  # what every JSON reader holds exactly
-LONGEST_NAME = 200
-LEASE_MS = (500.0, 3_600_000.0)
-"""The shortest and the longest lease; 0 stands for none."""
+MAX_SAFE_INTEGER = 2**53 - 1  # the largest integer that every JSON parser represents exactly
+MAX_NAME_LENGTH = 200
+LEASE_RANGE_MS = (500.0, 3_600_000.0)
+"""The shortest and the longest lease; 0 means no lease."""
 
 
-class Word(enum.IntEnum):
-    """What its registrant or an operator last said of an incarnation."""
+class Lifecycle(enum.IntEnum):
+    """The lifecycle stage of an incarnation, as last set by its registrant or an operator."""
 
     ACTIVE = 0
     LEAVING = 1
     REMOVED = 2
 
 
-PHASES = {"active": Word.ACTIVE, "leaving": Word.LEAVING, "left": Word.REMOVED}
+PHASES = {"active": Lifecycle.ACTIVE, "leaving": Lifecycle.LEAVING, "left": Lifecycle.REMOVED}
 
 
-class BadEntryError(ValueError):
-    """A value that no entry can have; the text names the field and what is allowed."""
+class InvalidEntryError(ValueError):
+    """An invalid value in an entry; the message names the field and the allowed values."""
 
 
 def _require(condition: bool, field: str, allowed: str) -> None:
     if not condition:
-        raise BadEntryError(f"{field}: allowed is {allowed}")
+        raise InvalidEntryError(f"{field}: allowed is {allowed}")
 
 
-def _is_name(text: str, least: int) -> bool:
-    return least <= len(text) <= LONGEST_NAME and text.isprintable() and not any(c.isspace() for c in text)
+def _is_name(text: str, min_length: int) -> bool:
+    return (
+        min_length <= len(text) <= MAX_NAME_LENGTH
+        and text.isprintable()
+        and not any(c.isspace() for c in text)
+    )
 
 
 def _is_address(text: str) -> bool:
@@ -61,12 +63,12 @@
 
 
 Key = tuple[str, str]
-"""The list and the id: what an entry is known by."""
+"""The list and the id, which identify an entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One instance in one list. `lease_ms` 0: it stays until it is removed; spans are milliseconds."""
+    """One instance in one list. Without a lease (`lease_ms` 0) it stays until it is removed."""
 
     id: str
     host_port: str = ""
@@ -77,26 +79,30 @@
     size: float = 1.0
     up_since_ms: float = 0.0
     incarnation: int = 0
-    word: Word = Word.ACTIVE
+    lifecycle: Lifecycle = Lifecycle.ACTIVE
     lease_ms: float = 0.0
-    holder: str = ""  # the replica that was told last: it alone says that the lease has lapsed
+    holder: str = ""  # the replica that holds the lease; it alone may mark it lapsed
     turn: int = 0
     lapsed: bool = False
 
     def __post_init__(self) -> None:
-        _require(_is_name(self.id, 1), "id", f"1 to {LONGEST_NAME} printable characters without blanks")
+        _require(_is_name(self.id, 1), "id", f"1 to {MAX_NAME_LENGTH} printable characters without blanks")
         for field in ("list", "locality", "flavor", "holder"):
             value = getattr(self, field)
-            _require(_is_name(value, 0), field, f"at most {LONGEST_NAME} printable characters without blanks")
-        gone = self.word is Word.REMOVED and not self.host_port
+            _require(
+                _is_name(value, 0), field, f"at most {MAX_NAME_LENGTH} printable characters without blanks"
+            )
+        gone = self.lifecycle is Lifecycle.REMOVED and not self.host_port
         _require(
             gone or _is_address(self.host_port), "host_port", "an IP address and a port, as 10.0.0.4:7070"
         )
         for field in ("incarnation", "turn", "cell"):
-            _require(0 <= getattr(self, field) <= LARGEST, field, "a whole number from 0 to 2^53 - 1")
+            _require(
+                0 <= getattr(self, field) <= MAX_SAFE_INTEGER, field, "a whole number from 0 to 2^53 - 1"
+            )
         _require(math.isfinite(self.size) and self.size > 0, "size", "a finite number above 0")
         _require(math.isfinite(self.up_since_ms), "up_since_ms", "a finite number of milliseconds")
-        low, high = LEASE_MS
+        low, high = LEASE_RANGE_MS
         _require(
             self.lease_ms == 0 or low <= self.lease_ms <= high,
             "lease_ms",
@@ -105,25 +111,25 @@
 
     @property
     def key(self) -> Key:
-        """What it is known by."""
+        """The key that identifies the entry."""
         return (self.list, self.id)
 
     @property
     def is_gone(self) -> bool:
-        """Whether readers see it as `left`."""
-        return self.lapsed or self.word is Word.REMOVED
+        """Whether readers see the entry as `left`."""
+        return self.lapsed or self.lifecycle is Lifecycle.REMOVED
 
     @property
     def phase(self) -> str:
-        """The published form's word."""
-        return "left" if self.is_gone else "leaving" if self.word is Word.LEAVING else "active"
+        """The phase as published to readers: active, leaving or left."""
+        return "left" if self.is_gone else "leaving" if self.lifecycle is Lifecycle.LEAVING else "active"
 
     @property
     def order(self) -> tuple[object, ...]:
-        """Greater is later; see the top of the file."""
+        """The sort key for conflict resolution; the greater one wins (see the module's documentation)."""
         return (
             self.incarnation,
-            self.word,
+            self.lifecycle,
             self.turn,
             not self.lapsed,
             self.holder,
@@ -136,11 +142,11 @@
             self.lease_ms,
         )
 
-    def says_as(self, other: Entry) -> bool:
-        """Whether both say the same of the instance, whoever holds it and whatever its phase."""
-        return self._said() == other._said()
+    def has_same_values(self, other: Entry) -> bool:
+        """Returns whether both describe the instance alike, regardless of the lease holder and the phase."""
+        return self._values() == other._values()
 
-    def _said(self) -> tuple[object, ...]:
+    def _values(self) -> tuple[object, ...]:
         return (
             self.host_port,
             self.locality,
@@ -152,11 +158,11 @@
         )
 
 
-def later(one: Entry, other: Entry) -> Entry:
-    """The one that wins; commutative, associative and idempotent, as `order` is total."""
+def later_entry(one: Entry, other: Entry) -> Entry:
+    """Returns the version that wins; commutative, associative and idempotent, since `order` is total."""
     return one if one.order >= other.order else other
 
 
-def held_by(entry: Entry, holder: str) -> Entry:
-    """The same, alive, with its lease at another holder."""
+def with_holder(entry: Entry, holder: str) -> Entry:
+    """Returns the entry, not lapsed, with its lease moved to `holder`."""
     return replace(entry, holder=holder, turn=entry.turn + 1, lapsed=False)
