--- a/control/node.py
+++ b/control/node.py
@@ -14,9 +14,9 @@
 from config.settings import Settings, parse_address
 from consensus import messages
 from consensus.awake_clock import AwakeClock
-from consensus.codec import revive
+from consensus.codec import decode_nested
 from consensus.effects import Committed, Effect, Lead, Persist, Reply, Send, Spec, Verdict
-from consensus.keeper import FOUNDER, Keeper
+from consensus.keeper import FOUNDER_PREFIX, StateStore
 from consensus.primary import Command, Get
 from consensus.replica import Replica
 from consensus.spread import Spread
@@ -59,7 +59,7 @@
         self.reader = ConfigurationReader()
         self._loop = asyncio.get_running_loop()
         assert settings.data_dir is not None
-        self._keeper = Keeper(settings.data_dir, self._on_disk_health)
+        self._keeper = StateStore(settings.data_dir, self._on_disk_health)
         self._replica: Replica | None = None
         self._clock = AwakeClock(self._on_stall)
         own = Endpoint(settings.ip, settings.control_port)
@@ -81,13 +81,18 @@
         is_bootstrapping = (
             settings.bootstrap and bool(settings.seed_addrs) and min(settings.seed_addrs) == ctl
         )
-        memory = await self._keeper.load(is_bootstrapping)
+        durable_state = await self._keeper.load(is_bootstrapping)
         own_member = Member(
-            memory.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone
+            durable_state.identity, settings.node, settings.ip, settings.control_port, ctl, settings.zone
         )
-        founder = memory.identity.startswith(FOUNDER)
+        founder = durable_state.identity.startswith(FOUNDER_PREFIX)
         self._replica = Replica(
-            own_member, memory, spec_from_settings(settings), settings.seed_ips, founder, secrets.randbits(32)
+            own_member,
+            durable_state,
+            spec_from_settings(settings),
+            settings.seed_ips,
+            founder,
+            secrets.randbits(32),
         )
         self._replica.start(self.now())
         await self._links.start()
@@ -122,14 +127,18 @@
 
     def _has_successor(self, replica: Replica) -> bool:
         leader = replica.leader()
-        return leader is not None and leader.identity != replica.me.identity and replica.is_led(self.now())
+        return (
+            leader is not None
+            and leader.identity != replica.me.identity
+            and replica.has_live_leader(self.now())
+        )
 
     def reconfigure(self, settings: Settings) -> None:
         """Apply a changed settings file."""
         self.settings = settings
         self._publisher.reconfigure(settings)
         if self._replica is not None:
-            self._replica.follow_seeds(settings.seed_ips)
+            self._replica.set_seeds(settings.seed_ips)
 
     # ---- interface for the operators' API
 
@@ -142,10 +151,10 @@
         replica = self._replica
         if replica is None:
             return None
-        leader = replica.heard_leader(self.now())
+        leader = replica.live_leader(self.now())
         return None if leader is None or leader.identity == replica.me.identity else leader
 
-    def components(self) -> tuple[Replica | None, Publisher, Keeper]:
+    def components(self) -> tuple[Replica | None, Publisher, StateStore]:
         """Return the parts that a status report reads."""
         return self._replica, self._publisher, self._keeper
 
@@ -184,7 +193,7 @@
         """Lead in a later epoch than this one, as others reject leaders of this or an earlier epoch."""
         if self._replica is not None:
             logger.warning("event=epoch_outrun heard={}", epoch)
-            self._replica.outrun(epoch)
+            self._replica.skip_epochs_to(epoch)
 
     # ---- the replica
 
@@ -195,12 +204,12 @@
     def _on_stall(self, stall_ms: float, now: float) -> None:
         logger.info("event=stalled ms={:.0f}", stall_ms)
         if self._replica is not None:
-            self._replica.stalled(stall_ms, now)
+            self._replica.on_stall(stall_ms, now)
 
     def _tick(self) -> None:
         self._ticker = self._loop.call_later(TICK_S, self._tick)
         assert self._replica is not None
-        self._keeper.look()
+        self._keeper.check_health()
         self._replica.tick(self.now())
         self._apply_effects()
         self.tallies.tick(self._other_members(self._replica))
@@ -208,7 +217,7 @@
 
     def _on_disk_health(self, is_healthy: bool) -> None:
         if self._replica is not None:
-            self._replica.disk(is_healthy)
+            self._replica.on_disk_health(is_healthy)
             self._apply_effects()
 
     def _on_message(self, link: Link, message: Any) -> None:
@@ -222,7 +231,7 @@
             self._publisher.on_message(link, message)
             return
         try:
-            revived = revive(message)
+            revived = decode_nested(message)
             if isinstance(revived, messages.Install) and revived.view is None:
                 raise ValueError("an Install message without a view")
         except (ValueError, KeyError, TypeError) as error:
@@ -230,7 +239,7 @@
             link.close()
             return
         self._links.identify(link, self._control_endpoint(link.peer))
-        self._replica.hear(link.peer, revived, self.now())
+        self._replica.on_message(link.peer, revived, self.now())
         self._apply_effects()
 
     def _control_endpoint(self, ip: str) -> Endpoint:
@@ -242,7 +251,7 @@
 
     def _other_members(self, replica: Replica) -> tuple[str, ...] | None:
         """Return the IPs of the other members of the latest known view; None without a view."""
-        view = replica.acceptor.latest
+        view = replica.acceptor.latest_view
         if view is None:
             return None
         return tuple(
@@ -259,11 +268,11 @@
             return
         self._is_applying = True
         try:
-            while (effects := replica.take()) or self._own_messages:
+            while (effects := replica.take_effects()) or self._own_messages:
                 for effect in effects:
                     self._apply_or_log(replica, effect)
                 while self._own_messages:
-                    replica.hear(replica.me.ip, self._own_messages.popleft(), self.now())
+                    replica.on_message(replica.me.ip, self._own_messages.popleft(), self.now())
         finally:
             self._is_applying = False
 
@@ -285,7 +294,7 @@
                 else:
                     self._send(ip, message)
             case Persist(record, then):
-                self._keeper.keep(record, lambda: self._on_synced(then))
+                self._keeper.append(record, lambda: self._on_synced(then))
             case Reply():
                 future = self._pending_commands.get(effect.token)
                 if future is not None and not future.done():
--- a/control/operators.py
+++ b/control/operators.py
@@ -12,7 +12,7 @@
 from consensus.effects import Reply as Outcome
 from consensus.effects import Verdict
 from consensus.primary import Command, Get, Put
-from consensus.views import Document, Member, Past
+from consensus.views import ChangeStatus, Document, Member
 from transport.calls import Request, Response, Routes, json_response
 
 OPERATOR_ROUTES = Routes()
@@ -90,8 +90,8 @@
         return current
     document = current.document or Document()
     if base != document.ver:
-        history = document.past(patch.ver, patch.digest)
-        return _change_response(Outcome(current.token, _VERDICTS[history], document), patch.ver)
+        status = document.change_status(patch.ver, patch.digest)
+        return _change_response(Outcome(current.token, _VERDICTS[status], document), patch.ver)
     try:
         result = apply_patch(document.body, patch, control.reader)
     except InvalidConfigurationError as error:
@@ -100,7 +100,11 @@
     return _change_response(await _run_command(control, put), patch.ver)
 
 
-_VERDICTS = {Past.TAKEN: Verdict.DONE, Past.NEVER: Verdict.STALE, Past.FORGOTTEN: Verdict.UNSURE}
+_VERDICTS = {
+    ChangeStatus.ACCEPTED: Verdict.DONE,
+    ChangeStatus.NOT_ACCEPTED: Verdict.STALE,
+    ChangeStatus.UNKNOWN: Verdict.UNSURE,
+}
 
 
 def _base_version(request: Request) -> int:
--- a/control/tally_keeper.py
+++ b/control/tally_keeper.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from tallies.effects import Counted, Effect, Keep, KeepAll, Tell
+from tallies.effects import Acknowledge, Effect, PersistAdds, PersistState, Send
 from tallies.journal import Journal
 from tallies.messages import Message
 from tallies.replica import TallyReplica
@@ -44,14 +44,14 @@
         if not self._is_loaded:
             return
         if others is not None:
-            self.replica.follow(others)
+            self.replica.set_peers(others)
         self.replica.tick(_wall_ms(), self._now())
         self._apply_effects()
 
     def on_message(self, ip: str, message: Message) -> None:
         """Handle a message of another control process."""
         if self._is_loaded:
-            self.replica.heard(ip, message, self._now())
+            self.replica.on_message(ip, message, self._now())
             self._apply_effects()
 
     # ---- requests
@@ -62,7 +62,7 @@
 
     def accepts_adds(self) -> bool:
         """Return whether the disk is healthy enough to take another add."""
-        return self._journal.is_well()
+        return self._journal.is_healthy()
 
     def total(self, tally: str) -> int:
         """Return the sum of a tally as known here."""
@@ -83,7 +83,7 @@
     # ---- effects
 
     def _on_synced(self, record: int) -> None:
-        self.replica.synced(record, self._now())
+        self.replica.on_synced(record, self._now())
         self._apply_effects()
 
     def _apply_effects(self) -> None:
@@ -91,7 +91,7 @@
             return
         self._is_applying = True
         try:
-            while effects := self.replica.take():
+            while effects := self.replica.take_effects():
                 for effect in effects:
                     self._apply(effect)
         finally:
@@ -99,13 +99,13 @@
 
     def _apply(self, effect: Effect) -> None:
         match effect:
-            case Tell(ip, message):
+            case Send(ip, message):
                 self._send(ip, message)
-            case Keep(number, adds):
-                self._journal.keep(number, adds)
-            case KeepAll():
-                self._journal.keep_all()
-            case Counted(token):
+            case PersistAdds(number, adds):
+                self._journal.append(number, adds)
+            case PersistState():
+                self._journal.write_state()
+            case Acknowledge(token):
                 done = self._pending.get(token)
                 if done is not None and not done.done():
                     done.set_result(None)
--- a/tallies/effects.py
+++ b/tallies/effects.py
@@ -1,4 +1,4 @@
-"""What a replica of tallies asks its host to do."""
+"""The actions that a replica of tallies asks its host to carry out."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Send:
     """Send a message to the control process at an IP; it may be lost."""
 
     ip: str
@@ -16,23 +16,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """Bring these adds to the disk, then call `synced` with the number."""
+class PersistAdds:
+    """Write these adds to disk, then report the number with `on_synced`."""
 
     number: int
     adds: tuple[Add, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class KeepAll:
-    """Bring the whole state to the disk: some of it is not among adds that were to be kept."""
+class PersistState:
+    """Write the whole state to disk, because it holds changes that no `PersistAdds` covers."""
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """The add of this token is as safe as it has to be: it may be acknowledged."""
+class Acknowledge:
+    """The add of this token is stored safely enough to be acknowledged."""
 
     token: int
 
 
-Effect = Tell | Keep | KeepAll | Counted
+Effect = Send | PersistAdds | PersistState | Acknowledge
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -23,17 +23,17 @@
 
 from balancer.ingress import read_head
 from balancer.prompt import read_prompt
-from balancer.readiness import MOST, _Asked
+from balancer.readiness import MAX_REQUEST_BYTES, _ReadinessConnection
 from balancer.routes import RouteTable
-from balancer.streams import MOST_HELD, BadStreamError, EventReader
+from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from balancer.tiers import Tiers
-from balancer.wire import free_handle, read_handle
+from balancer.wire import free_handle_call, read_handle
 from config.checking import ConfigurationReader, check, digest, parse_configuration, parse_upstreams
 from config.configuration import ClientLimits
 from config.errors import DiskError, FleetError, InvalidConfigurationError, SettingsError, WireError
 from config.settings import parse
 from consensus import messages as control
-from consensus.codec import RECORDS, read_record, revive
+from consensus.codec import RECORDS, decode_nested, decode_record
 from consensus.files import OsFiles
 from consensus.slots import Store
 from control.operators import OPERATOR_ROUTES
@@ -108,7 +108,7 @@
         return
     if kinds is not BETWEEN or isinstance(message, control.Message):
         try:
-            message = revive(message)
+            message = decode_nested(message)
         except (ValueError, KeyError, TypeError):
             return  # `ControlNode._on_message` ends the connection
     kinds.encode(message)  # what was taken is passed on, or told again
@@ -197,7 +197,7 @@
     good = RECORDS.encode(data.draw(any_message(RECORDS)))
     raw = data.draw(st.one_of(st.binary(max_size=80), spoilt(good)))
     with suppress(WireError, IndexError, ValueError, KeyError, TypeError):  # it counts as a new process then
-        read_record(raw)
+        decode_record(raw)
 
 
 @LIMITS
@@ -305,13 +305,13 @@
     import random
 
     tiers = Tiers(random.Random(1), lambda name: True)
-    tiers.take(entries, 0.0)
+    tiers.update(entries, 0.0)
     for entry in entries:
         # Header lines of ours hold its id and address: nothing in them may end a line, or be no line.
-        head = free_handle(entry.addr, entry.id, "h").head
+        head = free_handle_call(entry.addr, entry.id, "h").head
         assert head.count(b"\r\n") == 5 and head.isascii() and head.count(b"\n") == 5
         peer = tiers.peer(entry.id)
-        assert peer is not None and b"\n" not in peer.home
+        assert peer is not None and b"\n" not in peer.id_bytes
 
 
 @LIMITS
@@ -347,7 +347,7 @@
     count("handle")
     found = read_handle(body)
     if found is not None:
-        assert free_handle("10.0.0.1:1", "u-1", found[0]).head.count(b"\r\n") == 5
+        assert free_handle_call("10.0.0.1:1", "u-1", found[0]).head.count(b"\r\n") == 5
 
 
 EVENTS = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n"
@@ -370,9 +370,9 @@
             try:
                 out += reader.feed(piece)
             except BadStreamError as error:
-                return out + error.good, True, reader.last
-            assert len(reader._held) <= MOST_HELD
-        return out, False, reader.last
+                return out + error.valid, True, reader.last_event_id
+            assert len(reader._held) <= MAX_EVENT_BYTES
+        return out, False, reader.last_event_id
 
     whole, bad, _ = play([data])
     assert data.startswith(whole) and (bad or not whole or whole[-1:] in b"\r\n")
@@ -441,7 +441,7 @@
 ) -> None:
     count("prompt")
     found = read_prompt(prefix, count_)
-    assert 0 <= found.tokens < 10**12 and found.shared >= 0
+    assert 0 <= found.tokens < 10**12 and found.shared_tokens >= 0
 
 
 class Control:
@@ -493,12 +493,12 @@
 def test_readiness_answers_any_bytes_or_ends_the_connection(raw: bytes, places: list[int]) -> None:
     count("readiness")
     transport, opened = Transport(), dict[Any, None]()
-    asked = _Asked(lambda: True, lambda head, transport: False, opened)
+    asked = _ReadinessConnection(lambda: True, lambda head, transport: False, opened)
     asked.connection_made(transport)  # type: ignore[arg-type]
     for piece in cut(raw, places):
         if not transport.ended:
             asked.data_received(piece)
-    assert len(asked._held) <= MOST or transport.ended
+    assert len(asked._held) <= MAX_REQUEST_BYTES or transport.ended
     asked.connection_lost(None)
     assert not opened
 
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -123,8 +123,8 @@
 
 
 async def _queues(play: Play) -> None:
-    play.balancer.tiers.reading = lambda service, now: 1e6  # type: ignore[method-assign]
-    play.balancer.tiers.reading_itself = lambda service, now: 1e6  # type: ignore[method-assign]
+    play.balancer.tiers.prefill_wait_s = lambda service, now: 1e6  # type: ignore[method-assign]
+    play.balancer.tiers.decode_wait_s = lambda service, now: 1e6  # type: ignore[method-assign]
     await play.ask(headers=SPLIT)
 
 
@@ -159,7 +159,7 @@
 def test_the_first_event_counts_up_to_its_bound() -> None:
     tally = RequestCounters()
     for seconds in (0.0, FIRST_EVENT_S[0], FIRST_EVENT_S[0] + 1e-9, FIRST_EVENT_S[-1] + 1):
-        tally.first_event(seconds)
+        tally.on_first_event(seconds)
     assert tally.first_events == [2, 1, *[0] * (len(FIRST_EVENT_S) - 2), 1]
     tally.taken()
     tally.ended("r", Final.SERVED)
