--- a/balancer/active_request.py
+++ b/balancer/active_request.py
@@ -17,8 +17,8 @@
 from balancer.upstream_call import UpstreamCall
 from balancer.wire import UpstreamRequest, is_sound, read_handle
 from config.configuration import Route
-from passpost.attempt import Outgoing
-from passpost.http1 import Answer
+from passpost.attempt import OutgoingRequest
+from passpost.http1 import Response
 from umberworks.interface import Outcome
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         call: RoutedCall,
         service: str,
         deadline: float,
-        out: Outgoing,
+        out: OutgoingRequest,
         client: Client,
     ) -> None:
         """`deadline`: when the client stops waiting, in seconds on the monotonic clock."""
@@ -124,7 +124,7 @@
             case steps.Abort():
                 self._finish()
                 self._free_handle()
-                self._client.break_off()
+                self._client.abort()
 
     def _prefill(self) -> None:
         now = time.monotonic()
@@ -197,7 +197,7 @@
             self._out.body,
             None,
             self._deadline,
-            self._call.txn,
+            self._call.request_id,
             extra,
             needs_fresh_connection,
         )
@@ -207,7 +207,7 @@
 
     # ---- prefill
 
-    def _on_prefill_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def _on_prefill_ended(self, outcome: Outcome, answer: Response | None) -> None:
         peer = self._upstream_call.on_ended(outcome, answer, valid=True)
         if outcome is not Outcome.SERVED and not self._finished:
             _log_ended(peer, "read_ended", outcome, answer, self._call)
@@ -245,7 +245,9 @@
         """Cancel the call, as its event stream is invalid."""
         peer = self._upstream_call.peer
         name = peer.entry.id if peer is not None else ""
-        logger.warning("event=bad_stream upstream={} request={}", name, self._call.txn.decode("latin-1"))
+        logger.warning(
+            "event=bad_stream upstream={} request={}", name, self._call.request_id.decode("latin-1")
+        )
         self._upstream_call.cancel()
 
     def on_forward(self) -> None:
@@ -268,7 +270,7 @@
         if succeeded:
             self._machine.handle = None  # fetched: nothing is left to free
 
-    def _on_run_ended(self, outcome: Outcome, answer: Answer | None) -> None:
+    def _on_run_ended(self, outcome: Outcome, answer: Response | None) -> None:
         relay = self._relay
         forwarding = relay.is_forwarding()
         if forwarding and outcome is Outcome.SERVED and not relay.is_complete():
@@ -287,7 +289,7 @@
             outcome is Outcome.SERVED and answer is not None and is_sound(answer.headers) and not relay.begun
         ):
             self._finish()
-            self._client.serve(answer)
+            self._client.send_response(answer)
         elif (
             outcome is Outcome.ERROR
             and answer is not None
@@ -296,7 +298,7 @@
         ):
             self._finish()
             self._free_handle()
-            self._client.serve(answer)
+            self._client.send_response(answer)
         else:
             _log_ended(peer, "run_ended", outcome, answer, self._call)
             if outcome is Outcome.TURNED_AWAY and self._fetching is not None:
@@ -323,7 +325,7 @@
     return aim / 1000 * max(MAX_WAIT - WAIT_PER_PRIORITY * route.prio, MIN_WAIT)
 
 
-def _log_ended(peer: Peer, event: str, outcome: Outcome, answer: Answer | None, call: RoutedCall) -> None:
+def _log_ended(peer: Peer, event: str, outcome: Outcome, answer: Response | None, call: RoutedCall) -> None:
     status = answer.status if answer is not None else 0
     text = "event={} upstream={} outcome={!r} status={} request={}"
-    logger.debug(text, event, peer.entry.id, outcome.value, status, call.txn.decode("latin-1"))
+    logger.debug(text, event, peer.entry.id, outcome.value, status, call.request_id.decode("latin-1"))
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -30,12 +30,12 @@
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
 from dissemination.doubts import FailureCounts
-from passpost.attempt import Outgoing
+from passpost.attempt import OutgoingRequest
 from passpost.client_options import ClientOptions
 from passpost.http1 import Headers
 from passpost.server import Server
 from passpost.upstream import Upstreams
-from passpost.validation import BadRequestError, Call
+from passpost.validation import BadRequestError, RequestHead
 
 if TYPE_CHECKING:
     from passpost.engine import Client
@@ -98,15 +98,19 @@
             CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S * 2, upstream_fds, options.upstream_options()
         )
         self.answer_log = AnswerLog()
-        self.upstreams.watch_answers = self.answer_log.on_ended
-        self.upstreams.watch_misuse = self.answer_log.on_misuse
+        self.upstreams.on_response_end = self.answer_log.on_ended
+        self.upstreams.on_misuse = self.answer_log.on_misuse
         self._rng = random.Random(seed)
         self.load_changed: Callable[[], None] = _noop
         self._on_prefix_cached: Callable[[bytes, str], None] | None = None
         self.request_handler: readiness.RequestHandler | None = None  # at the readiness address
         self._cold_share = ColdShare(settings.node, settings.bounds)
         self.tiers = Tiers(
-            self._rng, self.upstreams.has_place, settings.zone, self.upstreams.has_idle, self._cold_share
+            self._rng,
+            self.upstreams.can_send,
+            settings.zone,
+            self.upstreams.has_idle_connection,
+            self._cold_share,
         )
         self.health = UpstreamHealth(self.tiers, self.upstreams)
         self._max_open = fds - upstream_fds
@@ -136,7 +140,7 @@
                 address,
                 self._max_open,
                 listener=self._listener,
-                held=MAX_HELD_BODY_BYTES,
+                buffer_bytes=MAX_HELD_BODY_BYTES,
                 options=self._client_options(),
             )
             asyncio.get_running_loop().call_later(MAX_STARTUP_WAIT_S, self._start_accepting)
@@ -157,7 +161,7 @@
         self.priorities.keep_only({r.name for r in configuration.routes})
         self.tiers.set_wanted_versions(wanted_versions(configuration), time.monotonic())
         if self._server is not None:
-            self._server.treat(self._client_options())
+            self._server.apply_options(self._client_options())
         self._limit_connections()
         if self.tiers.has_ready():
             self._start_accepting()
@@ -165,7 +169,9 @@
     def list_upstreams(self, entries: tuple[Upstream, ...]) -> None:
         """Apply the whole list of upstreams; cheap if it has not changed."""
         if self.tiers.update(entries, time.monotonic()):
-            self.upstreams.route({name: parse_address(address) for name, address in self.tiers.addresses()})
+            self.upstreams.set_addresses(
+                {name: parse_address(address) for name, address in self.tiers.addresses()}
+            )
         if self._configuration is not None:
             self._start_accepting()
 
@@ -270,7 +276,7 @@
         limit = min((s.max_conns for s in services), default=math.inf)
         if math.isfinite(limit):
             share = CONNS_SHARE * limit / (self._balancers or UNKNOWN_BALANCERS)
-            self.upstreams.limit_each(max(MIN_CONNS, share))
+            self.upstreams.limit_connections_each(max(MIN_CONNS, share))
 
     def budget(self, service: str) -> ServiceBudget:
         """Return the retry budget of a service."""
@@ -297,7 +303,7 @@
         """Whether any upstream is ready."""
         return self.tiers.has_ready()
 
-    def read(self, method: bytes, target: bytes, version: str, headers: Headers) -> Call:
+    def parse_head(self, method: bytes, target: bytes, version: str, headers: Headers) -> RequestHead:
         """Parse a request head; raises BadRequestError."""
         if self._configuration is None:
             self.counters.refused(Refusal.UNCONFIGURED)
@@ -305,7 +311,12 @@
         return read_head(method, target, version, headers, self._table, self._configuration.limits)
 
     def take_up(
-        self, call: Call, remaining: float, outgoing: Outgoing, client: Client, free_connections: float
+        self,
+        call: RequestHead,
+        remaining: float,
+        outgoing: OutgoingRequest,
+        client: Client,
+        free_connections: float,
     ) -> int:
         """Start a request that has to be answered in `remaining` seconds; return its number."""
         assert isinstance(call, RoutedCall)
@@ -320,10 +331,10 @@
         request.start()
         return number
 
-    def whole(self, number: int) -> None:
+    def on_request_complete(self, number: int) -> None:
         """Do nothing: a request starts only when its whole body is held."""
 
-    def left(self, number: int) -> None:
+    def on_client_disconnected(self, number: int) -> None:
         """Handle a client's disconnect."""
         request = self._requests.get(number)
         if request is not None:
--- a/balancer/relay.py
+++ b/balancer/relay.py
@@ -10,7 +10,7 @@
 
 from balancer.streams import BadStreamError, EventReader
 from balancer.wire import is_event_stream, is_sound
-from passpost.http1 import Flow, Start
+from passpost.http1 import FlowControl, ResponseStart
 
 if TYPE_CHECKING:
     from passpost.engine import Client
@@ -39,9 +39,9 @@
         """`after`: id of the last event that the client already has."""
         self._owner, self._client = owner, client
         self._events = EventReader(after)
-        self._head: Start | None = None  # of the current answer; a stream's is held until the first event
+        self._head: ResponseStart | None = None  # a stream's head is held until the first event
         self.is_stream = True  # the answer is an event stream
-        self._flow: Flow | None = None
+        self._flow: FlowControl | None = None
         self._paused = False  # by the client
         self.begun = False  # the head has gone to the client
         self.bad = False  # the current answer is invalid
@@ -64,7 +64,7 @@
         """Return whether a stream ends between two events; any other answer is complete by its framing."""
         return not self.is_stream or self._events.is_between()
 
-    def start(self, start: Start, flow: Flow) -> bool:
+    def on_response_start(self, start: ResponseStart, flow: FlowControl) -> bool:
         """Begin an answer; False if it is not wanted any more or not sound."""
         if not self._owner.is_wanted():
             return False
@@ -77,7 +77,7 @@
             flow.pause()
         return True
 
-    def more(self, data: bytes) -> None:
+    def on_body(self, data: bytes) -> None:
         """Forward a piece of the answer; of a stream, only the whole events in order."""
         if not self._owner.is_wanted():
             return
@@ -96,7 +96,7 @@
         if data:
             self._owner.on_forward()
             self.forward_head()
-            self._client.more(data)
+            self._client.send_body(data)
 
     def forward_head(self) -> None:
         """Send the client the head of the first run's answer; heads of later runs are dropped."""
@@ -104,7 +104,7 @@
             self.begun = True
             # One run's length does not apply to a stream that another run may resume.
             length = None if self.is_stream else self._head.length
-            self._client.begin(Start(self._head.headers, length, self._head.status), self)
+            self._client.begin_response(ResponseStart(self._head.headers, length, self._head.status), self)
 
     # ---- flow control by the client
 
--- a/balancer/standing.py
+++ b/balancer/standing.py
@@ -11,7 +11,7 @@
 from balancer.peer import Peer
 from balancer.tiers import Tiers
 from balancer.trust import FAILURE_WEIGHT, SILENCE_WEIGHT, WINDOW_S, is_failure
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from passpost.upstream import Upstreams
 from umberworks.interface import Outcome
 
@@ -29,7 +29,7 @@
         self._tiers, self._upstreams = tiers, upstreams
         self.on_change: Callable[[], None] = _noop  # called when reported failures are added or expire
 
-    def on_call_ended(self, peer: Peer, outcome: Outcome, answer: Answer | None, valid: bool) -> None:
+    def on_call_ended(self, peer: Peer, outcome: Outcome, answer: Response | None, valid: bool) -> None:
         """Record a call's end; `valid`: no part of its answer was invalid."""
         self._tiers.outliers.on_call_ended(peer, time.monotonic())
         if is_failure(outcome, answer, valid):
@@ -48,7 +48,7 @@
             peer.is_silent = True
             logger.warning("event=silent upstream={}", peer.entry.id)
             self._report_failure(peer, weight * max(peer.server.in_flight, 1))  # each call in flight counts
-            self._upstreams.drop_idle(peer.entry.id)
+            self._upstreams.close_idle_connections(peer.entry.id)
             asyncio.get_running_loop().call_later(PROBE_INTERVAL_S, self._probe, peer)
 
     def _report_failure(self, peer: Peer, weight: int) -> None:
--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -10,8 +10,8 @@
 from balancer.patience import SilenceTimer, silence_timeout_s
 from balancer.peer import Peer
 from balancer.wire import UpstreamRequest
-from passpost.attempt import Attempt, Done, Sink
-from passpost.http1 import Answer
+from passpost.attempt import Attempt, AttemptCallback, ResponseSink
+from passpost.http1 import Response
 from umberworks.interface import Outcome
 
 ANSWER_GRACE_S = 0.25  # beyond the deadline, to receive the upstream's own answer to it
@@ -40,7 +40,14 @@
         self.queued_tokens = 0  # to be prefilled on the upstream when the call was sent, including its own
         self.abandoned = False  # given up because its upstream is silent
 
-    def send(self, peer: Peer, request: UpstreamRequest, tokens: int, sink: Sink | None, done: Done) -> None:
+    def send(
+        self,
+        peer: Peer,
+        request: UpstreamRequest,
+        tokens: int,
+        sink: ResponseSink | None,
+        done: AttemptCallback,
+    ) -> None:
         """Send a request; without a sink it is a prefill call. `done` must call `on_ended` first."""
         now = time.monotonic()
         self.peer, self.tokens, self._sent_at = peer, tokens, now
@@ -57,10 +64,10 @@
             left + ANSWER_GRACE_S,
             done,
             sink=sink,
-            wanted=self._is_wanted,
-            write_within=left,
+            is_wanted=self._is_wanted,
+            write_within_s=left,
         )
-        if not attempt.is_over():
+        if not attempt.is_finished():
             self._attempt = attempt
             self._silence_timer.start(peer, self._timeout_s)
 
@@ -73,7 +80,7 @@
         """Return the seconds since the latest call was sent."""
         return time.monotonic() - self._sent_at
 
-    def on_ended(self, outcome: Outcome, answer: Answer | None, valid: bool) -> Peer:
+    def on_ended(self, outcome: Outcome, answer: Response | None, valid: bool) -> Peer:
         """Record the end of the call and return its upstream; `valid`: its answer was not invalid."""
         peer, now = self.peer, time.monotonic()
         assert peer is not None
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -15,7 +15,7 @@
 from config.configuration import Upstream
 from dissemination.doubts import FailureSum, pack, unpack
 from dissemination.messages import DoubtReport, UpstreamFailures
-from passpost.http1 import Answer
+from passpost.http1 import Response
 from tests.balancer_stage import FakeUpstream, answer, configuration, route, running_balancer
 from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
@@ -78,7 +78,7 @@
 def test_errors_breaks_and_spoilt_answers_are_failures_and_rejections_are_not(
     outcome: Outcome, status: int, good: bool, failed: bool
 ) -> None:
-    told = Answer(status, [], b"", True) if status else None
+    told = Response(status, [], b"", True) if status else None
     assert is_failure(outcome, told, good) is failed
 
 
--- a/tests/test_cut_answer_orders.py
+++ b/tests/test_cut_answer_orders.py
@@ -1,7 +1,7 @@
-"""Answers that are cut, in each order in which head, body, FIN and reset can lie in the socket.
+"""Cut responses, in each order in which head, body, FIN and reset can arrive.
 
-Whatever the framing on either side, a client never reads a cut answer as complete. The one exception: an
-answer without length and chunks that a FIN cuts at an upstream that lives on is not to be told from a whole.
+Guards against a client that reads a cut response as complete, whatever the framing on either side. The one
+exception: a response without length and chunks, cut by a FIN of a live upstream, looks complete.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
     route,
     running_balancer,
 )
-from tests.loopback import OK, Got, Reader, read_request, run
+from tests.loopback import OK, Reader, ReceivedRequest, read_request, run
 
 UNSAFE = configuration(1, route(route_type="unsafe", tries=1))
 LINGER = struct.pack("ii", 1, 0)
-LONG = 70_000  # bytes: too long to be held, so that it is passed on as it comes
+LONG = 70_000  # bytes: too long to buffer, so that it is streamed
 PATIENCE_S = 5.0
 ORDERS = [
     (*answer, *ends)
@@ -39,12 +39,12 @@
         (("head",), ("head", "body")), (("reset",), ("FIN",), ("FIN", "reset"))
     )
 ]
-TURNS = (0, 1, 3)  # of the event loop between two of these
+TURNS = (0, 1, 3)  # turns of the event loop between two steps
 
 
 @dataclass(frozen=True)
 class Cut:
-    """How an answer is cut. `turns`: with none the balancer finds all of it in one look."""
+    """How a response is cut; with `turns` 0 the balancer receives everything at once."""
 
     framing: str
     body: str
@@ -52,15 +52,15 @@
     order: tuple[str, ...]
     turns: int
 
-    def can_be_told(self) -> bool:
-        """Whether anything shows that it is cut, before a reset that may come too late to be seen."""
+    def is_detectable(self) -> bool:
+        """Whether anything shows the cut, apart from a reset that may arrive too late to be seen."""
         return (
             self.framing != "close" or "FIN" not in self.order or (self.turns == 0 and "reset" in self.order)
         )
 
 
 class OrderedUpstream(FakeUpstream):
-    """An upstream that cuts each answer as `cut` says."""
+    """An upstream that cuts each response as `cut` says."""
 
     def __init__(self) -> None:
         super().__init__("u1")
@@ -100,11 +100,11 @@
             for step in self.cut.order:
                 for _ in range(self.cut.turns):
                     await asyncio.sleep(0)
-                await self._take(step, peer, got)
+                await self._perform(step, peer, got)
             if "reset" not in self.cut.order:
                 await asyncio.get_running_loop().sock_recv(peer, 1)  # until the balancer closes
 
-    async def _take(self, step: str, peer: socket.socket, got: Got) -> None:
+    async def _perform(self, step: str, peer: socket.socket, got: ReceivedRequest) -> None:
         loop = asyncio.get_running_loop()
         match step:
             case "head":
@@ -118,7 +118,7 @@
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
                 peer.close()
 
-    def _head(self, got: Got) -> bytes:
+    def _head(self, got: ReceivedRequest) -> bytes:
         kind = "Content-Type: text/event-stream\r\n" if self.cut.is_stream else ""
         framing = {
             "length": f"Content-Length: {2 * len(self.cut.body)}\r\n",
@@ -128,7 +128,7 @@
         return (head(got, kind + framing) + "\r\n").encode()
 
 
-async def _read(peer: socket.socket) -> Got | None:
+async def _read(peer: socket.socket) -> ReceivedRequest | None:
     loop, reader = asyncio.get_running_loop(), Reader()
     reading = loop.create_task(read_request(reader))
     while not reading.done():
@@ -142,20 +142,20 @@
 
 
 @dataclass(frozen=True)
-class Caller:
-    """A client, on a plain socket: an event loop may take a reset for an end of file."""
+class RawClient:
+    """A client on a plain socket: an event loop may take a reset for an end of file."""
 
     version: str = "1.1"
     closes: bool = False
-    ahead: int = 0  # requests that it sends behind the first
+    pipelined: int = 0  # requests pipelined after the first
 
     async def is_served(self, port: int) -> bool:
-        """Whether it reads a complete 200."""
+        """Whether it reads a complete 200 response."""
         loop = asyncio.get_running_loop()
         with socket.socket() as peer:
             peer.setblocking(False)
             await loop.sock_connect(peer, ("127.0.0.1", port))
-            await loop.sock_sendall(peer, b"".join(self._request(n) for n in range(1 + self.ahead)))
+            await loop.sock_sendall(peer, b"".join(self._request(n) for n in range(1 + self.pipelined)))
             data, ended = b"", False
             try:
                 async with asyncio.timeout(PATIENCE_S):
@@ -175,9 +175,9 @@
 
 
 def is_complete(data: bytes, ended: bool) -> bool:
-    """Whether an answer is complete by its framing; `ended`: its connection has ended in order."""
-    lines, found, body = data.partition(b"\r\n\r\n")
-    if not found:
+    """Whether a response is complete by its framing; `ended`: its connection was closed in order."""
+    lines, has_head, body = data.partition(b"\r\n\r\n")
+    if not has_head:
         return False
     fields = dict(line.lower().split(b": ", 1) for line in lines.split(b"\r\n")[1:])
     if b"content-length" in fields:
@@ -192,11 +192,11 @@
         yield Cut(framing, body, is_stream, order, turns)
 
 
-CALLERS = {
-    "kept": Caller(),
-    "closing": Caller(closes=True),
-    "1.0": Caller(version="1.0"),
-    "sending ahead": Caller(ahead=1),
+CLIENTS = {
+    "kept": RawClient(),
+    "closing": RawClient(closes=True),
+    "1.0": RawClient(version="1.0"),
+    "pipelining": RawClient(pipelined=1),
 }
 ANSWERS: dict[str, Callable[[str], Iterator[Cut]]] = {
     "short": lambda framing: cuts(framing, "part", False),
@@ -205,19 +205,19 @@
 }
 
 
-@pytest.mark.parametrize("caller", CALLERS.values(), ids=list(CALLERS))
+@pytest.mark.parametrize("client", CLIENTS.values(), ids=list(CLIENTS))
 @pytest.mark.parametrize("answers", ANSWERS.values(), ids=list(ANSWERS))
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 def test_a_cut_answer_never_looks_complete(
-    framing: str, answers: Callable[[str], Iterator[Cut]], caller: Caller
+    framing: str, answers: Callable[[str], Iterator[Cut]], client: RawClient
 ) -> None:
     async def test() -> None:
-        stage = OrderedUpstream()
-        async with running_balancer(stage, config=UNSAFE) as play:
+        upstream = OrderedUpstream()
+        async with running_balancer(upstream, config=UNSAFE) as play:
             for cut in answers(framing):
-                stage.cut, had = cut, len(stage.got)
-                is_served = await caller.is_served(play.port)
-                assert len(stage.got) > had
-                assert not (is_served and cut.can_be_told()), cut
+                upstream.cut, previous_count = cut, len(upstream.got)
+                is_served = await client.is_served(play.port)
+                assert len(upstream.got) > previous_count
+                assert not (is_served and cut.is_detectable()), cut
 
     run(test())
