--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -29,7 +29,7 @@
 from balancer.wire import free_handle_call
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
-from dissemination.doubts import Doubts
+from dissemination.doubts import FailureCounts
 from passpost.attempt import OutgoingRequest
 from passpost.client_options import ClientOptions
 from passpost.http1 import Headers
@@ -210,15 +210,15 @@
         """Set the callback for changes of `loads`."""
         self.load_changed = changed
 
-    def tell_doubts(self, changed: Callable[[], None]) -> None:
+    def on_failures_changed(self, changed: Callable[[], None]) -> None:
         """Set the callback for changes of `doubts`."""
         self.health.on_change = changed
 
-    def doubts(self) -> Doubts:
+    def failure_counts(self) -> FailureCounts:
         """Return the failures that this balancer's calls saw, by upstream and this balancer's zone."""
         return self.tiers.outliers.own_failures(time.monotonic())
 
-    def heed_doubts(self, told: Doubts) -> None:
+    def apply_failure_counts(self, told: FailureCounts) -> None:
         """Apply the failures that all balancers saw, including this one's."""
         self.tiers.outliers.set_fleet_failures(told, self.tiers.peer, time.monotonic())
 
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -13,13 +13,13 @@
 from balancer.tiers import Tiers
 from balancer.trust import FAILURE_WEIGHT, MIN_IN_USE, PROBATION_S, SILENCE_WEIGHT, WINDOW_S, is_failure
 from config.configuration import Upstream
-from dissemination.doubts import DoubtSum, pack, unpack
-from dissemination.messages import Doubt, DoubtReport
+from dissemination.doubts import FailureSum, pack, unpack
+from dissemination.messages import DoubtReport, UpstreamFailures
 from passpost.http1 import Response
 from tests.balancer_stage import FakeUpstream, answer, configuration, route, running_balancer
-from tests.fabric_scenes import begun
+from tests.fabric_scenes import start_fleet
 from tests.fabric_world import World, play
-from tests.test_dissemination_news import settled
+from tests.test_dissemination_news import wait_settled
 from umberworks.interface import Outcome
 
 PROMPT = Prompt(1000, 800, b"s")
@@ -183,15 +183,15 @@
 
 def test_sums_of_doubts_hold_each_child_once_and_forget_the_gone() -> None:
     async def scene() -> None:
-        told: list[tuple[Doubt, ...]] = []
-        total = DoubtSum(lambda: {("a", "z"): (1, 2)}, told.append)
-        total.report("x", DoubtReport((Doubt("a", "z", 2, 3), Doubt("b", "y", 1, 1))))
-        total.report("x", DoubtReport((Doubt("a", "z", 1, 1),)))
-        total._tell()
-        total.forget("x")
-        total._tell()
-        total._tell()
-        assert told == [(Doubt("a", "z", 2, 3),), (Doubt("a", "z", 1, 2),)]
+        told: list[tuple[UpstreamFailures, ...]] = []
+        total = FailureSum(lambda: {("a", "z"): (1, 2)}, told.append)
+        total.report("x", DoubtReport((UpstreamFailures("a", "z", 2, 3), UpstreamFailures("b", "y", 1, 1))))
+        total.report("x", DoubtReport((UpstreamFailures("a", "z", 1, 1),)))
+        total._send()
+        total.remove_child("x")
+        total._send()
+        total._send()
+        assert told == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
 
     asyncio.run(scene())
     assert unpack(pack({("a", "z"): (1, 2), ("b", "z"): (0, 0)})) == {("a", "z"): (1, 2)}
@@ -199,38 +199,38 @@
 
 def test_failures_are_known_to_all_balancers_and_gone_when_they_are_taken_back() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
-        await settled(world)
+        await start_fleet(world)
+        await wait_settled(world)
         first, second, *others = world.edges()
         for machine in (first, second):
             machine.plane.held_against = {("i-1", "z"): (1, 2)}
             machine.plane.doubts_changed()
         wanted = {("i-1", "z"): (2, 4)}
-        await world.until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 1.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 1.0)
         world.kill(first.name)
         wanted = {("i-1", "z"): (1, 2)}
-        await world.until(lambda: all(m.plane.told_doubts == wanted for m in others), 4.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in others), 4.0)
         second.plane.held_against = {}
         second.plane.doubts_changed()
-        await world.until(lambda: all(m.plane.told_doubts == {} for m in others), 1.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == {} for m in others), 1.0)
 
     play(scene, edges=12, zones=1)
 
 
 def test_a_take_over_keeps_what_is_held_and_drops_what_nobody_holds() -> None:
     async def scene(world: World) -> None:
-        await begun(world)
-        await settled(world)
+        await start_fleet(world)
+        await wait_settled(world)
         first, second = world.edges()[:2]
         for machine, upstream in ((first, "i-1"), (second, "i-2")):
             machine.plane.held_against = {(upstream, "z"): (1, 2)}
             machine.plane.doubts_changed()
-        await world.until(lambda: all(len(m.plane.told_doubts) == 2 for m in world.edges()), 1.0)
+        await world.wait_until(lambda: all(len(m.plane.told_doubts) == 2 for m in world.edges()), 1.0)
         world.kill(world.primary())
         second.plane.held_against = {}
         second.plane.doubts_changed()
         wanted = {("i-1", "z"): (1, 2)}
-        await world.until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 6.0)
+        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 6.0)
 
     play(scene, edges=5, zones=1)
 
@@ -248,7 +248,7 @@
             harness.list(gone, *good)
             for n in range(30):
                 await harness.ask(f"r{n}")
-            assert harness.balancer.doubts() == {("i-0", "a"): (1, FAILURE_WEIGHT)}
+            assert harness.balancer.failure_counts() == {("i-0", "a"): (1, FAILURE_WEIGHT)}
 
     asyncio.run(scene())
 
