--- a/mastturn/engines/__main__.py
+++ b/mastturn/engines/__main__.py
@@ -13,8 +13,8 @@
 from mastturn.engines import compare, page
 from mastturn.engines import days as own
 from mastturn.engines.choosers import CHOOSERS
+from mastturn.engines.deployment import load
 from mastturn.engines.play import play
-from mastturn.engines.sheet import load
 from mastturn.files import LabError
 
 USAGE = """usage: python -m mastturn.engines VERB ... [--seeds=N] [--jobs=N] [--chooser=NAME] [--days=A,B]
--- a/mastturn/engines/batch.py
+++ b/mastturn/engines/batch.py
@@ -10,9 +10,9 @@
 import heapq
 from typing import Protocol
 
+from mastturn.engines.deployment import Llm
 from mastturn.engines.jobs import LATE, PREFILL, Figures, Job
 from mastturn.engines.memory import Memory
-from mastturn.engines.sheet import Llm
 
 ITSELF = 2.0  # times as long a decode upstream takes to read
 ITSELF_PIECE = 4  # its pieces are so many times smaller
--- a/mastturn/engines/days.py
+++ b/mastturn/engines/days.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from mastturn.engines.sheet import Day, Sheet, Traffic, Trouble
+from mastturn.engines.deployment import Day, Sheet, Traffic, Trouble
 
 SEED = 4711
 CALM = 0.6  # of the sheet's traffic
--- a/mastturn/engines/demand.py
+++ b/mastturn/engines/demand.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from mastturn.emulator.chance import generator
-from mastturn.engines.sheet import Day, RequestClass, Sheet, Size, Traffic, Trouble
+from mastturn.engines.deployment import Day, RequestClass, Sheet, Size, Traffic, Trouble
 
 Chain = tuple[tuple[str, int], ...]  # the shared parts of a prompt, in order: id, tokens
 
--- a/mastturn/engines/engine.py
+++ b/mastturn/engines/engine.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from mastturn.engines.batch import Batch
+from mastturn.engines.deployment import Service
 from mastturn.engines.handover import Handover
 from mastturn.engines.jobs import FULL, GONE, MISPLACED, PREFILL, SWITCHING, Figures, Job
 from mastturn.engines.memory import Handle, Memory, Part
-from mastturn.engines.sheet import Service
 
 
 class Engine:
--- a/mastturn/engines/troubles.py
+++ b/mastturn/engines/faults.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from mastturn.emulator.chance import Stream
-from mastturn.engines.sheet import Day, Trouble
+from mastturn.engines.deployment import Day, Trouble
 
 if TYPE_CHECKING:
     from mastturn.engines.engine import Engine
--- a/mastturn/engines/fleet.py
+++ b/mastturn/engines/fleet.py
@@ -13,11 +13,11 @@
 from mastturn.engines.clients import User
 from mastturn.engines.control import SERVICE, Control, Platform
 from mastturn.engines.demand import Asked
+from mastturn.engines.deployment import Sheet
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Figures
 from mastturn.engines.records import Record
-from mastturn.engines.sheet import Sheet
-from mastturn.engines.wire import Network
+from mastturn.engines.upstreams import Network
 
 GONE_S = 3.0  # an upstream that has crashed stays on the list so long
 DRAIN_MORE_S = 1.0  # an upstream that leaves goes on so long beyond the time it was given
--- a/mastturn/engines/handover.py
+++ b/mastturn/engines/handover.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import Protocol
 
+from mastturn.engines.deployment import Llm
 from mastturn.engines.jobs import Figures, Job
 from mastturn.engines.memory import Handle, Part
-from mastturn.engines.sheet import Llm
 
 MOVE_WAIT_S = 2.0  # a move that would wait longer is not begun
 FAR = 2.0  # times as long a move takes between zones, and as dear
--- a/mastturn/engines/judge.py
+++ b/mastturn/engines/scoring.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
+from mastturn.engines.deployment import Sheet
 from mastturn.engines.jobs import Figures
 from mastturn.engines.records import Record
-from mastturn.engines.sheet import Sheet
 
 WINDOW_S = 2.0
 OUT_WEIGHT = 10  # of a token out against one in
--- a/tests/engines_sheet.py
+++ b/tests/engines_fixture.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from mastturn.engines.clock import START_S, SimulatedLoop
+from mastturn.engines.deployment import Sheet
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Figures, Job
-from mastturn.engines.sheet import Sheet
 
 LLM: dict[str, Any] = {
     "batch": 4,
--- a/tests/test_engines_engine.py
+++ b/tests/test_engines_engine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.engines_sheet import Bench
+from tests.engines_fixture import Bench
 
 SHARED = (("root", 300), ("subject", 2000))
 
