--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -206,30 +206,30 @@
         """Set `load`, which returns the other balancers' calls and prompt tokens at an upstream."""
         self.tiers.other_loads = load
 
-    def watch_loads(self, changed: Callable[[], None]) -> None:
+    def watch_loads(self, on_change: Callable[[], None]) -> None:
         """Set the callback for changes of `loads`."""
-        self.load_changed = changed
+        self.load_changed = on_change
 
-    def on_failures_changed(self, changed: Callable[[], None]) -> None:
-        """Set the callback for changes of `doubts`."""
-        self.health.on_change = changed
+    def on_failures_changed(self, on_change: Callable[[], None]) -> None:
+        """Set the callback for changes of `failure_counts`."""
+        self.health.on_change = on_change
 
     def failure_counts(self) -> FailureCounts:
         """Return the failures that this balancer's calls saw, by upstream and this balancer's zone."""
         return self.tiers.outliers.own_failures(time.monotonic())
 
-    def apply_failure_counts(self, told: FailureCounts) -> None:
+    def apply_failure_counts(self, totals: FailureCounts) -> None:
         """Apply the failures that all balancers saw, including this one's."""
-        self.tiers.outliers.set_fleet_failures(told, self.tiers.peer, time.monotonic())
+        self.tiers.outliers.set_fleet_failures(totals, self.tiers.peer, time.monotonic())
 
     def watch_cached_prefixes(self, callback: Callable[[bytes, str], None]) -> None:
         """Set the callback for each prefix that an upstream has newly cached for this balancer."""
         self._on_prefix_cached = callback
 
-    def add_cached_prefix(self, subject: bytes, upstream: str) -> None:
+    def add_cached_prefix(self, prefix: bytes, upstream: str) -> None:
         """Add a prefix that an upstream has cached according to another balancer."""
         if self.tiers.peer(upstream) is not None:
-            self.tiers.prefix_index.add(subject, upstream)
+            self.tiers.prefix_index.add(prefix, upstream)
 
     def on_prompt_cached(self, peer: Peer, prompt: Prompt) -> None:
         """Record that an upstream has prefilled or fetched a prompt for this balancer."""
--- a/balancer/options.py
+++ b/balancer/options.py
@@ -13,8 +13,8 @@
 SWEEP_S = 1.0
 BODY_RATE = 1000.0  # bytes per second at which a body must arrive at least
 ACCEPT_AFTER_STOP_S = 3.2  # the platform routes connections here until two failed checks, one second apart
-ACCEPT_SHARE, LAST_CALL_SHARE = 0.4, 0.3  # largest shares of the termination grace period for these two
-LAST_CALL_S, DRAIN_STEP_S = 2.2, 0.1
+ACCEPT_SHARE, CLOSING_PHASE_SHARE = 0.4, 0.3  # largest shares of the termination grace period for these two
+CLOSING_PHASE_S, DRAIN_POLL_S = 2.2, 0.1
 
 
 def upstream_options() -> UpstreamOptions:
@@ -49,6 +49,6 @@
         unacked_timeout_ms=CLIENT_UNACKED_MS,
         closes_at_stop=True,
         accept_after_stop_s=min(ACCEPT_AFTER_STOP_S, ACCEPT_SHARE * grace_s),
-        closing_phase_s=min(LAST_CALL_S, LAST_CALL_SHARE * grace_s),
-        drain_poll_s=DRAIN_STEP_S,
+        closing_phase_s=min(CLOSING_PHASE_S, CLOSING_PHASE_SHARE * grace_s),
+        drain_poll_s=DRAIN_POLL_S,
     )
--- a/tests/fabric_callers.py
+++ b/tests/fabric_callers.py
@@ -51,7 +51,7 @@
 
     def start(self) -> None:
         """Listen."""
-        self.loop.network.listen(lambda: _PlatformSide(self), *PLATFORM)
+        self.loop.network.listen(lambda: _PlatformConnection(self), *PLATFORM)
 
     def busiest_second(self) -> int:
         """Return the most calls in any second."""
@@ -79,7 +79,7 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class _PlatformSide(asyncio.Protocol):
+class _PlatformConnection(asyncio.Protocol):
     def __init__(self, platform: Platform) -> None:
         self._platform, self._held = platform, b""
 
@@ -104,7 +104,7 @@
     body: bytes
 
 
-class _Asking(asyncio.Protocol):
+class _AnswerReader(asyncio.Protocol):
     """Reads one answer; `raw` holds all bytes."""
 
     def __init__(self) -> None:
@@ -139,7 +139,7 @@
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(silence_s):
-            _, asking = await loop.create_connection(_Asking, *address)
+            _, asking = await loop.create_connection(_AnswerReader, *address)
     except (OSError, TimeoutError):
         return None
     asking.transport.write(raw)
@@ -245,15 +245,15 @@
         self.listed: list[tuple[float, tuple[Upstream, ...]]] = []
         self.counted: list[tuple[float, int]] = []
         self.is_allowed = False
-        self.work: dict[str, tuple[int, int]] = {}
-        self.others: Callable[[str], tuple[int, int]] = lambda upstream: (0, 0)
-        self.changed: Callable[[], None] = lambda: None
-        self.kept: Callable[[bytes, str], None] = lambda subject, upstream: None
-        self.keeps: list[tuple[bytes, str]] = []  # prefixes reported by other balancers, in order
+        self.current_loads: dict[str, tuple[int, int]] = {}
+        self.other_loads: Callable[[str], tuple[int, int]] = lambda upstream: (0, 0)
+        self.notify_load: Callable[[], None] = lambda: None
+        self.notify_prefix: Callable[[bytes, str], None] = lambda prefix, upstream: None
+        self.cached_prefixes: list[tuple[bytes, str]] = []  # prefixes reported by other balancers, in order
         self.request_handler: Any = None
-        self.held_against: dict[tuple[str, str], tuple[int, int]] = {}
-        self.told_doubts: dict[tuple[str, str], tuple[int, int]] = {}
-        self.doubts_changed: Callable[[], None] = lambda: None
+        self.own_failures: dict[tuple[str, str], tuple[int, int]] = {}
+        self.fleet_failures: dict[tuple[str, str], tuple[int, int]] = {}
+        self.notify_failures: Callable[[], None] = lambda: None
         self.place: Place | None = None
         self.drain_s = 0.0
         self.is_draining = False
@@ -287,36 +287,36 @@
         self.is_allowed = allowed
 
     def loads(self) -> dict[str, tuple[int, int]]:
-        return dict(self.work)
+        return dict(self.current_loads)
 
     def set_other_loads(self, load: Callable[[str], tuple[int, int]]) -> None:
-        self.others = load
+        self.other_loads = load
 
-    def watch_loads(self, changed: Callable[[], None]) -> None:
-        self.changed = changed
+    def watch_loads(self, on_change: Callable[[], None]) -> None:
+        self.notify_load = on_change
 
-    def on_failures_changed(self, changed: Callable[[], None]) -> None:
-        self.doubts_changed = changed
+    def on_failures_changed(self, on_change: Callable[[], None]) -> None:
+        self.notify_failures = on_change
 
     def failure_counts(self) -> dict[tuple[str, str], tuple[int, int]]:
-        return dict(self.held_against)
+        return dict(self.own_failures)
 
-    def apply_failure_counts(self, told: dict[tuple[str, str], tuple[int, int]]) -> None:
-        self.told_doubts = told
+    def apply_failure_counts(self, totals: dict[tuple[str, str], tuple[int, int]]) -> None:
+        self.fleet_failures = totals
 
-    def watch_cached_prefixes(self, tell: Callable[[bytes, str], None]) -> None:
-        self.kept = tell
+    def watch_cached_prefixes(self, callback: Callable[[bytes, str], None]) -> None:
+        self.notify_prefix = callback
 
-    def add_cached_prefix(self, subject: bytes, upstream: str) -> None:
-        self.keeps.append((subject, upstream))
+    def add_cached_prefix(self, prefix: bytes, upstream: str) -> None:
+        self.cached_prefixes.append((prefix, upstream))
 
     def counts(self) -> dict[str, Any]:
         return {}
 
-    def put_load(self, **work: tuple[int, int]) -> None:
+    def put_load(self, **loads: tuple[int, int]) -> None:
         """Change the reported loads."""
-        self.work = work
-        self.changed()
+        self.current_loads = loads
+        self.notify_load()
 
     @property
     def ver(self) -> int:
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -587,7 +587,7 @@
 @pytest.fixture
 def quick_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(options, "ACCEPT_AFTER_STOP_S", 0.1)
-    monkeypatch.setattr(options, "DRAIN_STEP_S", 0.005)
+    monkeypatch.setattr(options, "DRAIN_POLL_S", 0.005)
     monkeypatch.setattr(server, "FINAL_READ_S", 0.02)
 
 
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -203,16 +203,16 @@
         await wait_settled(world)
         first, second, *others = world.edges()
         for machine in (first, second):
-            machine.plane.held_against = {("i-1", "z"): (1, 2)}
-            machine.plane.doubts_changed()
+            machine.plane.own_failures = {("i-1", "z"): (1, 2)}
+            machine.plane.notify_failures()
         wanted = {("i-1", "z"): (2, 4)}
-        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 1.0)
+        await world.wait_until(lambda: all(m.plane.fleet_failures == wanted for m in world.edges()), 1.0)
         world.kill(first.name)
         wanted = {("i-1", "z"): (1, 2)}
-        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in others), 4.0)
-        second.plane.held_against = {}
-        second.plane.doubts_changed()
-        await world.wait_until(lambda: all(m.plane.told_doubts == {} for m in others), 1.0)
+        await world.wait_until(lambda: all(m.plane.fleet_failures == wanted for m in others), 4.0)
+        second.plane.own_failures = {}
+        second.plane.notify_failures()
+        await world.wait_until(lambda: all(m.plane.fleet_failures == {} for m in others), 1.0)
 
     play(scene, edges=12, zones=1)
 
@@ -223,14 +223,14 @@
         await wait_settled(world)
         first, second = world.edges()[:2]
         for machine, upstream in ((first, "i-1"), (second, "i-2")):
-            machine.plane.held_against = {(upstream, "z"): (1, 2)}
-            machine.plane.doubts_changed()
-        await world.wait_until(lambda: all(len(m.plane.told_doubts) == 2 for m in world.edges()), 1.0)
+            machine.plane.own_failures = {(upstream, "z"): (1, 2)}
+            machine.plane.notify_failures()
+        await world.wait_until(lambda: all(len(m.plane.fleet_failures) == 2 for m in world.edges()), 1.0)
         world.kill(world.primary())
-        second.plane.held_against = {}
-        second.plane.doubts_changed()
+        second.plane.own_failures = {}
+        second.plane.notify_failures()
         wanted = {("i-1", "z"): (1, 2)}
-        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 6.0)
+        await world.wait_until(lambda: all(m.plane.fleet_failures == wanted for m in world.edges()), 6.0)
 
     play(scene, edges=5, zones=1)
 
--- a/tests/test_dissemination_loads.py
+++ b/tests/test_dissemination_loads.py
@@ -28,12 +28,16 @@
 def sums_are_right(world: World, among: list[Machine] | None = None) -> bool:
     """Return whether every running balancer knows the exact load of the other running ones."""
     running = among or [m for m in world.edges() if world.running(m)]
-    calls = sum(m.plane.work.get("i-1", (0, 0))[0] for m in running)
-    return all(m.plane.others("i-1")[0] == calls - m.plane.work.get("i-1", (0, 0))[0] for m in running)
+    calls = sum(m.plane.current_loads.get("i-1", (0, 0))[0] for m in running)
+    return all(
+        m.plane.other_loads("i-1")[0] == calls - m.plane.current_loads.get("i-1", (0, 0))[0] for m in running
+    )
 
 
 def describe_loads(world: World) -> str:
-    return ", ".join(f"{m.name} {m.plane.work} others {m.plane.others('i-1')}" for m in world.edges())
+    return ", ".join(
+        f"{m.name} {m.plane.current_loads} others {m.plane.other_loads('i-1')}" for m in world.edges()
+    )
 
 
 @pytest.mark.parametrize("edges", [3, 12])
@@ -48,7 +52,7 @@
         for machine in world.edges():
             machine.plane.put_load()
         await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S, describe_loads(world))
-        assert all(m.plane.others("i-1") == (0, 0) for m in world.edges())
+        assert all(m.plane.other_loads("i-1") == (0, 0) for m in world.edges())
 
     play(scene, edges=edges, zones=1)
 
@@ -80,14 +84,14 @@
                 world.boot(name)
         if trouble == "cut" and whom != "primary":
             alone = world.machines[name].plane
-            alone.work = {}  # the others must not count its load
+            alone.current_loads = {}  # the others must not count its load
             others = [m for m in world.edges() if m.name != name]
             await world.wait_until(
                 lambda: sums_are_right(world, others), 5.0, "without the one that is cut off"
             )
             await wait_stable(world)
             assert sums_are_right(world, others), describe_loads(world)
-            assert alone.others("i-1") == (0, 0)  # its knowledge of the others has expired
+            assert alone.other_loads("i-1") == (0, 0)  # its knowledge of the others has expired
             world.heal()
         await world.wait_until(lambda: sums_are_right(world), 5.0, "all that run")
         await wait_stable(world)
@@ -128,9 +132,9 @@
         for _ in range(1000):
             await world.wait(0.01)
             running = [m for m in world.edges() if m.name != relay]
-            calls = sum(m.plane.work["i-1"][0] for m in running)
+            calls = sum(m.plane.current_loads["i-1"][0] for m in running)
             for machine in running:
-                known = machine.plane.others("i-1")[0] + machine.plane.work["i-1"][0]
+                known = machine.plane.other_loads("i-1")[0] + machine.plane.current_loads["i-1"][0]
                 wrong_ms[machine.name] = wrong_ms[machine.name] + 10 if not 0.5 <= known / calls <= 1.5 else 0
                 assert wrong_ms[machine.name] <= 250, f"{machine.name} knows of {known} of {calls}"
 
--- a/tests/test_dissemination_steps.py
+++ b/tests/test_dissemination_steps.py
@@ -301,10 +301,10 @@
         report = LoadReport((UpstreamLoad("i-1", 7, 700),))
         old.transport.write(KINDS.encode(report))
         set_loads(world)
-        calls = sum(m.plane.work["i-1"][0] for m in world.edges()) + 7
+        calls = sum(m.plane.current_loads["i-1"][0] for m in world.edges()) + 7
 
         def knows(machine: Machine) -> bool:
-            return bool(machine.plane.others("i-1")[0] + machine.plane.work["i-1"][0] == calls)
+            return bool(machine.plane.other_loads("i-1")[0] + machine.plane.current_loads["i-1"][0] == calls)
 
         await world.wait_until(lambda: all(knows(m) for m in world.edges()), SUM_TIMEOUT_S, "its load counts")
         await world.wait(0.2)
