--- a/control/orders.py
+++ b/control/orders.py
@@ -60,8 +60,8 @@
                 writer.write(head.encode("latin-1") + body)
                 parser = ResponseReader()
                 while data := await reader.read(4096):
-                    if (answer := parser.feed(data)) is not None:
-                        return Taken() if answer.status in (200, 202) else Rejected(answer.status)
+                    if (response := parser.feed(data)) is not None:
+                        return Taken() if response.status in (200, 202) else Rejected(response.status)
                 return Unclear("the connection was closed without a response")
             finally:
                 writer.close()
--- a/control/platform.py
+++ b/control/platform.py
@@ -112,22 +112,22 @@
         self.calls += 1
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
-                answer = await self._connection.get(target)
+                response = await self._connection.get(target)
         except Exception as error:  # any failure means that this page can't be read
             self._connection.close()
             raise PlatformError(f"{type(error).__name__}: {error}") from None
-        if answer.status != 200:
-            raise PlatformError(f"status {answer.status}")
+        if response.status != 200:
+            raise PlatformError(f"status {response.status}")
         cached = self._page_cache.get(target)
-        if cached is not None and cached[0] == answer.body:
+        if cached is not None and cached[0] == response.body:
             return cached[1]
         try:
-            page = json.loads(answer.body)
+            page = json.loads(response.body)
         except (ValueError, RecursionError):
             raise PlatformError("no JSON in the response") from None
         if not isinstance(page, dict) or not isinstance(page.get("upstreams"), list):
             raise PlatformError("no list of upstreams in the response")
-        self._page_cache[target] = answer.body, page
+        self._page_cache[target] = response.body, page
         return page
 
 
--- a/dissemination/doubts.py
+++ b/dissemination/doubts.py
@@ -21,7 +21,7 @@
 
 def unpack(entries: Iterable[UpstreamFailures]) -> FailureCounts:
     """Return the counts by upstream and zone."""
-    return {(d.upstream, d.zone): (d.balancers, d.failures) for d in entries}
+    return {(entry.upstream, entry.zone): (entry.balancers, entry.failures) for entry in entries}
 
 
 def pack(counts: FailureCounts) -> tuple[UpstreamFailures, ...]:
@@ -72,8 +72,8 @@
         total = dict(self._own())
         for counts in self._children.values():
             for key, (balancers, failures) in counts.items():
-                known = total.get(key, (0, 0))
-                total[key] = (known[0] + balancers, known[1] + failures)
+                current = total.get(key, (0, 0))
+                total[key] = (current[0] + balancers, current[1] + failures)
         entries = pack(total)
         if entries != self._last_sent:
             self._last_sent = entries
--- a/dissemination/loads.py
+++ b/dissemination/loads.py
@@ -20,7 +20,7 @@
 
 def unpack(loads: Iterable[UpstreamLoad]) -> Loads:
     """Return the loads by upstream."""
-    return {e.upstream: (e.calls, e.tokens) for e in loads}
+    return {entry.upstream: (entry.calls, entry.tokens) for entry in loads}
 
 
 def pack(loads: Loads) -> tuple[UpstreamLoad, ...]:
--- a/dissemination/messages.py
+++ b/dissemination/messages.py
@@ -72,7 +72,7 @@
 @KINDS.declare(102)
 @dataclass(frozen=True, slots=True)
 class ConfigurationNews:
-    """A committed configuration."""
+    """A configuration that was acknowledged or is committed for good."""
 
     ver: int
     body: bytes
