--- a/fleet/membership/detector.py
+++ b/fleet/membership/detector.py
@@ -34,7 +34,7 @@
 WAIT_MS = 2_000.0  # duration of a watch (long poll)
 SEED_INTERVAL_MS = 30_000.0  # interval of contacting seeds that are not among the members
 MAX_ACCUSERS = 2 * MIN_ACCUSERS  # further accusations add no information
-ISOLATION_FRACTION = 1.0 / 3.0
+ISOLATION_FRACTION = 1.0 / 3.0  # share of silent peers above which this process considers itself isolated
 SILENT_CHECKS, REFUSED_CHECKS = 3, 2  # consecutive failed checks before a peer is marked failed
 MAX_FETCHES = 16  # concurrent view fetches; received entries beyond this are not followed up
 STALL_PERIODS = 1.5  # a timer this many periods late means that this process was stalled
--- a/fleet/registry/entries.py
+++ b/fleet/registry/entries.py
@@ -82,7 +82,7 @@
     lifecycle: Lifecycle = Lifecycle.ACTIVE
     lease_ms: float = 0.0
     holder: str = ""  # the replica that holds the lease; it alone may mark it lapsed
-    turn: int = 0
+    turn: int = 0  # incremented with each move or lapse of the lease
     lapsed: bool = False
 
     def __post_init__(self) -> None:
--- a/fleet/registry/history.py
+++ b/fleet/registry/history.py
@@ -8,7 +8,7 @@
 for the changes since a number within a hole, since one before the log's start, or since another owner's
 number gets the full list; since a number from before the hole, it gets the changes.
 
-Invariants (tests/test_registry.py checks them over random orders):
+Invariants (tests/test_registry_core.py checks them over random orders):
 - revisions grow with each change and never go back, also across restarts from an older state;
 - `changes_since(n)`, applied to the list as of n, gives the current list, or the answer is the full list;
 - a reader that knows less than the list is never told that nothing changed.
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryState:
-    """The persistent state of a history: last revision, holes, and each entry with its revision."""
+    """The persistent state of a history: last revision, start of the log, holes, entries with revisions."""
 
     revision: int = 0
     floor: int = 0
--- a/fleet/registry/leases.py
+++ b/fleet/registry/leases.py
@@ -23,7 +23,7 @@
 
 from fleet.registry.entries import Key
 
-SUSPEND_FRACTION = 0.2
+SUSPEND_FRACTION = 0.2  # share of late leases above which expiry is suspended
 MIN_LATE = 3  # fewer late leases never suspend expiry, whatever their share
 RENEWALS_PER_LEASE = 3
 RECHECK_MS = 250.0  # interval of rechecking an expired lease until all peers have reported
