--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -22,29 +22,29 @@
 def _stale_error_taken() -> None:
     from balancer import wire
 
-    def is_ours(status: int, headers: Headers, request_id: bytes) -> bool:
+    def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
         told = wire.header(headers, wire.REQUEST_ID)
         return told == request_id if told is not None else status >= 300
 
-    wire.is_ours = is_ours
+    wire.belongs_to_request = belongs_to_request
 
 
 def _id_not_looked_at() -> None:
     from balancer import wire
 
-    wire.is_ours = lambda status, headers, request_id: True
+    wire.belongs_to_request = lambda status, headers, request_id: True
 
 
 def _fin_taken_as_end() -> None:
-    from passpost.http1 import Answer, AnswerReader, EndKind, Framing
+    from passpost.http1 import EndKind, Framing, Response, ResponseReader
 
-    def end(self: AnswerReader, kind: EndKind) -> Answer | None:
-        if kind is EndKind.FIN and self.framing() is not Framing.UNKNOWN and self._whole is None:
-            self._whole = Answer(self._status, self._headers, self._rest(), False)
-            return self._whole
+    def end(self: ResponseReader, kind: EndKind) -> Response | None:
+        if kind is EndKind.FIN and self.framing() is not Framing.UNKNOWN and self._response is None:
+            self._response = Response(self._status, self._headers, self._buffered_body(), False)
+            return self._response
         return None
 
-    _replace(AnswerReader, "end", end)
+    _replace(ResponseReader, "end", end)
 
 
 def _reset_taken_as_end() -> None:
@@ -58,36 +58,38 @@
     from balancer import options
 
     made = options.upstream_options
-    options.upstream_options = lambda: dataclasses.replace(made(), question=None)
+    options.upstream_options = lambda: dataclasses.replace(made(), liveness_request=None)
 
 
 def _kept_after_surplus() -> None:
-    from passpost.http1 import AnswerReader
-    from passpost.upstream_connection import Connection
+    from passpost.http1 import ResponseReader
+    from passpost.upstream_connection import UpstreamConnection
 
-    taken = Connection.data_received
+    taken = UpstreamConnection.data_received
 
-    def data_received(self: Connection, data: bytes) -> None:
+    def data_received(self: UpstreamConnection, data: bytes) -> None:
         if self._attempt is not None:
             taken(self, data)
 
-    def is_spent(self: Connection) -> bool:
+    def is_spent(self: UpstreamConnection) -> bool:
         return self._transport is None or self._transport.is_closing()
 
-    _replace(AnswerReader, "has_surplus", lambda self: False)
-    _replace(Connection, "data_received", data_received)
-    _replace(Connection, "is_spent", is_spent)
+    _replace(ResponseReader, "has_surplus", lambda self: False)
+    _replace(UpstreamConnection, "data_received", data_received)
+    _replace(UpstreamConnection, "is_spent", is_spent)
 
 
 def _repeated_after_reset() -> None:
-    from balancer.pair import Budget, Pair
+    from balancer.pair import Budget, RequestStateMachine
 
-    made = Pair.__init__
+    made = RequestStateMachine.__init__
 
-    def make(self: Pair, tries: int, idempotent: bool, resumable: bool, budget: Budget) -> None:
+    def make(
+        self: RequestStateMachine, tries: int, idempotent: bool, resumable: bool, budget: Budget
+    ) -> None:
         made(self, tries, True, resumable, budget)
 
-    _replace(Pair, "__init__", make)
+    _replace(RequestStateMachine, "__init__", make)
 
 
 def _dropped_at_sigterm() -> None:
@@ -100,10 +102,10 @@
     from balancer.active_request import ActiveRequest
     from balancer.streams import EventReader
 
-    common = ActiveRequest._common
+    common = ActiveRequest._common_headers
 
     def skip_one(self: ActiveRequest, rank: int) -> bytes:
-        last = self._relay.last
+        last = self._relay.last_event_id
         told = common(self, rank)
         return told if last is None else told.replace(b"Event-Id: %d" % last, b"Event-Id: %d" % (last + 1))
 
@@ -112,7 +114,7 @@
     def accept(self: EventReader, data: bytes, start: int, end: int) -> bool:
         is_next = check(self, data, start, end)
         if not is_next:
-            self.last = None
+            self.last_event_id = None
             check(self, data, start, end)
         return True
 
@@ -138,19 +140,19 @@
     from balancer import options
 
     made = options.upstream_options
-    options.upstream_options = lambda: dataclasses.replace(made(), bounds_answers=False)
+    options.upstream_options = lambda: dataclasses.replace(made(), applies_timeout_to_streams=False)
 
 
 def _body_altered() -> None:
-    from balancer.wire import Staged
+    from balancer.wire import UpstreamRequest
 
-    write = Staged.write
+    encode = UpstreamRequest.encode
 
-    def alter(self: Staged, remaining: float) -> bytes:
-        data = write(self, remaining)
+    def alter(self: UpstreamRequest, remaining: float) -> bytes:
+        data = encode(self, remaining)
         return data[:-BYTES_ALTERED] + bytes(BYTES_ALTERED) if len(self.body) > BYTES_LONG else data
 
-    _replace(Staged, "write", alter)
+    _replace(UpstreamRequest, "encode", alter)
 
 
 def _replace(where: type, name: str, method: Any) -> None:
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -8,7 +8,7 @@
 
 from passpost import config
 from passpost.reports import LoadReports
-from tests.helpers import READ, Desk, sent
+from tests.helpers import READ, Harness, sent
 from tests.loopback import config_data
 from umberworks import wire
 from umberworks.interface import AttemptEnded, LoadReport, Outcome, Probed
@@ -86,38 +86,42 @@
     assert isinstance(without, AttemptEnded) and without.report is None
 
 
-def room(util: float | None, silent: bool = True) -> int:
-    """How many calls a balancer lets out 1 s into a burst, with this use of the cores reported.
+def calls_in_burst(util: float | None, silent: bool = True) -> int:
+    """How many calls a balancer has in flight 1 s into a burst, with this CPU use reported.
 
-    `silent`: a server has fallen silent just before.
+    `silent`: a server has become silent just before.
     """
-    desk = Desk(8, balancers=8, may_duplicate=False, may_probe=True)
+    harness = Harness(8, balancers=8, may_duplicate=False, may_probe=True)
     out: list[tuple[float, int, str]] = []
     for step, seconds in ((10.0, 8), (1.0, 1)):
-        until = desk.now + seconds * 1_000
+        until = harness.now + seconds * 1_000
         if silent and seconds == 1:
-            desk.tell(Probed("s7", False))
-        while desk.now < until:
-            desk.now += step
-            while out and out[0][0] <= desk.now:
+            harness.handle(Probed("s7", False))
+        while harness.now < until:
+            harness.now += step
+            while out and out[0][0] <= harness.now:
                 _, request, server = out.pop(0)
                 report = None if util is None else LoadReport(util)
                 event = AttemptEnded(request, 0, server, Outcome.SERVED, True, report=report)
-                out += [(desk.now + 100.0, send.request, send.server) for send in sent(desk.tell(event))]
-            out += [(desk.now + 100.0, send.request, send.server) for send in sent(desk.ask(READ)[1])]
+                out += [
+                    (harness.now + 100.0, send.request, send.server) for send in sent(harness.handle(event))
+                ]
+            out += [
+                (harness.now + 100.0, send.request, send.server) for send in sent(harness.arrive(READ)[1])
+            ]
     return len(out)
 
 
 def test_idle_cores_give_room_after_a_silence_where_times_in_service_alone_do_not() -> None:
-    assert room(0.3) > 1.5 * room(None)
+    assert calls_in_burst(0.3) > 1.5 * calls_in_burst(None)
 
 
 def test_idle_cores_give_no_room_where_nothing_has_been_silent() -> None:
-    assert room(0.3, silent=False) == room(None, silent=False)
+    assert calls_in_burst(0.3, silent=False) == calls_in_burst(None, silent=False)
 
 
 def test_busy_cores_give_no_room_of_their_own() -> None:
-    assert room(0.95) <= 1.1 * room(None)
+    assert calls_in_burst(0.95) <= 1.1 * calls_in_burst(None)
 
 
 def test_a_report_that_is_out_of_range_is_none() -> None:
