--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -29,13 +29,13 @@
     And all balancers still serve version 5
 
     Examples:
-      | that is wrong                        | a remedy                           |
-      | that ends in the middle              | send the configuration whole       |
-      | with a route to an unknown service   | add it to svcs or name one of svcs |
-      | with a deadline of 0                 | make it above 0                    |
-      | with two routes at one place         | drop one of them                   |
-      | with weights that sum to 0           | give a finite wt above 0           |
-      | with a version that is not above 5   | give it a higher number            |
+      | that is wrong                      | a remedy                                        |
+      | that ends in the middle            | send the complete configuration                 |
+      | with a route to an unknown service | add it to svcs or use a service that is in svcs |
+      | with a deadline of 0               | make it above 0                                 |
+      | with two routes at one place       | remove one of them                              |
+      | with weights that sum to 0         | give at least one of them a finite wt above 0   |
+      | with a version that is not above 5 | give it a higher number                         |
 
   Scenario: A change made on top of an old version
     Given version 7 is in force
