--- a/balancer/trust.py
+++ b/balancer/trust.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from balancer.peer import Peer
-from dissemination.doubts import Doubts
+from dissemination.doubts import FailureCounts
 from passpost.http1 import Response
 from umberworks.interface import Outcome
 
@@ -89,12 +89,14 @@
         self._next_evaluation = min(self._next_evaluation, now + WINDOW_S)
         self._evaluate(now)
 
-    def own_failures(self, now: float) -> Doubts:
+    def own_failures(self, now: float) -> FailureCounts:
         """Return the failures that this balancer saw, for its report to the fleet."""
         self._expire(now)
         return {(name, self._zone): (1, sum(n for _, n in failures)) for name, failures in self._own.items()}
 
-    def set_fleet_failures(self, failures: Doubts, find: Callable[[str], Peer | None], now: float) -> None:
+    def set_fleet_failures(
+        self, failures: FailureCounts, find: Callable[[str], Peer | None], now: float
+    ) -> None:
         """Set the failures that all balancers saw; `find` returns a listed upstream by its id."""
         self._fleet = {}
         for (name, zone), count in failures.items():
