--- a/tests/test_balancer_deadlines.py
+++ b/tests/test_balancer_deadlines.py
@@ -70,7 +70,7 @@
 
 
 def test_time_counts_for_a_request_that_lies_in_the_kernel_behind_others_of_its_connection() -> None:
-    """A pipelined request must not get its whole time anew after waiting in the socket buffer.
+    """A pipelined request must not get its whole time again after waiting in the socket buffer.
 
     A client pipelined three requests, and the third arrived while two were open and nothing was read. Its
     deadline started once it was read, so that it was still open 1.5 s after its deadline (0.85 s too late in
--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -312,10 +312,10 @@
     assert not make_tiers(entry("y")).is_split(SVC)
 
 
-@pytest.mark.parametrize("part", [PREFILL, DECODE])
-def test_a_tier_without_a_place_costs_more_than_any_other(part: str) -> None:
+@pytest.mark.parametrize("phase", [PREFILL, DECODE])
+def test_a_tier_without_a_place_costs_more_than_any_other(phase: str) -> None:
     """The home of an uncached prefix was looked up among no upstreams, and the client got a 500."""
-    tiers = make_tiers(entry("a", PREFILL), entry("b", DECODE), full=("a" if part == PREFILL else "b",))
-    told = Prompt(2_000, 1_500, b"subject")
-    assert tiers.prefill_cost(SVC, part, told, 0.0) == math.inf
-    assert tiers.prefill_cost(SVC, DECODE if part == PREFILL else PREFILL, told, 0.0) == 2_000
+    tiers = make_tiers(entry("a", PREFILL), entry("b", DECODE), full=("a" if phase == PREFILL else "b",))
+    prompt = Prompt(2_000, 1_500, b"subject")
+    assert tiers.prefill_cost(SVC, phase, prompt, 0.0) == math.inf
+    assert tiers.prefill_cost(SVC, DECODE if phase == PREFILL else PREFILL, prompt, 0.0) == 2_000
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -54,15 +54,15 @@
     return found
 
 
-def set_fleet_failures(tiers: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
-    tiers.outliers.set_fleet_failures(told, tiers.peer, now)
+def set_fleet_failures(tiers: Tiers, failures: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
+    tiers.outliers.set_fleet_failures(failures, tiers.peer, now)
 
 
 # ---- what counts as a failure
 
 
 @pytest.mark.parametrize(
-    ("outcome", "status", "good", "failed"),
+    ("outcome", "status", "valid", "failed"),
     [
         (Outcome.SERVED, 200, True, False),
         (Outcome.SERVED, 200, False, True),
@@ -76,10 +76,10 @@
     ],
 )
 def test_errors_breaks_and_spoilt_answers_are_failures_and_rejections_are_not(
-    outcome: Outcome, status: int, good: bool, failed: bool
+    outcome: Outcome, status: int, valid: bool, failed: bool
 ) -> None:
-    told = Response(status, [], b"", True) if status else None
-    assert is_failure(outcome, told, good) is failed
+    response = Response(status, [], b"", True) if status else None
+    assert is_failure(outcome, response, valid) is failed
 
 
 # ---- one balancer alone
@@ -183,15 +183,15 @@
 
 def test_sums_of_doubts_hold_each_child_once_and_forget_the_gone() -> None:
     async def scene() -> None:
-        told: list[tuple[UpstreamFailures, ...]] = []
-        total = FailureSum(lambda: {("a", "z"): (1, 2)}, told.append)
+        sent: list[tuple[UpstreamFailures, ...]] = []
+        total = FailureSum(lambda: {("a", "z"): (1, 2)}, sent.append)
         total.report("x", DoubtReport((UpstreamFailures("a", "z", 2, 3), UpstreamFailures("b", "y", 1, 1))))
         total.report("x", DoubtReport((UpstreamFailures("a", "z", 1, 1),)))
         total._send()
         total.remove_child("x")
         total._send()
         total._send()
-        assert told == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
+        assert sent == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
 
     asyncio.run(scene())
     assert unpack(pack({("a", "z"): (1, 2), ("b", "z"): (0, 0)})) == {("a", "z"): (1, 2)}
--- a/tests/test_balancer_versions.py
+++ b/tests/test_balancer_versions.py
@@ -81,10 +81,10 @@
     async def scene(world: World) -> None:
         await start_fleet(world)
         sent = world.loop.time()
-        told = json.loads(configuration(6))
-        for service in told["svcs"]:
+        changed_configuration = json.loads(configuration(6))
+        for service in changed_configuration["svcs"]:
             service["backend"] = {"models": [{"name": "m", "ver": 2}]}
-        ended = await world.operator().put(json.dumps(told).encode(), 5)
+        ended = await world.operator().put(json.dumps(changed_configuration).encode(), 5)
         assert ended.status == 200 and ended.at - sent < 0.5
         await wait_in_force(world, 6, 1.5)
         held = [m.plane.configured[-1][1] for m in world.edges()]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -559,12 +559,12 @@
 
 def test_a_server_that_leaves_is_followed_by_another_and_the_rest_stays() -> None:
     harness = Harness(count=60, balancers=500)
-    kept = {harness.serve() for _ in range(300)}
-    gone = sorted(kept)[0]
+    used = {harness.serve() for _ in range(300)}
+    gone = sorted(used)[0]
     harness.update_list(Member(gone, readiness=Readiness.GONE), kind=ListKind.CHANGES)
     after = {harness.serve() for _ in range(300)}
     assert gone not in after
-    assert len(kept - after - {gone}) <= 2
+    assert len(used - after - {gone}) <= 2
 
 
 def test_a_later_try_keeps_the_aim_of_the_first() -> None:
