--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -54,15 +54,15 @@
     return found
 
 
-def set_fleet_failures(tiers: Tiers, told: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
-    tiers.outliers.set_fleet_failures(told, tiers.peer, now)
+def set_fleet_failures(tiers: Tiers, failures: dict[tuple[str, str], tuple[int, int]], now: float) -> None:
+    tiers.outliers.set_fleet_failures(failures, tiers.peer, now)
 
 
 # ---- what counts as a failure
 
 
 @pytest.mark.parametrize(
-    ("outcome", "status", "good", "failed"),
+    ("outcome", "status", "valid", "failed"),
     [
         (Outcome.SERVED, 200, True, False),
         (Outcome.SERVED, 200, False, True),
@@ -76,10 +76,10 @@
     ],
 )
 def test_errors_breaks_and_spoilt_answers_are_failures_and_rejections_are_not(
-    outcome: Outcome, status: int, good: bool, failed: bool
+    outcome: Outcome, status: int, valid: bool, failed: bool
 ) -> None:
-    told = Response(status, [], b"", True) if status else None
-    assert is_failure(outcome, told, good) is failed
+    response = Response(status, [], b"", True) if status else None
+    assert is_failure(outcome, response, valid) is failed
 
 
 # ---- one balancer alone
@@ -183,15 +183,15 @@
 
 def test_sums_of_doubts_hold_each_child_once_and_forget_the_gone() -> None:
     async def scene() -> None:
-        told: list[tuple[UpstreamFailures, ...]] = []
-        total = FailureSum(lambda: {("a", "z"): (1, 2)}, told.append)
+        sent: list[tuple[UpstreamFailures, ...]] = []
+        total = FailureSum(lambda: {("a", "z"): (1, 2)}, sent.append)
         total.report("x", DoubtReport((UpstreamFailures("a", "z", 2, 3), UpstreamFailures("b", "y", 1, 1))))
         total.report("x", DoubtReport((UpstreamFailures("a", "z", 1, 1),)))
         total._send()
         total.remove_child("x")
         total._send()
         total._send()
-        assert told == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
+        assert sent == [(UpstreamFailures("a", "z", 2, 3),), (UpstreamFailures("a", "z", 1, 2),)]
 
     asyncio.run(scene())
     assert unpack(pack({("a", "z"): (1, 2), ("b", "z"): (0, 0)})) == {("a", "z"): (1, 2)}
@@ -203,16 +203,16 @@
         await wait_settled(world)
         first, second, *others = world.edges()
         for machine in (first, second):
-            machine.plane.held_against = {("i-1", "z"): (1, 2)}
-            machine.plane.doubts_changed()
+            machine.plane.own_failures = {("i-1", "z"): (1, 2)}
+            machine.plane.notify_failures()
         wanted = {("i-1", "z"): (2, 4)}
-        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 1.0)
+        await world.wait_until(lambda: all(m.plane.fleet_failures == wanted for m in world.edges()), 1.0)
         world.kill(first.name)
         wanted = {("i-1", "z"): (1, 2)}
-        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in others), 4.0)
-        second.plane.held_against = {}
-        second.plane.doubts_changed()
-        await world.wait_until(lambda: all(m.plane.told_doubts == {} for m in others), 1.0)
+        await world.wait_until(lambda: all(m.plane.fleet_failures == wanted for m in others), 4.0)
+        second.plane.own_failures = {}
+        second.plane.notify_failures()
+        await world.wait_until(lambda: all(m.plane.fleet_failures == {} for m in others), 1.0)
 
     play(scene, edges=12, zones=1)
 
@@ -223,14 +223,14 @@
         await wait_settled(world)
         first, second = world.edges()[:2]
         for machine, upstream in ((first, "i-1"), (second, "i-2")):
-            machine.plane.held_against = {(upstream, "z"): (1, 2)}
-            machine.plane.doubts_changed()
-        await world.wait_until(lambda: all(len(m.plane.told_doubts) == 2 for m in world.edges()), 1.0)
+            machine.plane.own_failures = {(upstream, "z"): (1, 2)}
+            machine.plane.notify_failures()
+        await world.wait_until(lambda: all(len(m.plane.fleet_failures) == 2 for m in world.edges()), 1.0)
         world.kill(world.primary())
-        second.plane.held_against = {}
-        second.plane.doubts_changed()
+        second.plane.own_failures = {}
+        second.plane.notify_failures()
         wanted = {("i-1", "z"): (1, 2)}
-        await world.wait_until(lambda: all(m.plane.told_doubts == wanted for m in world.edges()), 6.0)
+        await world.wait_until(lambda: all(m.plane.fleet_failures == wanted for m in world.edges()), 6.0)
 
     play(scene, edges=5, zones=1)
 
