--- a/mastturn/cli.py
+++ b/mastturn/cli.py
@@ -19,9 +19,9 @@
 from mastturn.emulator.baselines import BASELINES
 from mastturn.files import LabError
 from mastturn.lab import scenario as scenarios
-from mastturn.lab.compare import differences, tasks
-from mastturn.lab.run import Task, Values, keep, read_kept, run_all, together
-from mastturn.lab.versions import HERE, MODULE, Versions, open_version
+from mastturn.lab.compare import comparison_tasks, differences
+from mastturn.lab.run import RunResult, Task, combine_runs, read_runs, run_all, save_run
+from mastturn.lab.versions import INSTALLED, WORKING_TREE, Versions, open_version
 from mastturn.registry.commands import registry
 from mastturn.report import tables
 from mastturn.soak.commands import soak
@@ -147,12 +147,12 @@
         yield lambda: progress.advance(task)
 
 
-def _play(found: list[Task], jobs: int, out: Path | None, label: str) -> list[Values]:
+def _play(found: list[Task], jobs: int, out: Path | None, label: str) -> list[RunResult]:
     with _bar(label, len(found)) as step:
 
-        def done(values: Values) -> None:
+        def done(values: RunResult) -> None:
             if out is not None:
-                keep(values, out)
+                save_run(values, out)
             step()
 
         return list(run_all(found, jobs, done))
@@ -183,15 +183,15 @@
     Example:
       mastturn lab list
     """
-    console.print(tables.scenarios(scenarios.listed()))
-    console.print(f"\nversions: {MODULE}, {', '.join(BASELINES)}, '.' or any commit of git's")
+    console.print(tables.scenarios(scenarios.shipped_scenarios()))
+    console.print(f"\nversions: {INSTALLED}, {', '.join(BASELINES)}, '.' or any commit of git's")
 
 
 @lab.command("run")
 @click.argument("scenario")
 @click.option("--seed", type=click.IntRange(0), help="The one day to play; 1 if nothing is said.")
 @click.option("--seeds", metavar="A..B", help="All days from seed A to seed B.")
-@click.option("--version", default=MODULE, show_default=True, help="A baseline, '.', or a commit.")
+@click.option("--version", default=INSTALLED, show_default=True, help="A baseline, '.', or a commit.")
 @_jobs
 @click.option(
     "--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="Write the result there."
@@ -216,7 +216,7 @@
     Example:
       mastturn lab run fleet-200 --seed 3 --json fleet.json
     """
-    scenarios.find(scenario)
+    scenarios.find_scenario(scenario)
     with Versions() as versions:
         folder = versions.folder(version)
         found = [Task(scenario, number, version, folder) for number in _seeds(seeds, seed)]
@@ -230,7 +230,7 @@
         if why_lost and "losses" in values:
             console.print(f"\nseed {values['seed']}: where the worth went")
             console.print(tables.losses(values))
-    _write(file, together(runs))
+    _write(file, combine_runs(runs))
     if any(values["fault"] for values in runs):
         sys.exit(RUN_FAILED)
 
@@ -238,7 +238,7 @@
 @lab.command()
 @click.argument("names", nargs=-1, required=True, metavar="SCENARIO...")
 @click.option("--base", required=True, help="The version to hold against: a commit, '.', or a baseline.")
-@click.option("--new", default=HERE, show_default=True, help="The version that is new.")
+@click.option("--new", default=WORKING_TREE, show_default=True, help="The version that is new.")
 @click.option("--seeds", metavar="A..B", default="1..8", show_default=True, help="The days both play.")
 @_jobs
 @click.option(
@@ -257,10 +257,10 @@
       mastturn lab compare lost-zone-40 herd-40 --base HEAD~1 --seeds 1..12
     """
     for name in names:
-        scenarios.find(name)
+        scenarios.find_scenario(name)
     with Versions() as versions:
         pair = [(base, versions.folder(base)), (new, versions.folder(new))]
-        found = _play(tasks(list(names), _seeds(seeds, None), pair), jobs, out, "compare")
+        found = _play(comparison_tasks(list(names), _seeds(seeds, None), pair), jobs, out, "compare")
     for values in found:
         if values["fault"]:
             click.echo(
@@ -274,7 +274,7 @@
 @lab.command()
 @click.argument("scenario")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="The day.")
-@click.option("--version", default=MODULE, show_default=True, help="A baseline, '.', or a commit.")
+@click.option("--version", default=INSTALLED, show_default=True, help="A baseline, '.', or a commit.")
 @click.option("--request", type=click.IntRange(0), help="Follow the client's request of this number.")
 @click.option("--server", help="Follow a box or a balancer by its name.")
 def trace(scenario: str, seed: int, version: str, request: int | None, server: str | None) -> None:
@@ -289,7 +289,7 @@
 
     if (request is None) == (server is None):
         raise LabError("trace: give one of --request and --server")
-    found = scenarios.find(scenario)
+    found = scenarios.find_scenario(scenario)
     with Versions() as versions:
         watch = Watch(request, server)
         world = World(found.day(seed), found.troubles, open_version(versions.folder(version)), watch)
@@ -320,7 +320,7 @@
     from mastturn.report.page import page
 
     path = file or folder / "report.html"
-    text = page(read_kept(folder))
+    text = page(read_runs(folder))
     try:
         path.write_text(text, encoding="utf-8")
     except OSError as error:
@@ -347,7 +347,7 @@
     numbers = _seeds(seeds, None)
     plays = sum(len(validation.KINDS[kind]) for seen in versions for kind in seen.days) * len(numbers)
     with tempfile.TemporaryDirectory(prefix="mastturn-") as folder, _bar("validate", plays) as step:
-        found = validation.cells(versions, Path(folder), numbers, jobs, lambda _: step())
+        found = validation.score_versions(versions, Path(folder), numbers, jobs, lambda _: step())
     console.print(tables.cells(found))
     kinds = validation.by_kind(found)
     console.print(tables.cells(kinds))
@@ -376,9 +376,9 @@
     for what in SWEEPS:
         points = sweep(what, agents, seed)
         for at, outcome in points:
-            click.echo(f"{what} {at:g}: {outcome.words()}")
+            click.echo(f"{what} {at:g}: {outcome.describe()}")
         if out is not None:
-            figure = convergence("", what, [(at, o.median_ms, o.most_ms) for at, o in points])
+            figure = convergence("", what, [(at, o.median_ms, o.p99_ms) for at, o in points])
             try:
                 out.mkdir(parents=True, exist_ok=True)
                 figure.savefig(out / f"listing-{what.split()[0]}.png", dpi=110)
@@ -409,18 +409,18 @@
     Example:
       mastturn lab members --processes 40
     """
-    from mastturn.lab.members import FIGURES, measure
+    from mastturn.lab.members import METRICS, measure
     from mastturn.report.pictures import sizes_of_fleet
 
     found = []
     for size in sizes:
         for row in measure(size, seed):
-            click.echo(row.words())
+            click.echo(row.describe())
             found.append(row)
     if out is not None:
         try:
             out.mkdir(parents=True, exist_ok=True)
-            for name, words in FIGURES.items():
+            for name, words in METRICS.items():
                 sizes_of_fleet(words, found, name).savefig(out / f"members-{name}.png", dpi=110)
         except OSError as error:
             raise LabError(f"{out}: {error.strerror}") from None
@@ -436,10 +436,10 @@
     Example:
       mastturn lab paper --bins 100000
     """
-    from mastturn.lab.bins import fill, mixed
+    from mastturn.lab.bins import fill_bins, mixed_capacities
 
     for draws in (1, 2, 3, 4):
-        filled = fill(mixed(bins), draws, seed)
+        filled = fill_bins(mixed_capacities(bins), draws, seed)
         bound = "none" if draws == 1 else f"{filled.bound:.2f} + O(1)"
         console.print(f"d = {draws}: maximum load {filled.max_load:.2f}, bound {bound}")
 
--- a/mastturn/lab/bins.py
+++ b/mastturn/lab/bins.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Filled:
+class BinLoad:
     """One filling: the largest load (balls over capacity), and the paper's bound without its constant."""
 
     bins: int
@@ -24,7 +24,7 @@
     bound: float
 
 
-def fill(capacities: list[int], draws: int, seed: int) -> Filled:
+def fill_bins(capacities: list[int], draws: int, seed: int) -> BinLoad:
     """Throw as many balls as the capacities add up to; ValueError for no bins or no draws."""
     if not capacities or draws < 1 or min(capacities) < 1:
         raise ValueError("capacities and draws have to be 1 or more")
@@ -42,9 +42,9 @@
     most = max(m / c for m, c in zip(held, capacities, strict=True))
     n = len(capacities)
     bound = math.log(math.log(n)) / math.log(draws) if draws > 1 and n > 2 else math.inf
-    return Filled(n, draws, most, bound)
+    return BinLoad(n, draws, most, bound)
 
 
-def mixed(bins: int, sizes: tuple[int, ...] = (1, 2, 3, 10)) -> list[int]:
+def mixed_capacities(bins: int, sizes: tuple[int, ...] = (1, 2, 3, 10)) -> list[int]:
     """Bins of the given sizes, as many of each."""
     return [sizes[i % len(sizes)] for i in range(bins)]
--- a/mastturn/lab/compare.py
+++ b/mastturn/lab/compare.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mastturn.lab.run import Task, Values
+from mastturn.lab.run import RunResult, Task
 from mastturn.lab.stats import Interval, bootstrap
 
-FIGURES: dict[str, Callable[[Values], float]] = {
+METRICS: dict[str, Callable[[RunResult], float]] = {
     "score": lambda run: run["score"]["value"],
     "whole": lambda run: run["parts"]["whole"]["value"],
     "worst 10 s": lambda run: run["parts"]["worst_window"]["value"],
@@ -30,13 +30,13 @@
         """What can be said."""
         if self.difference.count < 2:
             return "one seed"
-        if self.difference.holds_zero():
+        if self.difference.contains_zero():
             return "no difference seen"
         better = (self.difference.mean > 0) != (self.figure == "prices")
         return "better" if better else "worse"
 
 
-def tasks(scenarios: list[str], seeds: list[int], versions: list[tuple[str, str]]) -> list[Task]:
+def comparison_tasks(scenarios: list[str], seeds: list[int], versions: list[tuple[str, str]]) -> list[Task]:
     """Every run that a comparison needs; `versions` are names and folders, the base first."""
     return [
         Task(scenario, seed, name, folder, series=False)
@@ -46,7 +46,7 @@
     ]
 
 
-def differences(runs: list[Values], base: str, new: str) -> list[Difference]:
+def differences(runs: list[RunResult], base: str, new: str) -> list[Difference]:
     """Pair the runs by scenario and seed; runs with a fault of the emulator's own are left out by both."""
     scored = {(r["scenario"], r["seed"], r["version"]): r for r in runs if "parts" in r}
     found = []
@@ -54,7 +54,7 @@
         seeds = [s for (name, s, v) in scored if name == scenario and v == base and (name, s, new) in scored]
         if not seeds:
             continue
-        for figure, read in FIGURES.items():
+        for figure, read in METRICS.items():
             before = [read(scored[scenario, seed, base]) for seed in seeds]
             after = [read(scored[scenario, seed, new]) for seed in seeds]
             paired = [b - a for a, b in zip(before, after, strict=True)]
--- a/mastturn/lab/listing.py
+++ b/mastturn/lab/listing.py
@@ -18,36 +18,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class DelaySummary:
     """From the write to each agent, in milliseconds; and what never came."""
 
     median_ms: float
-    most_ms: float  # 99% of all
+    p99_ms: float  # 99% of all
     missing: int  # replaced by a later change first, or never told
     differing: int  # agents whose list differs at the end
 
-    def words(self) -> str:
+    def describe(self) -> str:
         """One line."""
         return (
-            f"median {self.median_ms:.1f} ms, 99% {self.most_ms:.1f} ms, "
+            f"median {self.median_ms:.1f} ms, 99% {self.p99_ms:.1f} ms, "
             f"not told one by one {self.missing}, lists that differ at the end {self.differing}"
         )
 
 
-def spread(setup: Setup) -> Spread:
+def measure_delays(setup: Setup) -> DelaySummary:
     """One run."""
     outcome = play(setup)
     waits = np.array(outcome.waits_ms or [0.0])
     median, most = (float(np.quantile(waits, q)) for q in (0.5, 0.99))
-    return Spread(median, most, outcome.missing, outcome.differing)
+    return DelaySummary(median, most, outcome.missing, outcome.differing)
 
 
-def sweep(what: str, agents: int, seed: int) -> list[tuple[float, Spread]]:
+def sweep(what: str, agents: int, seed: int) -> list[tuple[float, DelaySummary]]:
     """One figure varied."""
     name, values = SWEEPS[what]
     found = []
     for value in values:
         changed: dict[str, Any] = {name: int(value) if name == "replicas" else value}
         setup = replace(Setup(agents=agents, seed=seed), **changed)
-        found.append((value, spread(replace(setup, seconds=CHANGES / setup.rate_per_s))))
+        found.append((value, measure_delays(replace(setup, seconds=CHANGES / setup.rate_per_s))))
     return found
--- a/mastturn/lab/members.py
+++ b/mastturn/lab/members.py
@@ -9,7 +9,7 @@
 
 from mastturn.emulator.presence import Setup, play
 
-TROUBLES: dict[str, dict[str, Any]] = {
+CONDITIONS: dict[str, dict[str, Any]] = {
     "dies": {"kills": 5},
     "vanishes": {"kills": 5, "silent": True},
     "loss 1%": {"kills": 0, "loss": 0.01},
@@ -18,7 +18,7 @@
     "a tenth slow": {"kills": 0, "slow": 0.1},
     "halves for 30 s": {"kills": 0, "split_s": 30.0, "seconds": 50.0},
 }
-FIGURES = {
+METRICS = {
     "last_ms": "from a failure to the last process that knows, ms (99%)",
     "messages_s": "messages of a process a second",
     "bytes_s": "bytes of a process a second",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class MembershipResult:
     """One run; spans in ms, medians and 99% over failures."""
 
     kind: str
@@ -42,7 +42,7 @@
     bytes_s: float
     healed_ms: float | None
 
-    def words(self) -> str:
+    def describe(self) -> str:
         """One line."""
         parts = [f"{self.kind:10} {self.size:5} {self.trouble:16}"]
         if self.first_ms is not None and self.last_ms is not None:
@@ -56,16 +56,16 @@
         return "  ".join(parts)
 
 
-def measure(size: int, seed: int) -> list[Row]:
+def measure(size: int, seed: int) -> list[MembershipResult]:
     """Every trouble at one size; heartbeats where that can be played."""
     seconds = 60.0 if size <= 200 else 10.0
     rows = []
-    for trouble, words in TROUBLES.items():
+    for trouble, words in CONDITIONS.items():
         if size > 200 and trouble not in ("dies", "vanishes"):
             continue
         for kind in ("views", "heartbeats") if size <= HEARTBEATS_TO else ("views",):
             rows.append(
-                _row(
+                _measure_one(
                     trouble,
                     Setup(**{"processes": size, "seconds": seconds, "kind": kind, "seed": seed} | words),
                 )
@@ -73,13 +73,13 @@
     return rows
 
 
-def _row(trouble: str, setup: Setup) -> Row:
+def _measure_one(trouble: str, setup: Setup) -> MembershipResult:
     found = play(setup)
     first = last = None
     if found.first_ms:
         first = (float(np.median(found.first_ms)), float(np.quantile(found.first_ms, 0.99)))
         last = float(np.quantile(found.last_ms, 0.99))
-    return Row(
+    return MembershipResult(
         setup.kind, setup.processes, trouble, first, last, found.undetected, found.false / found.hours,
         found.messages_s, found.bytes_s, found.healed_ms,
     )  # fmt: skip
--- a/mastturn/lab/outcome.py
+++ b/mastturn/lab/outcome.py
@@ -123,7 +123,7 @@
     }
 
 
-def as_values(name: str, version: str, played: Played, series: bool = True) -> dict[str, Any]:
+def result_values(name: str, version: str, played: Played, series: bool = True) -> dict[str, Any]:
     """One run as plain values, each with its unit; nothing in it depends on when or where it ran."""
     judge, parts = played.judge, played.parts
     result: dict[str, Any] = {
--- a/mastturn/lab/run.py
+++ b/mastturn/lab/run.py
@@ -15,11 +15,11 @@
 
 from mastturn.emulator.world import play
 from mastturn.files import LabError
-from mastturn.lab.outcome import as_values
-from mastturn.lab.scenario import find
+from mastturn.lab.outcome import result_values
+from mastturn.lab.scenario import find_scenario
 from mastturn.lab.versions import open_version
 
-Values = dict[str, Any]
+RunResult = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,12 +33,12 @@
     series: bool = True
 
 
-def run_one(task: Task) -> Values:
+def run_one(task: Task) -> RunResult:
     """Play one day; a fault of the emulator itself is told as the run's, and the other seeds go on."""
     try:
-        scenario = find(task.scenario)
+        scenario = find_scenario(task.scenario)
         played = play(scenario.day(task.seed), scenario.troubles, open_version(task.folder))
-        return as_values(scenario.name, task.version, played, task.series)
+        return result_values(scenario.name, task.version, played, task.series)
     except LabError:
         raise
     except Exception as error:
@@ -53,7 +53,7 @@
         }
 
 
-def run_all(tasks: Iterable[Task], jobs: int, done: Callable[[Values], None]) -> Iterator[Values]:
+def run_all(tasks: Iterable[Task], jobs: int, done: Callable[[RunResult], None]) -> Iterator[RunResult]:
     """Make the runs, `jobs` at a time, and yield them in the order asked for; `done` hears of each."""
     asked = list(tasks)
     if jobs <= 1 or len(asked) == 1:
@@ -64,7 +64,7 @@
         return
     with ProcessPoolExecutor(max_workers=min(jobs, len(asked))) as pool:
         futures = {pool.submit(run_one, task): i for i, task in enumerate(asked)}
-        results: dict[int, Values] = {}
+        results: dict[int, RunResult] = {}
         try:
             for future in as_completed(futures):
                 results[futures[future]] = values = future.result()
@@ -76,7 +76,7 @@
         yield results[i]
 
 
-def keep(values: Values, folder: Path) -> Path:
+def save_run(values: RunResult, folder: Path) -> Path:
     """Write one run under a folder; what is there of an interrupted lab is whole."""
     path = (
         folder
@@ -91,7 +91,7 @@
     return path
 
 
-def read_kept(folder: Path) -> list[Values]:
+def read_runs(folder: Path) -> list[RunResult]:
     """All runs kept under a folder, in the order of their names; raises LabError."""
     if not folder.is_dir():
         raise LabError(f"{folder}: no such folder")
@@ -106,7 +106,7 @@
     return found
 
 
-def together(runs: list[Values]) -> Values:
+def combine_runs(runs: list[RunResult]) -> RunResult:
     """What JSON files hold: the one run, or all of them with their mean score and one digest."""
     if len(runs) == 1:
         return runs[0]
--- a/mastturn/lab/scenario.py
+++ b/mastturn/lab/scenario.py
@@ -116,7 +116,7 @@
     return Scenario(name, read.title, site, fleet, (low, high), length * 1000, read.troubles, seen)
 
 
-def find(name: str) -> Scenario:
+def find_scenario(name: str) -> Scenario:
     """A scenario by its name, or by the path of a file of one's own; raises LabError."""
     if name.endswith(".toml"):
         path = Path(name)
@@ -149,10 +149,10 @@
     return ", ".join(str(size) for size in _fleets())
 
 
-def listed() -> list[Scenario]:
+def shipped_scenarios() -> list[Scenario]:
     """Every scenario that ships, at each of its sizes."""
     found = []
     for kind in _names("scenarios"):
         read = _read((SHIPPED / "scenarios" / f"{kind}.toml").read_text(encoding="utf-8"), kind)
-        found += [find(f"{kind}-{size}") for size in read.sizes]
+        found += [find_scenario(f"{kind}-{size}") for size in read.sizes]
     return found
--- a/mastturn/lab/stats.py
+++ b/mastturn/lab/stats.py
@@ -21,7 +21,7 @@
     high: float
     count: int
 
-    def holds_zero(self) -> bool:
+    def contains_zero(self) -> bool:
         """Whether no difference is seen."""
         return self.low <= 0.0 <= self.high
 
--- a/mastturn/lab/validate.py
+++ b/mastturn/lab/validate.py
@@ -19,7 +19,7 @@
 
 from mastturn.emulator.contract import PACKAGE
 from mastturn.files import LabError
-from mastturn.lab.run import Task, Values, run_all
+from mastturn.lab.run import RunResult, Task, run_all
 from mastturn.lab.stats import spearman
 
 # Kinds of days on the bench, and the scenarios that have the same troubles at about the same size.
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ModuleVersion:
     """One version of the module as the journal has it: its texts by path, and G of its days by kind."""
 
     version: str
@@ -71,9 +71,9 @@
     return found
 
 
-def read_journal(journal: Path) -> list[Seen]:
+def read_journal(journal: Path) -> list[ModuleVersion]:
     """Every version whose texts the journal keeps and that has played days of these kinds."""
-    found: dict[str, Seen] = {}
+    found: dict[str, ModuleVersion] = {}
     for entry in _entries(journal):
         files = [*(entry.get("policy") or []), *(entry.get("node") or [])]
         texts = {
@@ -88,14 +88,14 @@
         for day in entry.get("days") or []:
             kind = str(day.get("name", "")).removesuffix(AGAIN)
             if kind in KINDS and day.get("G") is not None:
-                seen = found.setdefault(name, Seen(name, texts, {}))
+                seen = found.setdefault(name, ModuleVersion(name, texts, {}))
                 seen.days.setdefault(kind, []).append(float(day["G"]))
     if not found:
         raise LabError(f"{journal}: holds no days of the kinds {', '.join(KINDS)}")
     return list(found.values())
 
 
-def lay_out(seen: Seen, folder: Path) -> Path:
+def write_package(seen: ModuleVersion, folder: Path) -> Path:
     """The version's module as a folder that can be loaded."""
     target = folder / seen.version / PACKAGE
     target.mkdir(parents=True, exist_ok=True)
@@ -105,12 +105,16 @@
     return target.parent
 
 
-def cells(
-    versions: list[Seen], folder: Path, seeds: list[int], jobs: int, done: Callable[[Values], None]
+def score_versions(
+    versions: list[ModuleVersion],
+    folder: Path,
+    seeds: list[int],
+    jobs: int,
+    done: Callable[[RunResult], None],
 ) -> list[Cell]:
     """Play every version on the scenarios of each kind that the bench has played with it."""
     tasks = [
-        Task(scenario, seed, seen.version, str(lay_out(seen, folder)), series=False)
+        Task(scenario, seed, seen.version, str(write_package(seen, folder)), series=False)
         for seen in versions
         for kind in seen.days
         for scenario in KINDS[kind]
--- a/mastturn/lab/versions.py
+++ b/mastturn/lab/versions.py
@@ -13,8 +13,8 @@
 from mastturn.emulator.contract import PACKAGE, Version, installed, load
 from mastturn.files import LabError
 
-HERE = "."
-MODULE = "module"
+WORKING_TREE = "."
+INSTALLED = "module"
 
 
 def _git(root: Path, *words: str) -> bytes:
@@ -43,10 +43,10 @@
 
     def folder(self, rev: str) -> str:
         """Where a version lies, for `open_version` in any process; raises LabError for a REV that is none."""
-        if rev in BASELINES or rev == MODULE:
+        if rev in BASELINES or rev == INSTALLED:
             return rev
-        if rev == HERE:
-            return str(self._root) if (self._root / PACKAGE).is_dir() else MODULE
+        if rev == WORKING_TREE:
+            return str(self._root) if (self._root / PACKAGE).is_dir() else INSTALLED
         if rev not in self._folders:
             try:
                 commit = _git(self._root, "rev-parse", "--verify", "--quiet", f"{rev}^{{commit}}")
@@ -66,6 +66,6 @@
     """A version that `Versions.folder` has found."""
     if folder in BASELINES:
         return baseline(folder)
-    if folder == MODULE:
+    if folder == INSTALLED:
         return installed()
     return load(Path(folder), folder)
--- a/mastturn/report/page.py
+++ b/mastturn/report/page.py
@@ -26,7 +26,7 @@
 
 
 def page(runs: list[Run]) -> str:
-    """The page; `runs` as `mastturn.lab.run.read_kept` gives them, at least one."""
+    """The page; `runs` as `mastturn.lab.run.read_runs` gives them, at least one."""
     groups: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         groups[run["scenario"]].append(run)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,9 +10,9 @@
 
 from mastturn.cli import main
 from mastturn.files import LabError
-from mastturn.lab.bins import fill, mixed
+from mastturn.lab.bins import fill_bins, mixed_capacities
 from mastturn.lab.run import Task, run_all, run_one
-from mastturn.lab.scenario import find, listed
+from mastturn.lab.scenario import find_scenario, shipped_scenarios
 from mastturn.lab.stats import bootstrap, spearman
 from mastturn.lab.versions import Versions
 
@@ -46,10 +46,10 @@
 
 
 def test_every_shipped_scenario_is_there_at_its_sizes() -> None:
-    names = {scenario.name for scenario in listed()}
+    names = {scenario.name for scenario in shipped_scenarios()}
     kinds = ("calm", "release", "lost-zone", "cut-off-zone", "cold-join", "herd", "overload", "busy-stretch")
     assert {f"{kind}-{size}" for kind in kinds for size in (3, 40, 200)} | {"fleet-200"} <= names
-    day = find("fleet-200").day(1)
+    day = find_scenario("fleet-200").day(1)
     inner = [len(machines) for machines in day.machines]
     assert 180 <= day.fleet.balancers_front + inner[0] + inner[1] <= 220
     assert day.fleet.length_ms == 60_000.0
@@ -180,7 +180,7 @@
 def test_a_bootstrap_holds_the_mean_and_ranks_agree_with_themselves() -> None:
     interval = bootstrap([1.0, 2.0, 3.0, 4.0, 5.0] * 8)
     assert interval.mean == 3.0 and 2.4 < interval.low < 3.0 < interval.high < 3.6
-    assert bootstrap([-1.0, 1.0] * 5).holds_zero()
+    assert bootstrap([-1.0, 1.0] * 5).contains_zero()
     assert spearman([1, 2, 3, 4], [10, 20, 30, 40]) == pytest.approx(1.0)
     assert spearman([1, 2, 3, 4], [4, 3, 2, 1]) == pytest.approx(-1.0)
     assert spearman([1, 1, 2, 3], [5, 5, 6, 7]) == pytest.approx(1.0)
@@ -188,11 +188,11 @@
 
 def test_two_draws_bound_the_maximum_load_over_non_uniform_bins() -> None:
     """Theorem 3: ln ln n / ln d + O(1) for d of 2 or more; one draw goes far beyond."""
-    one, two, four = (fill(mixed(4_000), draws, 1) for draws in (1, 2, 4))
+    one, two, four = (fill_bins(mixed_capacities(4_000), draws, 1) for draws in (1, 2, 4))
     assert two.max_load <= two.bound + 1.5
     assert four.max_load <= two.max_load < one.max_load
     with pytest.raises(ValueError, match="1 or more"):
-        fill([], 2, 1)
+        fill_bins([], 2, 1)
 
 
 def test_a_report_is_one_page_with_pictures_and_the_causes(own: Path, tmp_path: Path) -> None:
@@ -211,7 +211,7 @@
     import hashlib
 
     import umberworks
-    from mastturn.lab.validate import cells, rank_correlation, read_journal
+    from mastturn.lab.validate import rank_correlation, read_journal, score_versions
 
     journal, source = tmp_path / "journal", Path(str(umberworks.__file__)).parent
     (journal / "blobs").mkdir(parents=True)
@@ -225,7 +225,7 @@
     (journal / "2.json").write_text(json.dumps({"policy": [], "days": days}))
     versions = read_journal(journal)
     assert [(v.days, len(v.texts)) for v in versions] == [({"disco+vast": [0.9]}, len(files))]
-    found = cells(versions, tmp_path, [1], 1, lambda _: None)
+    found = score_versions(versions, tmp_path, [1], 1, lambda _: None)
     assert found[0].kind == "disco+vast" and found[0].bench == 0.9 and 0.3 < found[0].emulated < 1
     assert rank_correlation(found) != rank_correlation(found)  # of one pair there is none
     with pytest.raises(LabError, match="no such folder"):
