--- a/mastturn/cli.py
+++ b/mastturn/cli.py
@@ -284,25 +284,27 @@
     Example:
       mastturn lab trace calm-3 --seed 3 --request 17
     """
-    from mastturn.emulator.watch import Watch
+    from mastturn.emulator.watch import Trace
     from mastturn.emulator.world import World
 
     if (request is None) == (server is None):
         raise LabError("trace: give one of --request and --server")
     found = scenarios.find(scenario)
     with Versions() as versions:
-        watch = Watch(request, server)
+        watch = Trace(request, server)
         world = World(found.day(seed), found.troubles, open_version(versions.folder(version)), watch)
         played = world.play()
-    if request is not None and request >= len(played.judge.firsts):
-        raise LabError(f"--request {request}: this day has requests 0 to {len(played.judge.firsts) - 1}")
-    names = [host.name for hosts in world.hosts for host in hosts]
+    if request is not None and request >= len(played.judge.client_requests):
+        raise LabError(
+            f"--request {request}: this day has requests 0 to {len(played.judge.client_requests) - 1}"
+        )
+    names = [balancer.name for balancers in world.balancers for balancer in balancers]
     if server is not None and server not in world.boxes and server not in names:
         some = ", ".join([*list(world.boxes)[:2], *names[:2]])
         raise LabError(f"--server {server!r}: no such box or balancer; for example {some}")
     console.print(tables.lines(watch.lines))
-    if watch.left_out:
-        click.echo(f"mastturn: {watch.left_out} further lines left out", err=True)
+    if watch.lines_dropped:
+        click.echo(f"mastturn: {watch.lines_dropped} further lines left out", err=True)
 
 
 @lab.command()
--- a/mastturn/emulator/attempts.py
+++ b/mastturn/emulator/attempts.py
@@ -4,14 +4,14 @@
 
 from typing import Any, Protocol
 
-from mastturn.emulator.calls import Attempt, Call, Cause, Final, Loss, whereabouts
-from mastturn.emulator.contract import Fault
+from mastturn.emulator.calls import Attempt, Call, FinalOutcome, Loss, LossCause, locate_loss
+from mastturn.emulator.contract import ContractViolation
 from mastturn.emulator.machine import Box
 from mastturn.emulator.pool import Pool
 from mastturn.emulator.reports import LoadReport
-from mastturn.emulator.told import ToldList
+from mastturn.emulator.told import KnownServers
 
-NEVER_RAN = ("TURNED_AWAY", "UNREACHED", "NOT_SENT")
+NOT_EXECUTED = ("TURNED_AWAY", "UNREACHED", "NOT_SENT")
 
 
 class Sender(Protocol):
@@ -23,32 +23,32 @@
     zone: str
     life: int
     calls: dict[int, Call]
-    told: ToldList
+    known_servers: KnownServers
 
-    def tell(self, event: Any) -> None:
+    def dispatch(self, event: Any) -> None:
         """Give the module an event and carry out what it returns."""
 
-    def open_call(self, action: Any) -> Call | None:
+    def find_open_call(self, action: Any) -> Call | None:
         """The request that an action is about, unless it is concluded."""
 
-    def forget(self, call: Call) -> None:
+    def release(self, call: Call) -> None:
         """Let go of a request that is concluded, once all of its attempts are over."""
 
     def is_cut_from(self, box: Box) -> bool:
         """Whether nothing passes between it and a box."""
 
 
-def may_have_run(call: Call) -> bool:
+def may_have_executed(call: Call) -> bool:
     """Whether some attempt of a request may have been run by an upstream."""
-    return any(attempt.outcome not in NEVER_RAN for attempt in call.attempts)
+    return any(attempt.outcome not in NOT_EXECUTED for attempt in call.attempts)
 
 
 class Attempts:
     """Carries out what the module decides about attempts."""
 
-    def __init__(self, host: Sender, idle_ms: float, face: Any) -> None:
+    def __init__(self, balancer: Sender, idle_ms: float, interface: Any) -> None:
         """`idle_ms`: a connection is kept so long; `face`: the types of the module's contract."""
-        self._host, self._face = host, face
+        self._balancer, self._interface = balancer, interface
         self.pool = Pool(idle_ms)
         self.out = 0  # attempts that are under way
 
@@ -59,36 +59,40 @@
 
     def send(self, action: Any) -> None:
         """The module sends a request to an upstream; raises Fault where it may not."""
-        world = self._host.world
+        world = self._balancer.world
         now, judge = world.events.now, world.judge
-        call = self._host.open_call(action)
+        call = self._balancer.find_open_call(action)
         if call is None:
-            raise Fault(f"{action!r} for a request that is not open")
+            raise ContractViolation(f"{action!r} for a request that is not open")
         box = world.boxes.get(action.server)
-        if box is None or not self._host.told.has_named(action.server) or box.number != self._host.tier:
-            raise Fault(f"{action!r} to a server that its list has not named")
+        if (
+            box is None
+            or not self._balancer.known_servers.is_known(action.server)
+            or box.number != self._balancer.tier
+        ):
+            raise ContractViolation(f"{action!r} to a server that its list has not named")
         earlier = call.attempts
         if any(not a.over for a in earlier):
-            judge.break_rule("duplicate", f"{self._host.name}: {call.number} has two attempts out")
-        if call.first.cls.once and may_have_run(call):
-            judge.break_rule(
-                "duplicate", f"{self._host.name}: {call.number} sent again, though it may have run"
+            judge.record_violation("duplicate", f"{self._balancer.name}: {call.number} has two attempts out")
+        if call.client_request.cls.once and may_have_executed(call):
+            judge.record_violation(
+                "duplicate", f"{self._balancer.name}: {call.number} sent again, though it may have run"
             )
         self._check_drain(action.server, now)
         left = call.deadline_ms - now
         ends = now + (min(action.timeout_ms, left) if action.timeout_ms > 0 else left)
-        attempt = Attempt(call, len(earlier), box, now, ends, self._host.life)
+        attempt = Attempt(call, len(earlier), box, now, ends, self._balancer.life)
         earlier.append(attempt)
         self.out += 1
         if len(earlier) > world.day.site.rules.max_attempts:
             world.events.after(0.0, self._not_sent, attempt)
             return
-        judge.count_send(self._host.tier, self._host.zone != box.zone, len(earlier) > 1)
+        judge.record_send(self._balancer.tier, self._balancer.zone != box.zone, len(earlier) > 1)
         if world.watch is not None:
             world.watch.line(
                 now,
-                call.first,
-                self._host.name,
+                call.client_request,
+                self._balancer.name,
                 box.name,
                 f"request {call.number} attempt {attempt.index} sent",
             )
@@ -96,154 +100,163 @@
         self._connect(attempt, box)
 
     def _check_drain(self, server: str, now: float) -> None:
-        told_ms, phase = self._host.told.left_at(server)
-        if phase is not None and now > told_ms + self._host.world.day.site.rules.drain_grace_ms:
-            text = f"{self._host.name} sent to {server}, {phase.value}"
-            self._host.world.judge.break_rule("drain", text)
+        told_ms, phase = self._balancer.known_servers.removed_at(server)
+        if phase is not None and now > told_ms + self._balancer.world.day.site.rules.drain_grace_ms:
+            text = f"{self._balancer.name} sent to {server}, {phase.value}"
+            self._balancer.world.judge.record_violation("drain", text)
 
     def _connect(self, attempt: Attempt, box: Box) -> None:
         """Take a kept connection or open one: refused at once, never up, or up after its round trips."""
-        world = self._host.world
+        world = self._balancer.world
         events, network = world.events, world.network
-        way = network.delay_ms(self._host.zone, box.zone)
-        epoch = self.pool.take(box, events.now)
+        way = network.delay_ms(self._balancer.zone, box.zone)
+        epoch = self.pool.acquire(box, events.now)
         if epoch is not None:
             attempt.box_epoch = epoch
             attempt.connected = True
             events.after(way, self._arrive, attempt)
-        elif box.silent or self._host.is_cut_from(box):
-            events.after(box.tier.connect_timeout_ms, self._unreached, attempt)
+        elif box.silent or self._balancer.is_cut_from(box):
+            events.after(box.tier.connect_timeout_ms, self._connect_failed, attempt)
         elif not box.up or box.connections >= box.figures.connection_cap:
-            events.after(2 * way, self._unreached, attempt)
+            events.after(2 * way, self._connect_failed, attempt)
         else:
             self.pool.opened(box)
             attempt.connected = attempt.handshake = True
-            world.judge.handshakes[self._host.tier] += 1
+            world.judge.handshakes[self._balancer.tier] += 1
             events.after((2 * box.tier.handshake_round_trips + 1) * way, self._arrive, attempt)
 
     def probe(self, action: Any) -> None:
         """Open a connection and keep it, as `passpost` does."""
-        world = self._host.world
+        world = self._balancer.world
         box = world.boxes.get(action.server)
-        if box is None or not self._host.told.has_named(action.server) or box.number != self._host.tier:
-            raise Fault(f"{action!r} at a server that its list has not named")
-        way = world.network.delay_ms(self._host.zone, box.zone)
-        silent = box.silent or self._host.is_cut_from(box)
+        if (
+            box is None
+            or not self._balancer.known_servers.is_known(action.server)
+            or box.number != self._balancer.tier
+        ):
+            raise ContractViolation(f"{action!r} at a server that its list has not named")
+        way = world.network.delay_ms(self._balancer.zone, box.zone)
+        silent = box.silent or self._balancer.is_cut_from(box)
         reached = box.up and not silent and box.connections < box.figures.connection_cap
         world.judge.counts["probes by connection"] += 1
         if reached:
             self.pool.opened(box)
             self.pool.keep(box, box.epoch, world.events.now)
-            world.judge.handshakes[self._host.tier] += 1
+            world.judge.handshakes[self._balancer.tier] += 1
             wait = 2 * box.tier.handshake_round_trips * way
         else:
             wait = box.tier.connect_timeout_ms if silent else 2 * way
-        world.events.after(wait, self._probed, (self._host.life, action.server, reached))
+        world.events.after(wait, self._probed, (self._balancer.life, action.server, reached))
 
     def _probed(self, found: tuple[int, str, bool]) -> None:
         life, server, reached = found
-        if life == self._host.life:
-            self._host.tell(self._face.Probed(server, reached))
+        if life == self._balancer.life:
+            self._balancer.dispatch(self._interface.Probed(server, reached))
 
     def _arrive(self, attempt: Attempt) -> None:
         """Its last byte is at the box."""
         if attempt.over:
             return
-        world, box = self._host.world, attempt.box
-        if self._host.is_cut_from(box) or (box.silent and not box.up):
+        world, box = self._balancer.world, attempt.box
+        if self._balancer.is_cut_from(box) or (box.silent and not box.up):
             return  # nothing is said, ever
-        way = world.network.delay_ms(self._host.zone, box.zone)
+        way = world.network.delay_ms(self._balancer.zone, box.zone)
         if attempt.box_epoch != box.epoch or not box.up:
-            world.events.after(way, self.reset, attempt)
+            world.events.after(way, self.on_reset, attempt)
             return
         attempt.arrived = True
-        turned_away = world.box_receives(attempt)
+        turned_away = world.deliver_request(attempt)
         if turned_away:
-            world.events.after(way, self._turned_away, attempt)
+            world.events.after(way, self._rejected, attempt)
         elif world.network.resets():
-            world.events.after(way + world.reset_wait_ms(), self.reset, attempt)
+            world.events.after(way + world.reset_wait_ms(), self.on_reset, attempt)
 
-    def answered(self, answer: tuple[Attempt, bool, Loss | None, LoadReport | None, float]) -> None:
+    def on_response(self, answer: tuple[Attempt, bool, Loss | None, LoadReport | None, float]) -> None:
         """An upstream's answer has come."""
         attempt, served, loss, report, useful_ms = answer
         if served and not attempt.over:
             attempt.call.useful_ms += useful_ms
         self._end(attempt, "SERVED" if served else "ERROR", loss, report)
 
-    def _turned_away(self, attempt: Attempt) -> None:
-        self._end(attempt, "TURNED_AWAY", Loss(self._host.tier, Cause.TURNED_AWAY), attempt.box.report())
+    def _rejected(self, attempt: Attempt) -> None:
+        self._end(
+            attempt, "TURNED_AWAY", Loss(self._balancer.tier, LossCause.TURNED_AWAY), attempt.box.report()
+        )
 
-    def _unreached(self, attempt: Attempt) -> None:
-        silent = attempt.box.silent or self._host.is_cut_from(attempt.box)
+    def _connect_failed(self, attempt: Attempt) -> None:
+        silent = attempt.box.silent or self._balancer.is_cut_from(attempt.box)
         self._end(
-            attempt, "UNREACHED", Loss(self._host.tier, Cause.SILENT if silent else Cause.UNREACHED), None
+            attempt,
+            "UNREACHED",
+            Loss(self._balancer.tier, LossCause.SILENT if silent else LossCause.UNREACHED),
+            None,
         )
 
     def _not_sent(self, attempt: Attempt) -> None:
-        self._end(attempt, "NOT_SENT", Loss(self._host.tier, Cause.TURNED_AWAY), None)
+        self._end(attempt, "NOT_SENT", Loss(self._balancer.tier, LossCause.TURNED_AWAY), None)
 
-    def reset(self, attempt: Attempt) -> None:
+    def on_reset(self, attempt: Attempt) -> None:
         """Its connection is reset; the box's process may have died with the request in it."""
-        self._end(attempt, "BROKEN", Loss(self._host.tier, Cause.RESET), None)
+        self._end(attempt, "BROKEN", Loss(self._balancer.tier, LossCause.RESET), None)
 
     def _timed_out(self, attempt: Attempt) -> None:
-        if not attempt.over and attempt.life == self._host.life:
+        if not attempt.over and attempt.life == self._balancer.life:
             outcome = "TIMED_OUT" if attempt.connected else "UNREACHED"
-            self._end(attempt, outcome, whereabouts(attempt, self._host.is_cut_from(attempt.box)), None)
+            self._end(attempt, outcome, locate_loss(attempt, self._balancer.is_cut_from(attempt.box)), None)
 
     def cancel(self, action: Any) -> None:
         """The module gives an attempt up."""
-        call = self._host.calls.get(action.request)
+        call = self._balancer.calls.get(action.request)
         if call is not None and 0 <= action.attempt < len(call.attempts):
-            self._host.world.events.after(0.0, self._cancelled, call.attempts[action.attempt])
+            self._balancer.world.events.after(0.0, self._cancelled, call.attempts[action.attempt])
 
     def _cancelled(self, attempt: Attempt) -> None:
-        if not attempt.over and attempt.life == self._host.life:
-            where = whereabouts(attempt, self._host.is_cut_from(attempt.box))
+        if not attempt.over and attempt.life == self._balancer.life:
+            where = locate_loss(attempt, self._balancer.is_cut_from(attempt.box))
             self._end(attempt, "CANCELLED", where, None)
 
-    def hang_up(self, attempt: Attempt) -> None:
+    def close_connection(self, attempt: Attempt) -> None:
         """Close the connection of an attempt that has one."""
         if attempt.connected:
             self.pool.closed(attempt.box, attempt.box_epoch)
 
     def _end(self, attempt: Attempt, outcome: str, loss: Loss | None, report: LoadReport | None) -> None:
         """An attempt's one end: its connection is kept or closed, and the module told."""
-        if attempt.over or attempt.life != self._host.life:
+        if attempt.over or attempt.life != self._balancer.life:
             return
-        world, call = self._host.world, attempt.call
+        world, call = self._balancer.world, attempt.call
         now = world.events.now
         attempt.over, attempt.outcome, attempt.ended_ms = True, outcome, now
         self.out -= 1
-        world.judge.outcomes[self._host.tier][outcome] += 1
+        world.judge.outcomes[self._balancer.tier][outcome] += 1
         if outcome in ("SERVED", "ERROR", "TURNED_AWAY"):
             if attempt.box_epoch == attempt.box.epoch:
                 self.pool.keep(attempt.box, attempt.box_epoch, now)
             else:
-                self.hang_up(attempt)
+                self.close_connection(attempt)
         elif outcome != "NOT_SENT":
-            self.hang_up(attempt)
+            self.close_connection(attempt)
         served = outcome == "SERVED" and not call.done
         if served:
             call.done = True
-            world.judge.ended[self._host.tier][Final.SERVED] += 1
+            world.judge.ended[self._balancer.tier][FinalOutcome.SERVED] += 1
         elif loss is not None and not call.done:
             call.loss = loss
         if world.watch is not None:
             why = f" ({loss.cause.value}, {world.day.tiers[loss.tier].name})" if loss is not None else ""
             world.watch.line(
                 now,
-                call.first,
-                self._host.name,
+                call.client_request,
+                self._balancer.name,
                 attempt.box.name,
                 f"request {call.number} attempt {attempt.index} {outcome.lower()}{why}",
             )
-        kind = self._face.Outcome[outcome]
-        self._host.tell(
+        kind = self._interface.Outcome[outcome]
+        self._balancer.dispatch(
             world.version.attempt_ended(
                 call.number, attempt.index, attempt.box.name, kind, call.done, report=report
             )
         )
-        self._host.forget(call)
+        self._balancer.release(call)
         if served:
-            call.caller.take_answer(call, Final.SERVED, 0.0)
+            call.caller.on_final_outcome(call, FinalOutcome.SERVED, 0.0)
--- a/mastturn/emulator/baselines.py
+++ b/mastturn/emulator/baselines.py
@@ -18,21 +18,21 @@
 
 DRAWS = 2  # d of the paper's experiments
 LATE_MS = 1_000.0  # how old the state is that the late oracle sees
-NEVER_RAN = ("TURNED_AWAY", "UNREACHED", "NOT_SENT")
+NOT_EXECUTED = ("TURNED_AWAY", "UNREACHED", "NOT_SENT")
 
 
 class Baseline:
     """A balancer that picks by one plain rule; subclasses say which."""
 
-    def __init__(self, face: Any, settings: Any, seed: int, truth: Truth) -> None:
-        self.face, self.settings, self.truth = face, settings, truth
+    def __init__(self, interface: Any, settings: Any, seed: int, truth: Truth) -> None:
+        self.interface, self.settings, self.truth = interface, settings, truth
         self.chance = random.Random(seed)
         self.ready: list[str] = []
         self.out: dict[str, int] = {}
         self.now = 0.0
         self._members: dict[str, Any] = {}
         self._open: dict[int, tuple[Any, float, int]] = {}  # class, deadline, attempts made
-        self._asked = False
+        self._subscribed = False
 
     def pick(self, able: list[str]) -> str:
         """One of the servers, of which there is at least one."""
@@ -41,37 +41,37 @@
     def handle(self, event: Any, now: float) -> list[Any]:
         """Take one event and return the actions, in order."""
         self.now = now
-        face, actions = self.face, []
-        if not self._asked:
-            self._asked = True
-            actions.append(face.Subscribe())
-        if isinstance(event, face.RequestArrived):
+        interface, actions = self.interface, []
+        if not self._subscribed:
+            self._subscribed = True
+            actions.append(interface.Subscribe())
+        if isinstance(event, interface.RequestArrived):
             cls = next(c for c in self.settings.classes if c.name == event.class_name)
             self._open[event.request] = (cls, now + event.remaining_ms, 0)
             actions += self._send(event.request, None)
-        elif isinstance(event, face.AttemptEnded):
+        elif isinstance(event, interface.AttemptEnded):
             self.out[event.server] = self.out.get(event.server, 1) - 1
             if event.answered:
                 self._open.pop(event.request, None)
             else:
                 actions += self._after(event)
-        elif isinstance(event, face.ClientLeft):
+        elif isinstance(event, interface.ClientLeft):
             self._open.pop(event.request, None)
-        elif isinstance(event, face.ListUpdate):
-            actions += self._listed(event)
-        elif isinstance(event, face.TimerDue):
-            actions.append(face.Subscribe())
+        elif isinstance(event, interface.ListUpdate):
+            actions += self._on_list_update(event)
+        elif isinstance(event, interface.TimerDue):
+            actions.append(interface.Subscribe())
         return actions
 
-    def _listed(self, event: Any) -> list[Any]:
-        face = self.face
-        if event.kind is face.ListKind.FAILED:
-            return [face.SetTimer(self.now + 1_000.0, "list")]
-        if event.kind is not face.ListKind.CHANGES:
+    def _on_list_update(self, event: Any) -> list[Any]:
+        interface = self.interface
+        if event.kind is interface.ListKind.FAILED:
+            return [interface.SetTimer(self.now + 1_000.0, "list")]
+        if event.kind is not interface.ListKind.CHANGES:
             self._members.clear()
         for member in event.members:
             self._members[member.server] = member
-        self.ready = [m.server for m in self._members.values() if m.readiness is face.Readiness.READY]
+        self.ready = [m.server for m in self._members.values() if m.readiness is interface.Readiness.READY]
         return []
 
     def _send(self, request: int, tried: str | None) -> list[Any]:
@@ -79,21 +79,21 @@
         able = [s for s in self.ready if s != tried] or self.ready
         if not able or deadline <= self.now or made >= self.settings.max_attempts:
             del self._open[request]
-            return [self.face.Refuse(request)]
+            return [self.interface.Refuse(request)]
         self._open[request] = (cls, deadline, made + 1)
         server = self.pick(able)
         self.out[server] = self.out.get(server, 0) + 1
-        return [self.face.Send(request, server, deadline - self.now)]
+        return [self.interface.Send(request, server, deadline - self.now)]
 
     def _after(self, event: Any) -> list[Any]:
         known = self._open.get(event.request)
         if known is None:
             return []
-        repeatable = known[0].effect is self.face.Effect.REPEATABLE
-        if event.outcome.name in NEVER_RAN:
+        repeatable = known[0].effect is self.interface.Effect.REPEATABLE
+        if event.outcome.name in NOT_EXECUTED:
             return self._send(event.request, event.server)
         del self._open[event.request]
-        return [self.face.Refuse(event.request) if repeatable else self.face.Fail(event.request)]
+        return [self.interface.Refuse(event.request) if repeatable else self.interface.Fail(event.request)]
 
 
 class Random(Baseline):
@@ -152,8 +152,8 @@
 
     late_ms = 0.0
 
-    def __init__(self, face: Any, settings: Any, seed: int, truth: Truth) -> None:
-        super().__init__(face, settings, seed, truth)
+    def __init__(self, interface: Any, settings: Any, seed: int, truth: Truth) -> None:
+        super().__init__(interface, settings, seed, truth)
         self._seen: dict[str, BoxState] = {}
         self._seen_at = -1e18
 
@@ -192,11 +192,11 @@
 }
 
 
-def _maker(kind: type[Baseline], face: Any) -> Callable[[Any, int, Truth], Baseline]:
-    return lambda settings, seed, truth: kind(face, settings, seed, truth)
+def _maker(kind: type[Baseline], interface: Any) -> Callable[[Any, int, Truth], Baseline]:
+    return lambda settings, seed, truth: kind(interface, settings, seed, truth)
 
 
 def baseline(name: str) -> Version:
     """A baseline by name, on the installed contract; KeyError if there is none of that name."""
-    face = installed().face
-    return Version(name, face, _maker(BASELINES[name], face))
+    interface = installed().interface
+    return Version(name, interface, _maker(BASELINES[name], interface))
--- a/mastturn/emulator/calls.py
+++ b/mastturn/emulator/calls.py
@@ -7,10 +7,10 @@
 from typing import Protocol
 
 from mastturn.emulator.day import ClassFigures
-from mastturn.emulator.machine import Balancing, Box
+from mastturn.emulator.machine import BalancerHandle, Box
 
 
-class Final(enum.Enum):
+class FinalOutcome(enum.Enum):
     """How a request ended for whoever asked."""
 
     SERVED = "served"
@@ -20,7 +20,7 @@
     UNREACHED = "unreached"  # no balancer there
 
 
-class Cause(enum.Enum):
+class LossCause(enum.Enum):
     """Why an answer was not had."""
 
     ROOM = "refused for room"
@@ -43,10 +43,10 @@
     """Where an answer was lost: the tier that was being called, and why."""
 
     tier: int
-    cause: Cause
+    cause: LossCause
 
 
-class Stay(Protocol):
+class VisitState(Protocol):
     """An attempt's time in its box, as far as others ask."""
 
     answered: bool
@@ -57,12 +57,12 @@
 class Caller(Protocol):
     """Whoever asked a balancer."""
 
-    def take_answer(self, call: Call, final: Final, advice_ms: float) -> None:
+    def on_final_outcome(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
         """Take the final answer; `advice_ms`: how long to stay away after a refusal, 0 for no advice."""
 
 
 @dataclass(slots=True)
-class First:
+class ClientRequest:
     """A client's first try, with all its later ones: what the judge counts."""
 
     number: int
@@ -72,7 +72,7 @@
     brand: int
     zone: str
     work_ms: float  # of the whole request, on a yardstick core; a tier's call does its share of it
-    honours: bool
+    honours_retry_after: bool
     leaves_ms: float  # moment at which an impatient client leaves; inf for all others
     over_share: bool
     worth: float
@@ -88,13 +88,35 @@
 class Call:
     """One request at one balancer."""
 
-    __slots__ = ("attempts", "caller", "deadline_ms", "done", "first", "host", "loss", "number",
-                 "remaining_ms", "taken_ms", "useful_ms")  # fmt: skip
+    __slots__ = (
+        "attempts",
+        "balancer",
+        "caller",
+        "client_request",
+        "deadline_ms",
+        "done",
+        "loss",
+        "number",
+        "remaining_ms",
+        "taken_ms",
+        "useful_ms",
+    )  # fmt: skip
 
     def __init__(
-        self, number: int, first: First, host: Balancing, caller: Caller, remaining_ms: float, now: float
+        self,
+        number: int,
+        client_request: ClientRequest,
+        balancer: BalancerHandle,
+        caller: Caller,
+        remaining_ms: float,
+        now: float,
     ) -> None:
-        self.number, self.first, self.host, self.caller = number, first, host, caller
+        self.number, self.client_request, self.balancer, self.caller = (
+            number,
+            client_request,
+            balancer,
+            caller,
+        )
         self.remaining_ms, self.taken_ms = remaining_ms, now
         self.deadline_ms = now + remaining_ms
         self.attempts: list[Attempt] = []
@@ -115,22 +137,22 @@
         self.over = self.connected = self.handshake = self.arrived = False
         self.outcome = ""
         self.ended_ms = -1.0
-        self.visit: Stay | None = None
+        self.visit: VisitState | None = None
 
 
-def whereabouts(attempt: Attempt, cut: bool) -> Loss:
+def locate_loss(attempt: Attempt, cut: bool) -> Loss:
     """Where an attempt hangs that has had no answer: at its box, or at one that its box has called."""
     visit, box = attempt.visit, attempt.box
     if cut or box.silent or box.epoch != attempt.box_epoch:
-        return Loss(box.number, Cause.SILENT)
+        return Loss(box.number, LossCause.SILENT)
     if visit is None or visit.answered:
-        return Loss(box.number, Cause.ON_THE_WAY)
+        return Loss(box.number, LossCause.ON_THE_WAY)
     if visit.waits:
-        return Loss(box.number, Cause.QUEUED)
+        return Loss(box.number, LossCause.QUEUED)
     inner = visit.call
     if inner is not None and not inner.done:
         out = next((a for a in inner.attempts if not a.over), None)
         if out is not None:
-            return whereabouts(out, out.call.host.is_cut_from(out.box))
-        return inner.loss or Loss(box.number + 1, Cause.ROOM)
-    return Loss(box.number, Cause.WORKING)
+            return locate_loss(out, out.call.balancer.is_cut_from(out.box))
+        return inner.loss or Loss(box.number + 1, LossCause.ROOM)
+    return Loss(box.number, LossCause.WORKING)
--- a/mastturn/emulator/choke.py
+++ b/mastturn/emulator/choke.py
@@ -14,13 +14,13 @@
         self._figures = figures
         self._crowded_since = self._idle_since = math.inf
         self._choked_at = -math.inf
-        self.is_choked = self.ever = False
+        self.is_choked = self.was_choked = False
 
     def factor(self) -> float:
         """How many times slower the machine is."""
         return self._figures.slower if self._figures is not None and self.is_choked else 1.0
 
-    def follow(self, running: int, cores: int, now: float) -> bool:
+    def update(self, running: int, cores: int, now: float) -> bool:
         """Take over how many requests want the cores; whether the state has changed."""
         figures = self._figures
         if figures is None:
@@ -35,7 +35,7 @@
         crowded = running - cores >= figures.waiting_per_core * cores
         self._crowded_since = min(self._crowded_since, now) if crowded else math.inf
         if now - self._crowded_since >= figures.over_ms:
-            self.is_choked = self.ever = True
+            self.is_choked = self.was_choked = True
             self._choked_at, self._idle_since = now, math.inf
             return True
         return False
--- a/mastturn/emulator/clients.py
+++ b/mastturn/emulator/clients.py
@@ -13,19 +13,19 @@
 
 import numpy as np
 
-from mastturn.emulator.calls import Call, Cause, Final, First, Loss
+from mastturn.emulator.calls import Call, ClientRequest, FinalOutcome, Loss, LossCause
 from mastturn.emulator.chance import Stream, generator
 from mastturn.emulator.day import Day
 from mastturn.emulator.events import START_MS, Events
 from mastturn.emulator.front import Front
 from mastturn.emulator.judge import Judge, is_served
 from mastturn.emulator.network import Network
-from mastturn.emulator.watch import Watch
+from mastturn.emulator.watch import Trace
 
 TENANT_BURST_MS = 2_000.0  # of its rate, that a tenant may use at once before it counts as over its share
 UNREACHED_MS = 1.0  # until a client knows that its connection was refused
 BURST_STEPS_MS = (3_000.0, 8_000.0)  # how long a bursty day keeps one rate
-LEAST_TRY_MS = 20.0  # a client with less time than this does not try again
+MIN_RETRY_MS = 20.0  # a client with less time than this does not try again
 
 
 class RateWindow:
@@ -35,7 +35,7 @@
         self.start_ms, self.end_ms, self.factor, self.zone = start_ms, end_ms, factor, zone
 
 
-class Around(Protocol):
+class ClientEnvironment(Protocol):
     """What clients need of the world."""
 
     day: Day
@@ -43,7 +43,7 @@
     front: Front
     judge: Judge
     network: Network
-    watch: Watch | None
+    watch: Trace | None
 
     def next_number(self) -> int:
         """A number for a request."""
@@ -52,7 +52,7 @@
 class Clients:
     """All clients of a day."""
 
-    def __init__(self, world: Around, windows: list[RateWindow]) -> None:
+    def __init__(self, world: ClientEnvironment, windows: list[RateWindow]) -> None:
         self._world = world
         self._chance = Stream(world.day.seed, "clients")
         self._firsts = draw_arrivals(world.day, windows)
@@ -65,79 +65,81 @@
             self._world.events.at(self._firsts[0].arrived_ms, self._arrive)
 
     def _arrive(self, _: None) -> None:
-        first = self._firsts[self._next]
+        client_request = self._firsts[self._next]
         self._next += 1
         if self._next < len(self._firsts):
             self._world.events.at(self._firsts[self._next].arrived_ms, self._arrive)
-        self._world.judge.firsts.append(first)
+        self._world.judge.client_requests.append(client_request)
         if self.leave_share and self._chance.uniform() < self.leave_share:
-            first.leaves_ms = first.arrived_ms + first.cls.aim_ms * self._chance.between(0.1, 0.9)
-        self._try(first)
+            client_request.leaves_ms = (
+                client_request.arrived_ms + client_request.cls.aim_ms * self._chance.between(0.1, 0.9)
+            )
+        self._try(client_request)
 
-    def _try(self, first: First) -> None:
+    def _try(self, client_request: ClientRequest) -> None:
         world = self._world
         now = world.events.now
-        first.tries += 1
-        left = first.arrived_ms + first.cls.deadline_ms - now
-        remaining = min(world.day.clients.try_share * first.cls.deadline_ms, left)
-        host = world.front.pick(first.zone)
-        if host is None or (not host.alive):
-            first.loss = Loss(0, Cause.BALANCER_DIED)
+        client_request.tries += 1
+        left = client_request.arrived_ms + client_request.cls.deadline_ms - now
+        remaining = min(world.day.clients.try_share * client_request.cls.deadline_ms, left)
+        balancer = world.front.pick(client_request.zone)
+        if balancer is None or (not balancer.alive):
+            client_request.loss = Loss(0, LossCause.BALANCER_DIED)
             world.judge.counts["unreached by clients"] += 1
-            world.events.after(UNREACHED_MS, self._heard, (first, Final.UNREACHED, 0.0))
+            world.events.after(UNREACHED_MS, self._on_response, (client_request, FinalOutcome.UNREACHED, 0.0))
             return
-        call = Call(world.next_number(), first, host, self, remaining, now)
-        world.events.after(world.network.client_delay_ms(), host.take, call)
-        if first.leaves_ms < now + remaining:
-            world.events.at(first.leaves_ms, self._leave, call)
+        call = Call(world.next_number(), client_request, balancer, self, remaining, now)
+        world.events.after(world.network.client_delay_ms(), balancer.on_request, call)
+        if client_request.leaves_ms < now + remaining:
+            world.events.at(client_request.leaves_ms, self._leave, call)
 
     def _leave(self, call: Call) -> None:
         if not call.done:
-            call.first.ended_ms = self._world.events.now
-            call.first.loss = Loss(0, Cause.LEFT)
-            call.host.client_left(call)
+            call.client_request.ended_ms = self._world.events.now
+            call.client_request.loss = Loss(0, LossCause.LEFT)
+            call.balancer.on_client_left(call)
 
-    def take_answer(self, call: Call, final: Final, advice_ms: float) -> None:
+    def on_final_outcome(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
         """A balancer's answer is on its way to the client."""
-        first = call.first
-        if first.loss is not None and first.loss.cause is Cause.LEFT:
+        client_request = call.client_request
+        if client_request.loss is not None and client_request.loss.cause is LossCause.LEFT:
             return
-        if final is Final.SERVED:
-            first.useful_ms = call.useful_ms
+        if final is FinalOutcome.SERVED:
+            client_request.useful_ms = call.useful_ms
         else:
-            first.loss = call.loss
+            client_request.loss = call.loss
         self._world.events.after(
-            self._world.network.client_delay_ms(), self._heard, (first, final, advice_ms)
+            self._world.network.client_delay_ms(), self._on_response, (client_request, final, retry_after_ms)
         )
 
-    def _heard(self, answer: tuple[First, Final, float]) -> None:
-        first, final, advice_ms = answer
+    def _on_response(self, answer: tuple[ClientRequest, FinalOutcome, float]) -> None:
+        client_request, final, retry_after_ms = answer
         world = self._world
         now = world.events.now
         if world.watch is not None:
-            world.watch.line(now, first, "client", "", f"try {first.tries} {final.value}")
-        first.ended_ms = now
-        if final is Final.SERVED:
-            first.served_ms = now
-            if not is_served(first):
-                first.loss = Loss(0, Cause.ON_THE_WAY)
+            world.watch.line(now, client_request, "client", "", f"try {client_request.tries} {final.value}")
+        client_request.ended_ms = now
+        if final is FinalOutcome.SERVED:
+            client_request.served_ms = now
+            if not is_served(client_request):
+                client_request.loss = Loss(0, LossCause.ON_THE_WAY)
             return
         figures = world.day.clients
-        harmless = final in (Final.REFUSED, Final.UNREACHED) or not first.cls.once
-        if not harmless or first.tries > figures.retries:
+        harmless = final in (FinalOutcome.REFUSED, FinalOutcome.UNREACHED) or not client_request.cls.once
+        if not harmless or client_request.tries > figures.retries:
             return
         wait = figures.backoff_ms
-        if final is Final.REFUSED and first.honours:
-            wait = max(wait, min(advice_ms, figures.max_retry_after_ms))
-        if now + wait < first.arrived_ms + first.cls.deadline_ms - LEAST_TRY_MS:
+        if final is FinalOutcome.REFUSED and client_request.honours_retry_after:
+            wait = max(wait, min(retry_after_ms, figures.max_retry_after_ms))
+        if now + wait < client_request.arrived_ms + client_request.cls.deadline_ms - MIN_RETRY_MS:
             world.judge.counts["later tries"] += 1
-            world.events.after(wait, self._try, first)
+            world.events.after(wait, self._try, client_request)
 
 
 # ---- what is drawn ahead ---------------------------------------------------------------------------
 
 
-def draw_arrivals(day: Day, windows: list[RateWindow]) -> list[First]:
+def draw_arrivals(day: Day, windows: list[RateWindow]) -> list[ClientRequest]:
     """All first tries of a day, in order; each figure has random numbers of its own."""
     seed, length = day.seed, day.fleet.length_ms
     times, zones = _times(day, windows, generator(seed, "arrivals"))
@@ -145,22 +147,22 @@
     classes = generator(seed, "classes").choice(len(day.classes), count, p=[c.portion for c in day.classes])
     brands = generator(seed, "brands").choice(len(day.brands), count, p=[b.sent_share for b in day.brands])
     works = _works(day, classes, generator(seed, "work"))
-    honours = generator(seed, "honours").random(count) < day.clients.honour_share
+    honours_retry_after = generator(seed, "honours").random(count) < day.clients.honour_share
     leaving = generator(seed, "leaving")
     leaves = leaving.random(count) < day.clients.impatient_share
     patience = leaving.uniform(0.1, 0.9, count)
     means = np.array([tier.calls for tier in day.tiers[1:]])  # each drawn as a whole number beside its mean
     calls = np.maximum(1, np.floor(means + generator(seed, "calls").random((count, len(means)))))
     over = _over_share(times, brands, [b.quota_per_s for b in day.brands])
-    firsts = []
+    client_requests = []
     for i in range(count):
         cls = day.classes[int(classes[i])]
         arrived = START_MS + float(times[i])
         worth = cls.worth * float(works[i]) / cls.work_ms
         if over[i]:
             worth *= day.clients.over_share_worth
-        firsts.append(
-            First(
+        client_requests.append(
+            ClientRequest(
                 number=i,
                 arrived_ms=arrived,
                 cls=cls,
@@ -168,15 +170,15 @@
                 brand=int(brands[i]),
                 zone=day.network.zones[int(zones[i])],
                 work_ms=float(works[i]),
-                honours=bool(honours[i]),
+                honours_retry_after=bool(honours_retry_after[i]),
                 leaves_ms=arrived + cls.aim_ms * float(patience[i]) if leaves[i] else math.inf,
                 over_share=bool(over[i]),
                 worth=worth,
                 calls=tuple(int(n) for n in calls[i]),
             )
         )
-    assert not firsts or firsts[-1].arrived_ms <= START_MS + length
-    return firsts
+    assert not client_requests or client_requests[-1].arrived_ms <= START_MS + length
+    return client_requests
 
 
 def _times(day: Day, windows: list[RateWindow], chance: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
--- a/mastturn/emulator/cold.py
+++ b/mastturn/emulator/cold.py
@@ -29,18 +29,21 @@
     level: float = 0.0
     seen_ms: float = 0.0
     total: float = 0.0
-    by_told: float = 0.0
+    informed_work: float = 0.0
 
-    def sent(self, work_ms: float, sender_told: bool, power: float, now: float) -> bool:
+    def add_work(self, work_ms: float, sender_told: bool, power: float, now: float) -> bool:
         """Book work that has reached it; whether it falls over. `power`: work it can do a millisecond."""
         drained = (now - self.seen_ms) * self.multiple * power
         kept = max(0.0, 1.0 - drained / self.level) if self.level > 0 else 0.0
         # What drains away leaves in the proportions in which it came.
-        self.total, self.by_told = self.total * kept + work_ms, self.by_told * kept + work_ms * sender_told
+        self.total, self.informed_work = (
+            self.total * kept + work_ms,
+            self.informed_work * kept + work_ms * sender_told,
+        )
         self.level = max(0.0, self.level - drained) + work_ms
         self.seen_ms = now
         return self.level > SLACK * self.multiple * power * self.window_ms
 
-    def by_told_share(self) -> float:
+    def informed_share(self) -> float:
         """The part of the work at hand that came from balancers which had been told of its start."""
-        return self.by_told / self.total if self.total else 0.0
+        return self.informed_work / self.total if self.total else 0.0
--- a/mastturn/emulator/contract.py
+++ b/mastturn/emulator/contract.py
@@ -18,10 +18,10 @@
 from mastturn.emulator.reports import LoadReport
 
 PACKAGE = "umberworks"
-MOST_ACTIONS = 2_000  # for one event; more is a flood (WIRE, "Error conditions")
+MAX_ACTIONS = 2_000  # for one event; more is a flood (WIRE, "Error conditions")
 
 
-class Fault(Exception):
+class ContractViolation(Exception):
     """The module broke its contract: it raised, flooded or named what does not exist."""
 
 
@@ -50,15 +50,15 @@
     """A module: what to call it, its contract, and how an instance is made."""
 
     name: str
-    face: Any
+    interface: Any
     make: Callable[[Any, int, Truth], Decider]
 
     def settings(self, day: Day, tier: int, balancers: int) -> Any:
         """What an instance is told at its start (WIRE, `up`; DEPLOY, `settings`)."""
-        face, rules = self.face, day.site.rules
+        interface, rules = self.interface, day.site.rules
         figures = {
             "classes": tuple(self._class(c) for c in day.classes),
-            "tenants": tuple(face.Tenant(b.name, b.quota_per_s) for b in day.brands),
+            "tenants": tuple(interface.Tenant(b.name, b.quota_per_s) for b in day.brands),
             "balancers": balancers,
             "calling_tier": tier,
             "list_is_asked": True,  # discovery tells nothing unasked on sockets (PROTOCOL, "Discovery")
@@ -74,39 +74,39 @@
             "cold_window_ms": rules.fall_ms,
             "tick_ms": 5.0,
         }
-        known = {f.name for f in fields(face.Settings)}
-        return face.Settings(**{name: value for name, value in figures.items() if name in known})
+        known = {f.name for f in fields(interface.Settings)}
+        return interface.Settings(**{name: value for name, value in figures.items() if name in known})
 
     def _class(self, cls: Any) -> Any:
-        effect = self.face.Effect.ONCE if cls.once else self.face.Effect.REPEATABLE
-        return self.face.RequestClass(cls.name, cls.aim_ms, cls.deadline_ms, effect, worth=cls.worth)
+        effect = self.interface.Effect.ONCE if cls.once else self.interface.Effect.REPEATABLE
+        return self.interface.RequestClass(cls.name, cls.aim_ms, cls.deadline_ms, effect, worth=cls.worth)
 
     def attempt_ended(self, *figures: Any, report: LoadReport | None) -> Any:
         """The event that ends an attempt, with its load report where this version can take one."""
-        event = self.face.AttemptEnded
+        event = self.interface.AttemptEnded
         if report is not None and "report" in event.__dataclass_fields__:
-            told = self.face.LoadReport(latency_ms=report.latency_ms, util=report.util)
-            return event(*figures, report=told)
+            load_report = self.interface.LoadReport(latency_ms=report.latency_ms, util=report.util)
+            return event(*figures, report=load_report)
         return event(*figures)
 
 
 def load(folder: Path, name: str) -> Version:
     """Load the module that lies in `folder`; the process's own one, if any, stays as it is."""
-    aside = {key: sys.modules.pop(key) for key in list(sys.modules) if _is_ours(key)}
+    aside = {key: sys.modules.pop(key) for key in list(sys.modules) if _is_package_module(key)}
     sys.path.insert(0, str(folder))
     importlib.invalidate_caches()
     try:
-        face = importlib.import_module(f"{PACKAGE}.interface")
+        interface = importlib.import_module(f"{PACKAGE}.interface")
         rules = importlib.import_module(f"{PACKAGE}.rules")
-        where = Path(str(face.__file__)).resolve().parent.parent
+        where = Path(str(interface.__file__)).resolve().parent.parent
         if where != folder.resolve():
             raise ImportError(f"{folder}: holds no {PACKAGE}")
     finally:
         sys.path.remove(str(folder))
-        for key in [key for key in sys.modules if _is_ours(key)]:
+        for key in [key for key in sys.modules if _is_package_module(key)]:
             del sys.modules[key]
         sys.modules.update(aside)
-    return Version(name, face, lambda settings, seed, truth: rules.Balancer(settings, seed))
+    return Version(name, interface, lambda settings, seed, truth: rules.Balancer(settings, seed))
 
 
 def installed() -> Version:
@@ -115,5 +115,5 @@
     return load(Path(str(package.__file__)).resolve().parent.parent, "module")
 
 
-def _is_ours(name: str) -> bool:
+def _is_package_module(name: str) -> bool:
     return name == PACKAGE or name.startswith(PACKAGE + ".")
--- a/mastturn/emulator/day.py
+++ b/mastturn/emulator/day.py
@@ -14,7 +14,7 @@
 from mastturn.emulator.chance import Stream
 from mastturn.emulator.site import Clients, Discovery, Kind, Network, Range, RequestKind, Site, Tier, span
 
-_One = Callable[[Range], float]  # draws one figure from a range
+_Sampler = Callable[[Range], float]  # draws one figure from a range
 CELL_SIZE = 4  # machines of one cell (site file, `cell_size` 3 to 5)
 
 
@@ -175,27 +175,27 @@
     """Draw a day; each part has random numbers of its own."""
     day = Stream(seed, "day")
 
-    def one(value: Range) -> float:
+    def sample(value: Range) -> float:
         low, high = span(value)
         return day.between(low, high)
 
     def ms(value: Range) -> float:
-        return one(value) * 1000
+        return sample(value) * 1000
 
-    classes = _classes(site, fleet, one)
-    tiers = tuple(_tier(tier, one, day) for tier in site.tiers)
+    classes = _classes(site, fleet, sample)
+    tiers = tuple(_tier(tier, sample, day) for tier in site.tiers)
     zones = site.network.zones[: max(1, min(len(site.network.zones), fleet.balancers_front))]
     machines = tuple(
-        _machines(site.tiers[number], number, _count(site, number, fleet, one), zones, seed)
+        _machines(site.tiers[number], number, _count(site, number, fleet, sample), zones, seed)
         for number in range(len(site.tiers))
     )
     capacity = _capacity_per_s(machines, tiers, classes)
-    skew = one(site.clients.zone_skew)
+    skew = sample(site.clients.zone_skew)
     weights = tuple(1.0 + skew * (2 * day.uniform() - 1) for _ in zones)
     at_once = day.uniform() < site.clients.at_once_share
     clients = site.clients
-    quota = one(clients.quota_share) * capacity
-    usage = [brand.portion * one(brand.usage) for brand in site.brands]
+    quota = sample(clients.quota_share) * capacity
+    usage = [brand.portion * sample(brand.usage) for brand in site.brands]
     return Day(
         seed=seed,
         site=site,
@@ -207,48 +207,48 @@
             BrandFigures(b.name, u / sum(usage), quota * b.portion)
             for b, u in zip(site.brands, usage, strict=True)
         ),
-        clients=_client_figures(clients, at_once, one, day),
-        network=_network_figures(site.network, zones, one),
-        discovery=_discovery_figures(site.discovery, one),
+        clients=_client_figures(clients, at_once, sample, day),
+        network=_network_figures(site.network, zones, sample),
+        discovery=_discovery_figures(site.discovery, sample),
         passes_deadline=day.uniform() < site.passes_deadline_share,
         zone_weights=tuple(w / sum(weights) for w in weights),
         requests_per_s=fleet.load_share * capacity,
     )
 
 
-def _client_figures(clients: Clients, at_once: bool, one: _One, day: Stream) -> ClientFigures:
+def _client_figures(clients: Clients, at_once: bool, sample: _Sampler, day: Stream) -> ClientFigures:
     return ClientFigures(
-        retries=round(one(clients.retries)),
-        try_share=one(clients.try_share),
-        backoff_ms=0.0 if at_once else one(clients.backoff_ms),
-        honour_share=one(clients.honour_share),
-        impatient_share=one(clients.impatient_share),
+        retries=round(sample(clients.retries)),
+        try_share=sample(clients.try_share),
+        backoff_ms=0.0 if at_once else sample(clients.backoff_ms),
+        honour_share=sample(clients.honour_share),
+        impatient_share=sample(clients.impatient_share),
         max_retry_after_ms=clients.max_retry_after_ms,
-        swing=one(clients.swing_share),
+        swing=sample(clients.swing_share),
         period_ms=day.between(15_000, 40_000),
         bursty=day.uniform() < 0.5,
         over_share_worth=clients.over_share_worth,
     )
 
 
-def _network_figures(network: Network, zones: tuple[str, ...], one: _One) -> NetworkFigures:
+def _network_figures(network: Network, zones: tuple[str, ...], sample: _Sampler) -> NetworkFigures:
     return NetworkFigures(
         zones,
-        one(network.same_zone_ms),
-        one(network.cross_zone_ms),
-        one(network.client_ms),
-        one(network.jitter_share),
+        sample(network.same_zone_ms),
+        sample(network.cross_zone_ms),
+        sample(network.client_ms),
+        sample(network.jitter_share),
         _span_ms(network.front_notice_s),
     )
 
 
-def _discovery_figures(discovery: Discovery, one: _One) -> DiscoveryFigures:
+def _discovery_figures(discovery: Discovery, sample: _Sampler) -> DiscoveryFigures:
     return DiscoveryFigures(
         _span_ms(discovery.notice_s),
         _span_ms(discovery.silent_notice_s),
         _span_ms(discovery.add_s),
-        one(discovery.period_ms),
-        one(discovery.spread_ms),
+        sample(discovery.period_ms),
+        sample(discovery.spread_ms),
         discovery.watch_ms,
         discovery.told_within_ms,
     )
@@ -259,23 +259,23 @@
     return low * 1000, high * 1000
 
 
-def _classes(site: Site, fleet: Fleet, one: _One) -> tuple[ClassFigures, ...]:
-    portions = [one(cls.portion) for cls in site.classes]
+def _classes(site: Site, fleet: Fleet, sample: _Sampler) -> tuple[ClassFigures, ...]:
+    portions = [sample(cls.portion) for cls in site.classes]
     return tuple(
-        _class(cls, portion / sum(portions), fleet.stretch, one)
+        _class(cls, portion / sum(portions), fleet.stretch, sample)
         for cls, portion in zip(site.classes, portions, strict=True)
     )
 
 
-def _class(cls: RequestKind, portion: float, stretch: float, one: _One) -> ClassFigures:
+def _class(cls: RequestKind, portion: float, stretch: float, sample: _Sampler) -> ClassFigures:
     return ClassFigures(
         cls.name,
         portion,
-        one(cls.work_ms) * stretch,
-        one(cls.wait_ms) * stretch,
+        sample(cls.work_ms) * stretch,
+        sample(cls.wait_ms) * stretch,
         cls.spread,
-        one(cls.variation),
-        one(cls.attempt_noise),
+        sample(cls.variation),
+        sample(cls.attempt_noise),
         cls.aim_ms * stretch,
         cls.deadline_ms * stretch,
         cls.worth,
@@ -283,36 +283,38 @@
     )
 
 
-def _tier(tier: Tier, one: _One, day: Stream) -> TierFigures:
+def _tier(tier: Tier, sample: _Sampler, day: Stream) -> TierFigures:
     choke = tier.choke
     figures = ChokeFigures(
-        one(choke.waiting_per_core),
-        one(choke.over_s) * 1000,
-        one(choke.slower),
-        one(choke.rest_s) * 1000,
-        one(choke.below_share),
-        one(choke.most_s) * 1000,
+        sample(choke.waiting_per_core),
+        sample(choke.over_s) * 1000,
+        sample(choke.slower),
+        sample(choke.rest_s) * 1000,
+        sample(choke.below_share),
+        sample(choke.most_s) * 1000,
         choke.price,
     )
     return TierFigures(
         tier.name,
         tier.work_share,
-        one(tier.calls),
-        one(tier.report.every_ms),
-        one(tier.report.delay_ms),
-        one(tier.report.noise_share),
-        one(tier.connections.handshake_round_trips),
-        one(tier.connections.handshake_us) / 1000,
+        sample(tier.calls),
+        sample(tier.report.every_ms),
+        sample(tier.report.delay_ms),
+        sample(tier.report.noise_share),
+        sample(tier.connections.handshake_round_trips),
+        sample(tier.connections.handshake_us) / 1000,
         tier.connections.idle_s * 1000,
         tier.connections.connect_timeout_ms,
-        one(tier.connections.full_tax_share),
+        sample(tier.connections.full_tax_share),
         figures if day.uniform() < choke.day_share else None,
     )
 
 
-def _count(site: Site, tier: int, fleet: Fleet, one: _One) -> int:
+def _count(site: Site, tier: int, fleet: Fleet, sample: _Sampler) -> int:
     """How many machines a tier has; the ratio is drawn for each."""
-    return max(1, round(fleet.machines_front * (one(site.tiers[tier].machines_per_first) if tier else 1.0)))
+    return max(
+        1, round(fleet.machines_front * (sample(site.tiers[tier].machines_per_first) if tier else 1.0))
+    )
 
 
 def _machines(tier: Tier, number: int, count: int, zones: tuple[str, ...], seed: int) -> tuple[Machine, ...]:
@@ -334,16 +336,16 @@
     """One kind's own draw of its ranges."""
 
     def __init__(self, kind: Kind, stream: Stream) -> None:
-        def one(value: Range) -> float:
+        def sample(value: Range) -> float:
             return stream.between(*span(value))
 
         self.kind = kind
-        self.speed, self.spread = one(kind.speed), one(kind.speed_spread)
-        self.slots, self.queue = one(kind.slots_per_core), one(kind.queue_per_core)
-        self.thrash, self.thrash_at = one(kind.thrash), one(kind.thrash_at)
-        self.cold_from, self.cold_ms = one(kind.cold_from_share), one(kind.cold_s) * 1000
-        self.pause_every_ms, self.pause_ms = one(kind.pause_every_s) * 1000, one(kind.pause_ms)
-        self.error_share = one(kind.error_share)
+        self.speed, self.spread = sample(kind.speed), sample(kind.speed_spread)
+        self.slots, self.queue = sample(kind.slots_per_core), sample(kind.queue_per_core)
+        self.thrash, self.thrash_at = sample(kind.thrash), sample(kind.thrash_at)
+        self.cold_from, self.cold_ms = sample(kind.cold_from_share), sample(kind.cold_s) * 1000
+        self.pause_every_ms, self.pause_ms = sample(kind.pause_every_s) * 1000, sample(kind.pause_ms)
+        self.error_share = sample(kind.error_share)
 
     def machine(
         self, name: str, tier: int, i: int, zones: tuple[str, ...], cap: float, stream: Stream
--- a/mastturn/emulator/discovery.py
+++ b/mastturn/emulator/discovery.py
@@ -49,24 +49,24 @@
         self._figures, self._events, self._chance = figures, events, chance
         self.entries: dict[str, Entry] = {}
         self._order: dict[str, int] = {}  # of the latest news of each server: news may be noticed out of turn
-        self._news = 0
+        self._change_count = 0
         self._changed: dict[str, Entry] = {}
         self._planned = False
         self.agents: list[Agent] = []
         self.silent_until = -math.inf
         self.added_delay_ms = 0.0
 
-    def list_at_start(self, entries: list[Entry]) -> None:
+    def set_initial_entries(self, entries: list[Entry]) -> None:
         """Everything that runs when the day begins."""
         self.entries = {entry.server: entry for entry in entries}
 
-    def tell(self, entry: Entry, wait_ms: tuple[float, float]) -> None:
+    def report_change(self, entry: Entry, wait_ms: tuple[float, float]) -> None:
         """Something has happened; discovery notices it after a wait drawn from this range."""
-        self._news += 1
+        self._change_count += 1
         wait = self._chance.between(*wait_ms) + self.added_delay_ms
-        self._events.after(wait, self._noticed, (self._news, entry))
+        self._events.after(wait, self._on_noticed, (self._change_count, entry))
 
-    def _noticed(self, news: tuple[int, Entry]) -> None:
+    def _on_noticed(self, news: tuple[int, Entry]) -> None:
         number, entry = news
         if number < self._order.get(entry.server, 0):
             return
@@ -89,18 +89,18 @@
         for agent in self.agents:
             agent.push(changed, self._chance.uniform() * self._figures.spread_ms)
 
-    def fall_silent(self, until_ms: float) -> None:
+    def go_silent(self, until_ms: float) -> None:
         """Answer nobody until then; open watches fail when their wait is over."""
         self.silent_until = max(self.silent_until, until_ms)
         for agent in self.agents:
-            agent.lose_watch(self._chance.uniform() * self._figures.watch_ms + LATE_MS)
+            agent.fail_watch(self._chance.uniform() * self._figures.watch_ms + LATE_MS)
 
     @property
     def watch_ms(self) -> float:
         """How long a call waits for news."""
         return self._figures.watch_ms
 
-    def told_at_latest(self, entry: Entry) -> float:
+    def known_at_latest_ms(self, entry: Entry) -> float:
         """The moment from which an entry counts as told."""
         return entry.published_ms + self._figures.told_within_ms
 
@@ -108,23 +108,23 @@
 class Listener(Protocol):
     """The balancer that an agent passes the list on to."""
 
-    def listed(self, entries: tuple[Entry, ...], gone: tuple[Entry, ...], whole: bool) -> None:
+    def on_list_update(self, entries: tuple[Entry, ...], gone: tuple[Entry, ...], whole: bool) -> None:
         """News of the list; what is missing from a whole list is gone."""
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         """A call for the list has failed."""
 
 
 class Agent:
     """What stands beside one balancer and passes the list on."""
 
-    def __init__(self, registry: Registry, host: Listener, events: Events) -> None:
-        self._registry, self._host, self._events = registry, host, events
+    def __init__(self, registry: Registry, balancer: Listener, events: Events) -> None:
+        self._registry, self._balancer, self._events = registry, balancer, events
         self._subscribed = False
         self._life = 0  # of the balancer: what was on its way to one that has died is gone
         registry.agents.append(self)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """The balancer is a new process."""
         self._life += 1
         self._subscribed = False
@@ -140,12 +140,12 @@
             return
         if self._events.now < self._registry.silent_until:
             self._subscribed = False
-            self._host.list_failed()
+            self._balancer.on_list_failed()
             return
         self._subscribed = True
         entries = tuple(e for e in self._registry.entries.values() if e.phase is not Phase.GONE)
         gone = tuple(e for e in self._registry.entries.values() if e.phase is Phase.GONE)
-        self._host.listed(entries, gone, whole=True)
+        self._balancer.on_list_update(entries, gone, whole=True)
 
     def push(self, changed: tuple[Entry, ...], wait_ms: float) -> None:
         """News for a balancer that watches."""
@@ -155,9 +155,9 @@
     def _deliver(self, news: tuple[int, tuple[Entry, ...]]) -> None:
         life, changed = news
         if life == self._life and self._subscribed:
-            self._host.listed(changed, (), whole=False)
+            self._balancer.on_list_update(changed, (), whole=False)
 
-    def lose_watch(self, wait_ms: float) -> None:
+    def fail_watch(self, wait_ms: float) -> None:
         """Discovery has fallen silent: the open watch fails unless it is back by then."""
         if self._subscribed:
             self._events.after(wait_ms, self._watch_failed, self._life)
@@ -165,4 +165,4 @@
     def _watch_failed(self, life: int) -> None:
         if life == self._life and self._subscribed and self._events.now < self._registry.silent_until:
             self._subscribed = False
-            self._host.list_failed()
+            self._balancer.on_list_failed()
--- a/mastturn/emulator/events.py
+++ b/mastturn/emulator/events.py
@@ -19,22 +19,22 @@
     def __init__(self) -> None:
         self.now = START_MS
         self.handled = 0
-        self._due: list[tuple[float, int, Callable[[Any], None], Any]] = []
-        self._asked = 0
+        self._queue: list[tuple[float, int, Callable[[Any], None], Any]] = []
+        self._sequence = 0
 
     def at(self, when_ms: float, action: Callable[[Any], None], subject: Any = None) -> None:
         """Do `action(subject)` at a moment; one that is past happens next."""
-        self._asked += 1
-        heappush(self._due, (when_ms, self._asked, action, subject))
+        self._sequence += 1
+        heappush(self._queue, (when_ms, self._sequence, action, subject))
 
     def after(self, wait_ms: float, action: Callable[[Any], None], subject: Any = None) -> None:
         """Do `action(subject)` after a wait."""
-        self._asked += 1
-        heappush(self._due, (self.now + wait_ms, self._asked, action, subject))
+        self._sequence += 1
+        heappush(self._queue, (self.now + wait_ms, self._sequence, action, subject))
 
     def run(self, until_ms: float) -> None:
         """Let everything happen that is due before `until_ms`, and end there."""
-        due = self._due
+        due = self._queue
         handled = 0
         while due and due[0][0] < until_ms:
             when, _, action, subject = heappop(due)
--- a/mastturn/emulator/host.py
+++ b/mastturn/emulator/host.py
@@ -11,9 +11,9 @@
 import math
 from typing import Any, Protocol
 
-from mastturn.emulator.attempts import Attempts, may_have_run
-from mastturn.emulator.calls import Attempt, Call, Cause, Final, Loss
-from mastturn.emulator.contract import MOST_ACTIONS, BoxState, Decider, Fault, Version
+from mastturn.emulator.attempts import Attempts, may_have_executed
+from mastturn.emulator.calls import Attempt, Call, FinalOutcome, Loss, LossCause
+from mastturn.emulator.contract import MAX_ACTIONS, BoxState, ContractViolation, Decider, Version
 from mastturn.emulator.day import Day
 from mastturn.emulator.discovery import Agent, Entry, Phase, Registry
 from mastturn.emulator.events import Events
@@ -21,13 +21,13 @@
 from mastturn.emulator.machine import Box
 from mastturn.emulator.network import Network
 from mastturn.emulator.reports import LoadReport
-from mastturn.emulator.told import ToldList
-from mastturn.emulator.watch import Watch
+from mastturn.emulator.told import KnownServers
+from mastturn.emulator.watch import Trace
 
 SWEEP_MS = 1_000.0  # how often idle connections are looked at
 
 
-class Around(Protocol):
+class BalancerEnvironment(Protocol):
     """What a balancer's process needs of the world."""
 
     day: Day
@@ -35,7 +35,7 @@
     judge: Judge
     network: Network
     version: Version
-    watch: Watch | None
+    watch: Trace | None
     boxes: dict[str, Box]
 
     def settings(self, tier: int) -> Any:
@@ -50,17 +50,19 @@
     def truth(self, server: str) -> BoxState:
         """The true state of a box."""
 
-    def box_receives(self, attempt: Attempt) -> bool:
+    def deliver_request(self, attempt: Attempt) -> bool:
         """A request's last byte is at its box; whether it is turned away."""
 
     def reset_wait_ms(self) -> float:
         """How long a request is under way before its connection breaks."""
 
 
-class Host:
+class Balancer:
     """One balancer, over all the processes that it has had."""
 
-    def __init__(self, world: Around, tier: int, number: int, zone: str, registry: Registry) -> None:
+    def __init__(
+        self, world: BalancerEnvironment, tier: int, number: int, zone: str, registry: Registry
+    ) -> None:
         self.world, self.tier, self.number, self.zone = world, tier, number, zone
         self.name = f"{world.day.tiers[tier].name}-balancer-{number}"
         self.registry = registry
@@ -69,21 +71,21 @@
         self.life = 0
         self.calls: dict[int, Call] = {}
         self._module: Decider | None = None
-        self.told = ToldList(registry)
-        face = world.version.face
-        self._face = face
-        self.attempts = Attempts(self, world.day.tiers[tier].idle_ms, face)
+        self.known_servers = KnownServers(registry)
+        interface = world.version.interface
+        self._interface = interface
+        self.attempts = Attempts(self, world.day.tiers[tier].idle_ms, interface)
         self._do = {
-            face.Send: self.attempts.send,
-            face.SetTimer: self._set_timer,
-            face.Refuse: self._refuse,
-            face.Fail: self._fail,
-            face.Cancel: self.attempts.cancel,
-            face.Subscribe: self._subscribe,
-            face.Log: self._log,
+            interface.Send: self.attempts.send,
+            interface.SetTimer: self._set_timer,
+            interface.Refuse: self._refuse,
+            interface.Fail: self._fail,
+            interface.Cancel: self.attempts.cancel,
+            interface.Subscribe: self._subscribe,
+            interface.Log: self._log,
         }
-        if hasattr(face, "Probe"):
-            self._do[face.Probe] = self.attempts.probe
+        if hasattr(interface, "Probe"):
+            self._do[interface.Probe] = self.attempts.probe
 
     # ---- its process -----------------------------------------------------------------------------
 
@@ -92,14 +94,16 @@
         world = self.world
         self.life += 1
         self.alive, self.leaving = True, False
-        self.agent.forget()
-        self.told.forget()
+        self.agent.reset()
+        self.known_servers.reset()
         settings = world.settings(self.tier)
         seed = world.module_seed(self.tier, self.number, self.life)
         self._module = world.version.make(settings, seed, world.truth)
         known = tuple(e for e in self.registry.entries.values() if e.phase is Phase.READY)
-        self.told.note(known, world.events.now)
-        self.tell(self._face.ListUpdate(self._face.ListKind.SAVED, tuple(map(world.member, known))))
+        self.known_servers.record(known, world.events.now)
+        self.dispatch(
+            self._interface.ListUpdate(self._interface.ListKind.SAVED, tuple(map(world.member, known)))
+        )
         world.events.after(SWEEP_MS, self._sweep, self.life)
 
     def stop(self) -> None:
@@ -113,13 +117,13 @@
                 if not attempt.over:
                     attempt.over = True
                     attempt.outcome = "balancer died"
-                    self.attempts.hang_up(attempt)
+                    self.attempts.close_connection(attempt)
             if not call.done:
                 call.done = True
-                call.loss = Loss(self.tier, Cause.BALANCER_DIED)
-                call.caller.take_answer(call, Final.RESET, 0.0)
+                call.loss = Loss(self.tier, LossCause.BALANCER_DIED)
+                call.caller.on_final_outcome(call, FinalOutcome.RESET, 0.0)
         self.attempts.drop_all()
-        self.agent.forget()
+        self.agent.reset()
         self._module = None
 
     def _sweep(self, life: int) -> None:
@@ -132,13 +136,13 @@
         """Attempts that are under way."""
         return self.attempts.out
 
-    def answered(self, answer: tuple[Attempt, bool, Loss | None, LoadReport | None, float]) -> None:
+    def on_response(self, answer: tuple[Attempt, bool, Loss | None, LoadReport | None, float]) -> None:
         """An upstream's answer has come."""
-        self.attempts.answered(answer)
+        self.attempts.on_response(answer)
 
-    def reset_by_box(self, attempt: Attempt) -> None:
+    def on_box_reset(self, attempt: Attempt) -> None:
         """The box's process has died with the request in it."""
-        self.attempts.reset(attempt)
+        self.attempts.on_reset(attempt)
 
     def is_cut_from(self, box: Box) -> bool:
         """Whether nothing passes between it and a box."""
@@ -146,7 +150,7 @@
 
     # ---- the module ------------------------------------------------------------------------------
 
-    def tell(self, event: Any) -> None:
+    def dispatch(self, event: Any) -> None:
         """Give the module an event and carry out what it returns."""
         module = self._module
         if module is None:
@@ -155,26 +159,26 @@
         try:
             actions = module.handle(event, now)
         except Exception as error:
-            raise Fault(f"{self.name}: {type(error).__name__}: {error}, at {event!r}") from error
-        if len(actions) > MOST_ACTIONS:
-            raise Fault(f"{self.name}: {len(actions)} actions for one event, at {event!r}")
+            raise ContractViolation(f"{self.name}: {type(error).__name__}: {error}, at {event!r}") from error
+        if len(actions) > MAX_ACTIONS:
+            raise ContractViolation(f"{self.name}: {len(actions)} actions for one event, at {event!r}")
         for action in actions:
             do = self._do.get(type(action))
             try:
                 if do is None:
-                    raise Fault(f"{action!r} is no action")
+                    raise ContractViolation(f"{action!r} is no action")
                 do(action)
-            except Fault as error:
-                raise Fault(f"{self.name}: {error}, at {event!r}") from None
+            except ContractViolation as error:
+                raise ContractViolation(f"{self.name}: {error}, at {event!r}") from None
 
     def _set_timer(self, action: Any) -> None:
         if not math.isfinite(action.at_ms):
-            raise Fault(f"timer at {action.at_ms}")
+            raise ContractViolation(f"timer at {action.at_ms}")
         self.world.events.at(action.at_ms, self._timer_due, (self.life, action.token))
 
     def _timer_due(self, timer: tuple[int, str]) -> None:
         if timer[0] == self.life:
-            self.tell(self._face.TimerDue(timer[1]))
+            self.dispatch(self._interface.TimerDue(timer[1]))
 
     def _subscribe(self, _: Any) -> None:
         self.world.judge.counts["list calls"] += 1
@@ -186,103 +190,109 @@
 
     # ---- the list --------------------------------------------------------------------------------
 
-    def listed(self, entries: tuple[Entry, ...], gone: tuple[Entry, ...], whole: bool) -> None:
+    def on_list_update(self, entries: tuple[Entry, ...], gone: tuple[Entry, ...], whole: bool) -> None:
         """News of the list; what is missing from a whole list is gone."""
-        self.told.note(entries + gone, self.world.events.now)
-        kind = self._face.ListKind.WHOLE if whole else self._face.ListKind.CHANGES
-        self.tell(self._face.ListUpdate(kind, tuple(map(self.world.member, entries))))
+        self.known_servers.record(entries + gone, self.world.events.now)
+        kind = self._interface.ListKind.WHOLE if whole else self._interface.ListKind.CHANGES
+        self.dispatch(self._interface.ListUpdate(kind, tuple(map(self.world.member, entries))))
 
-    def list_failed(self) -> None:
+    def on_list_failed(self) -> None:
         """A call for the list has failed."""
         self.world.judge.counts["list calls failed"] += 1
-        self.tell(self._face.ListUpdate(self._face.ListKind.FAILED))
+        self.dispatch(self._interface.ListUpdate(self._interface.ListKind.FAILED))
 
-    def knows_start(self, box: Box) -> bool:
+    def is_start_known(self, box: Box) -> bool:
         """Whether it has been told, or counts as told, of a box's latest start (WIRE, rule 4)."""
-        return self.told.knows_start(box, self.world.events.now)
+        return self.known_servers.is_start_known(box, self.world.events.now)
 
     # ---- requests --------------------------------------------------------------------------------
 
-    def take(self, call: Call) -> None:
+    def on_request(self, call: Call) -> None:
         """A request has come in whole."""
         world = self.world
         now = world.events.now
         if not self.alive:
             call.done = True
-            call.loss = Loss(self.tier, Cause.BALANCER_DIED)
-            call.caller.take_answer(call, Final.UNREACHED, 0.0)
+            call.loss = Loss(self.tier, LossCause.BALANCER_DIED)
+            call.caller.on_final_outcome(call, FinalOutcome.UNREACHED, 0.0)
             return
         self.calls[call.number] = call
         call.taken_ms = now
-        judge, first = world.judge, call.first
+        judge, client_request = world.judge, call.client_request
         judge.calls[self.tier] += 1
         world.events.at(
-            call.deadline_ms + world.day.site.rules.answer_slack_ms, self._overdue, (self.life, call)
+            call.deadline_ms + world.day.site.rules.answer_slack_ms, self._answer_overdue, (self.life, call)
         )
         if world.watch is not None:
             left = call.deadline_ms - now
-            world.watch.line(now, first, self.name, "", f"request {call.number} taken, {left:.0f} ms left")
-        brand = world.day.brands[first.brand].name
-        self.tell(
-            self._face.RequestArrived(call.number, first.cls.name, max(call.deadline_ms - now, 0.0), brand)
+            world.watch.line(
+                now, client_request, self.name, "", f"request {call.number} taken, {left:.0f} ms left"
+            )
+        brand = world.day.brands[client_request.brand].name
+        self.dispatch(
+            self._interface.RequestArrived(
+                call.number, client_request.cls.name, max(call.deadline_ms - now, 0.0), brand
+            )
         )
 
-    def client_left(self, call: Call) -> None:
+    def on_client_left(self, call: Call) -> None:
         """The caller has gone away."""
         if not call.done and self.calls.get(call.number) is call:
             call.done = True
-            call.loss = Loss(self.tier, Cause.LEFT)
-            self.tell(self._face.ClientLeft(call.number))
-            self.forget(call)
+            call.loss = Loss(self.tier, LossCause.LEFT)
+            self.dispatch(self._interface.ClientLeft(call.number))
+            self.release(call)
 
-    def _overdue(self, late: tuple[int, Call]) -> None:
+    def _answer_overdue(self, late: tuple[int, Call]) -> None:
         life, call = late
         if life != self.life or call.done:
             return
-        self.world.judge.break_rule("lost", f"{self.name}: request {call.number} had no answer in its time")
+        self.world.judge.record_violation(
+            "lost", f"{self.name}: request {call.number} had no answer in its time"
+        )
         call.done = True
-        call.loss = Loss(self.tier, Cause.NO_ANSWER)
-        self.tell(self._face.ClientLeft(call.number))
-        call.caller.take_answer(call, Final.FAILED, 0.0)
-        self.forget(call)
+        call.loss = Loss(self.tier, LossCause.NO_ANSWER)
+        self.dispatch(self._interface.ClientLeft(call.number))
+        call.caller.on_final_outcome(call, FinalOutcome.FAILED, 0.0)
+        self.release(call)
 
-    def forget(self, call: Call) -> None:
+    def release(self, call: Call) -> None:
         """Let go of a request that is concluded, once all of its attempts are over."""
         if call.done and all(a.over for a in call.attempts):
             self.calls.pop(call.number, None)
 
-    def open_call(self, action: Any) -> Call | None:
+    def find_open_call(self, action: Any) -> Call | None:
         """The request that an action is about, unless it is concluded."""
         call = self.calls.get(action.request)
         return None if call is None or call.done else call
 
     def _refuse(self, action: Any) -> None:
-        call = self.open_call(action)
+        call = self.find_open_call(action)
         if call is None:
             return  # about something concluded: ignored (WIRE, "Error conditions")
-        if call.first.cls.once and may_have_run(call):
-            self.world.judge.break_rule(
+        if call.client_request.cls.once and may_have_executed(call):
+            self.world.judge.record_violation(
                 "duplicate", f"{self.name}: refused {call.number}, which may have run"
             )
-        self._conclude(call, Final.REFUSED, action.retry_after_ms)
+        self._conclude(call, FinalOutcome.REFUSED, action.retry_after_ms)
 
     def _fail(self, action: Any) -> None:
-        call = self.open_call(action)
+        call = self.find_open_call(action)
         if call is not None:
-            self._conclude(call, Final.FAILED, 0.0)
+            self._conclude(call, FinalOutcome.FAILED, 0.0)
 
-    def _conclude(self, call: Call, final: Final, advice_ms: float) -> None:
+    def _conclude(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
         call.done = True
-        call.loss = call.loss or Loss(self.tier, Cause.ROOM)
+        call.loss = call.loss or Loss(self.tier, LossCause.ROOM)
         world = self.world
         world.judge.ended[self.tier][final] += 1
         if world.watch is not None:
             world.watch.line(
                 world.events.now,
-                call.first,
+                call.client_request,
                 self.name,
                 "",
                 f"request {call.number} {final.value}: {call.loss.cause.value}",
             )
-        self.forget(call)
-        call.caller.take_answer(call, final, advice_ms)
+        self.release(call)
+        call.caller.on_final_outcome(call, final, retry_after_ms)
--- a/mastturn/emulator/machine.py
+++ b/mastturn/emulator/machine.py
@@ -17,14 +17,14 @@
 from mastturn.emulator.cold import ColdBudget, warmth
 from mastturn.emulator.day import Machine, TierFigures
 from mastturn.emulator.events import Events
-from mastturn.emulator.reports import Gauge, LoadReport
+from mastturn.emulator.reports import LoadReport, LoadReporter
 
 WARM_STEP_MS = 250.0  # how often a cold machine's speed is brought up to its age
 CHECK_MS = 250.0  # how often a crowded machine is looked at
 DONE = 1e-9  # progress that rounding may leave over
 
 
-class Inside(Protocol):
+class BoxRequest(Protocol):
     """A request in a box, as the machine knows it."""
 
     attempt: Any  # whose request it is, for whoever ends it
@@ -32,11 +32,11 @@
     def begin(self) -> None:
         """It has a slot."""
 
-    def worked(self) -> None:
+    def on_work_done(self) -> None:
         """The work that it gave to the cores is done."""
 
 
-class Balancing(Protocol):
+class BalancerHandle(Protocol):
     """A balancer, as requests and boxes know it; one beside a box starts and stops with its process."""
 
     name: str
@@ -50,22 +50,22 @@
     def stop(self) -> None:
         """It ends."""
 
-    def take(self, call: Any) -> None:
+    def on_request(self, call: Any) -> None:
         """A request has come in whole."""
 
-    def client_left(self, call: Any) -> None:
+    def on_client_left(self, call: Any) -> None:
         """The caller has gone away."""
 
     def is_cut_from(self, box: Box) -> bool:
         """Whether nothing passes between it and a box."""
 
-    def knows_start(self, box: Box) -> bool:
+    def is_start_known(self, box: Box) -> bool:
         """Whether it has been told of a box's latest start."""
 
-    def answered(self, answer: Any) -> None:
+    def on_response(self, answer: Any) -> None:
         """An upstream's answer has come."""
 
-    def reset_by_box(self, attempt: Any) -> None:
+    def on_box_reset(self, attempt: Any) -> None:
         """The box's process has died with the request in it."""
 
 
@@ -76,8 +76,8 @@
         self.figures, self.tier, self._events = figures, tier, events
         self.name, self.zone, self.number = figures.name, figures.zone, figures.tier
         self.chance = Stream(seed, "box", figures.name)
-        self.gauge = Gauge(tier, Stream(seed, "report", figures.name))
-        self.beside: Balancing | None = None  # the balancer of its own calls, one tier further
+        self.load_reporter = LoadReporter(tier, Stream(seed, "report", figures.name))
+        self.local_balancer: BalancerHandle | None = None  # the balancer of its own calls, one tier further
         self.up, self.draining, self.silent, self.fallen = True, False, False, False
         self.epoch = 0  # counts the processes it has had
         self.silent_epochs = set[
@@ -87,19 +87,19 @@
         self.budget: ColdBudget | None = None  # while cold
         self.connections = 0
         self.slots_used = 0
-        self.waiting: deque[Inside] = deque()
-        self.inside: dict[Inside, None] = {}  # all that it holds, in the order in which they came
+        self.waiting: deque[BoxRequest] = deque()
+        self.inside: dict[BoxRequest, None] = {}  # all that it holds, in the order in which they came
         # What slows it: factors of its speed, each set by one trouble.
         self.slower, self.taken, self.errors = 1.0, 0.0, figures.error_share
         self.pause_ms, self.pause_every_ms = figures.pause_ms, figures.pause_every_ms
         self.pause_grows = True
         self._paused_until = -math.inf
         self.choke = Choke(tier.choke)
-        self._jobs: list[tuple[float, int, Inside]] = []
+        self._jobs: list[tuple[float, int, BoxRequest]] = []
         self._number_of_jobs, self._progress, self._rate, self._seen = 0, 0.0, 0.0, events.now
         self._next_due = math.inf
         self.busy_core_ms = self.work_done_ms = 0.0
-        self._watched = False
+        self._check_is_due = False
 
     # ---- what it can do --------------------------------------------------------------------------
 
@@ -133,7 +133,7 @@
             speed /= 1.0 + figures.thrash * over / figures.cores
         return speed * (1.0 - self.tier.full_tax * min(self.connections / figures.connection_cap, 1.0))
 
-    def _catch_up(self) -> None:
+    def _advance(self) -> None:
         now = self._events.now
         gap = now - self._seen
         if gap > 0:
@@ -144,9 +144,9 @@
                 self.work_done_ms += gap * self._rate * jobs
             self._seen = now
 
-    def retune(self) -> None:
+    def update_rate(self) -> None:
         """Bring its progress to now, and take over whatever has changed its speed."""
-        self._catch_up()
+        self._advance()
         jobs = len(self._jobs)
         if not jobs:
             return
@@ -165,41 +165,41 @@
         if asked_for != self._next_due:
             return
         self._next_due = math.inf
-        self._catch_up()
+        self._advance()
         done = []
         while self._jobs and self._jobs[0][0] <= self._progress + DONE:
             done.append(heappop(self._jobs)[2])
         if not self._jobs:
             self._progress = 0.0
-        self._look()
-        self.retune()
+        self._check_crowding()
+        self.update_rate()
         for visit in done:
-            visit.worked()
+            visit.on_work_done()
 
-    def work(self, visit: Inside, work_ms: float) -> None:
+    def work(self, visit: BoxRequest, work_ms: float) -> None:
         """Give a request in a slot so much work on the cores."""
-        self._catch_up()
+        self._advance()
         self._number_of_jobs += 1
         heappush(self._jobs, (self._progress + work_ms, self._number_of_jobs, visit))
-        self._look()
-        self.retune()
+        self._check_crowding()
+        self.update_rate()
 
-    def _look(self) -> None:
+    def _check_crowding(self) -> None:
         """Watch a crowd: it chokes the machine if it stays."""
-        if self.choke.follow(len(self._jobs), self.figures.cores, self._events.now):
-            self.retune()
+        if self.choke.update(len(self._jobs), self.figures.cores, self._events.now):
+            self.update_rate()
         crowded = self.choke.is_choked or len(self._jobs) > 2 * self.figures.cores
-        if crowded and not self._watched:
-            self._watched = True
-            self._events.after(CHECK_MS, self._look_again)
+        if crowded and not self._check_is_due:
+            self._check_is_due = True
+            self._events.after(CHECK_MS, self._recheck_crowding)
 
-    def _look_again(self, _: Any) -> None:
-        self._watched = False
-        self._look()
+    def _recheck_crowding(self, _: Any) -> None:
+        self._check_is_due = False
+        self._check_crowding()
 
     # ---- requests --------------------------------------------------------------------------------
 
-    def admit(self, visit: Inside) -> bool:
+    def admit(self, visit: BoxRequest) -> bool:
         """Take a request into a slot or the waiting room; false: turned away unseen."""
         if self.draining or self.fallen:
             return False
@@ -211,11 +211,11 @@
         if len(self.waiting) < self.figures.queue:
             self.inside[visit] = None
             self.waiting.append(visit)
-            self.retune()
+            self.update_rate()
             return True
         return False
 
-    def leave(self, visit: Inside) -> None:
+    def leave(self, visit: BoxRequest) -> None:
         """A request has left its slot: the oldest that waits takes it."""
         del self.inside[visit]
         self.slots_used -= 1
@@ -223,18 +223,18 @@
             self.slots_used += 1
             self.waiting.popleft().begin()
         else:
-            self.retune()
+            self.update_rate()
 
     def report(self) -> LoadReport | None:
         """The load report of an answer that it gives now."""
-        self._catch_up()
-        return self.gauge.read(self._events.now, self.busy_core_ms, self.figures.cores)
+        self._advance()
+        return self.load_reporter.read(self._events.now, self.busy_core_ms, self.figures.cores)
 
     # ---- its process -----------------------------------------------------------------------------
 
-    def stop(self, silent: bool) -> list[Inside]:
+    def stop(self, silent: bool) -> list[BoxRequest]:
         """The process ends, or the machine vanishes without a word; returns the requests that die with it."""
-        self._catch_up()
+        self._advance()
         if silent:
             self.silent_epochs.add(self.epoch)
         self.up, self.silent, self.draining = False, silent, False
@@ -260,7 +260,7 @@
     def _warm(self, epoch: int) -> None:
         if epoch != self.epoch or not self.up:
             return
-        self.retune()
+        self.update_rate()
         if self._events.now - self.started_ms < self.figures.cold_ms:
             self._events.after(WARM_STEP_MS, self._warm, epoch)
         else:
@@ -277,7 +277,7 @@
         if self.pause_grows:
             length *= 1.0 + min(len(self._jobs) / self.figures.cores, 1.0)
         if length > 0 and self.up:
-            self._catch_up()
+            self._advance()
             self._paused_until = self._events.now + length
             self._rate = 0.0
             self._next_due = math.inf
@@ -285,4 +285,4 @@
         self.plan_pause()
 
     def _go_on(self, _: Any) -> None:
-        self.retune()
+        self.update_rate()
--- a/mastturn/emulator/pool.py
+++ b/mastturn/emulator/pool.py
@@ -13,7 +13,7 @@
         self._idle: dict[str, list[tuple[float, int, Box]]] = {}
         self.open_count = 0
 
-    def take(self, box: Box, now: float) -> int | None:
+    def acquire(self, box: Box, now: float) -> int | None:
         """An idle connection's epoch: of the box's present process, or of one that vanished silently."""
         kept = self._idle.get(box.name)
         while kept:
--- a/mastturn/emulator/record.py
+++ b/mastturn/emulator/record.py
@@ -10,8 +10,8 @@
 
 from mastturn.emulator.day import Day
 from mastturn.emulator.events import START_MS, Events
-from mastturn.emulator.host import Host
-from mastturn.emulator.judge import Judge, Parts, parts
+from mastturn.emulator.host import Balancer
+from mastturn.emulator.judge import Judge, Score, parts
 from mastturn.emulator.machine import Box
 
 SAMPLE_MS = 1_000.0
@@ -28,12 +28,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
+class DayResult:
     """A day that is over."""
 
     day: Day
     judge: Judge
-    parts: Parts
+    parts: Score
     digest: str
     events: int
     samples: tuple[Sample, ...]
@@ -48,10 +48,14 @@
     """Samples the fleet while the day is played, and sums it up."""
 
     def __init__(
-        self, events: Events, boxes: Mapping[str, Box], hosts: Sequence[Sequence[Host]], marks: list[Mark]
+        self,
+        events: Events,
+        boxes: Mapping[str, Box],
+        balancers: Sequence[Sequence[Balancer]],
+        marks: list[Mark],
     ) -> None:
         """`marks`: the troubles of the day, which may still be added to."""
-        self._events, self._boxes, self._hosts, self._marks = events, boxes, hosts, marks
+        self._events, self._boxes, self._balancers, self._marks = events, boxes, balancers, marks
         self._samples: list[Sample] = []
         self._busy: list[float] = []  # core ms of each box at the last sample
 
@@ -65,26 +69,26 @@
         self._busy += [0.0] * (len(boxes) - len(self._busy))
         util = []
         for i, box in enumerate(boxes):
-            box.retune()
+            box.update_rate()
             util.append((box.busy_core_ms - self._busy[i]) / (SAMPLE_MS * box.figures.cores))
             self._busy[i] = box.busy_core_ms
-        out = tuple(sum(h.out for h in hosts) for hosts in self._hosts)
+        out = tuple(sum(h.out for h in balancers) for balancers in self._balancers)
         self._samples.append(Sample(self._events.now - START_MS, out, tuple(util)))
         self._events.after(SAMPLE_MS, self._sample)
 
-    def played(self, day: Day, judge: Judge, fallen: int, fault: str | None) -> Played:
+    def played(self, day: Day, judge: Judge, fallen: int, fault: str | None) -> DayResult:
         """The day is over."""
         boxes = list(self._boxes.values())
         for box in boxes:
-            box.retune()
-        choked = sum(box.choke.ever for box in boxes) / len(boxes)
+            box.update_rate()
+        choked = sum(box.choke.was_choked for box in boxes) / len(boxes)
         judged = parts(day, judge, sum(b.work_done_ms for b in boxes), choked)
         if fault is not None:
-            judged = Parts(
+            judged = Score(
                 0.0, judged.whole, judged.worst_window, judged.worst_class, judged.worst_tenant, judged.prices
             )
         marks = tuple((name, start - START_MS, end - START_MS) for name, start, end in self._marks)
-        return Played(
+        return DayResult(
             day,
             judge,
             judged,
@@ -102,10 +106,15 @@
 def _digest(judge: Judge) -> str:
     """One text for all that happened: equal only if each request ended alike at the same moment."""
     digest = hashlib.sha256()
-    for first in judge.firsts:
+    for client_request in judge.client_requests:
         digest.update(
             struct.pack(
-                "<qqddd", first.number, first.tries, first.arrived_ms, first.served_ms, first.ended_ms
+                "<qqddd",
+                client_request.number,
+                client_request.tries,
+                client_request.arrived_ms,
+                client_request.served_ms,
+                client_request.ended_ms,
             )
         )
     digest.update(struct.pack(f"<{len(judge.sends)}q", *judge.sends))
--- a/mastturn/emulator/reports.py
+++ b/mastturn/emulator/reports.py
@@ -18,18 +18,18 @@
     util: float
 
 
-class Gauge:
+class LoadReporter:
     """One machine's report, taken only when an answer asks for it."""
 
     def __init__(self, tier: TierFigures, chance: Stream) -> None:
         self._tier, self._chance = tier, chance
         self._taken_ms, self._busy_then = 0.0, 0.0
         self._served, self._service_ms = 0, 0.0
-        self._told: deque[tuple[float, LoadReport]] = deque()
+        self._pending: deque[tuple[float, LoadReport]] = deque()
         self._last: LoadReport | None = None
         self.added_delay_ms = 0.0
 
-    def served(self, service_ms: float) -> None:
+    def record_served(self, service_ms: float) -> None:
         """Count an answer and the time it took beside waiting."""
         self._served += 1
         self._service_ms += service_ms
@@ -42,9 +42,9 @@
             util = min(max((busy_core_ms - self._busy_then) / (cores * gap) * noise, 0.0), 1.0)
             mean = self._service_ms / self._served if self._served else 0.0
             due = now + self._tier.report_delay_ms + self.added_delay_ms
-            self._told.append((due, LoadReport(mean * self._chance.factor(self._tier.report_noise), util)))
+            self._pending.append((due, LoadReport(mean * self._chance.factor(self._tier.report_noise), util)))
             self._taken_ms, self._busy_then = now, busy_core_ms
             self._served, self._service_ms = 0, 0.0
-        while self._told and self._told[0][0] <= now:
-            self._last = self._told.popleft()[1]
+        while self._pending and self._pending[0][0] <= now:
+            self._last = self._pending.popleft()[1]
         return self._last
--- a/mastturn/emulator/troubles.py
+++ b/mastturn/emulator/troubles.py
@@ -17,7 +17,7 @@
 from mastturn.emulator.discovery import Registry
 from mastturn.emulator.events import START_MS, Events
 from mastturn.emulator.front import Front, Restarts
-from mastturn.emulator.host import Host
+from mastturn.emulator.host import Balancer
 from mastturn.emulator.machine import Box
 from mastturn.emulator.network import Network
 from mastturn.emulator.site import Range, span
@@ -162,7 +162,7 @@
 LONGEST_MS, KILLED_AFTER_MS = 3_000.0, 700.0  # between a restart's two signals: the longest deadline and more
 
 
-class Befallen(Protocol):
+class FaultTargets(Protocol):
     """What troubles act on: the parts of a world, and what can befall them."""
 
     day: Day
@@ -172,109 +172,109 @@
     front: Front
     restarts: Restarts
     boxes: dict[str, Box]
-    hosts: list[list[Host]]
+    balancers: list[list[Balancer]]
     registries: list[Registry]
     marks: list[tuple[str, float, float]]
 
-    def box_vanishes(self, box: Box) -> None:
+    def vanish_box(self, box: Box) -> None:
         """The machine is gone without a word."""
 
-    def box_drains(self, box: Box) -> None:
+    def drain_box(self, box: Box) -> None:
         """It completes what it holds and wants nothing new."""
 
-    def box_stops(self, box: Box) -> None:
+    def stop_box(self, box: Box) -> None:
         """Its process ends."""
 
-    def box_starts(self, box: Box) -> None:
+    def start_box(self, box: Box) -> None:
         """A new process on the same machine."""
 
-    def box_replaced(self, box: Box) -> None:
+    def replace_box(self, box: Box) -> None:
         """Another machine takes its place."""
 
 
-class Drawn:
+class DrawnTrouble:
     """One trouble's own draws, and its start and end on the world's clock."""
 
-    def __init__(self, world: Befallen, trouble: Trouble, number: int) -> None:
+    def __init__(self, world: FaultTargets, trouble: Trouble, number: int) -> None:
         self.chance = Stream(world.day.seed, "trouble", number)
-        self.start_ms = START_MS + self.one(trouble.at_s) * 1000
-        self.length_ms = self.one(trouble.for_s) * 1000 if isinstance(trouble, _Lasting) else 0.0
+        self.start_ms = START_MS + self.sample(trouble.at_s) * 1000
+        self.length_ms = self.sample(trouble.for_s) * 1000 if isinstance(trouble, _Lasting) else 0.0
         self.end_ms = self.start_ms + self.length_ms
 
-    def one(self, value: Range) -> float:
+    def sample(self, value: Range) -> float:
         """A figure from its range."""
         return self.chance.between(*span(value))
 
-    def boxes(self, world: Befallen, part: float, tiers: tuple[str, ...]) -> list[Box]:
+    def boxes(self, world: FaultTargets, part: float, tiers: tuple[str, ...]) -> list[Box]:
         """So many of the tiers' boxes."""
         able = [b for b in world.boxes.values() if not tiers or world.day.tiers[b.number].name in tiers]
         return [able[i] for i in self.chance.some(round(part * len(able)), len(able))]
 
-    def zone(self, world: Befallen) -> str:
+    def zone(self, world: FaultTargets) -> str:
         """One zone."""
         zones = world.day.network.zones
         return zones[self.chance.below(len(zones))]
 
 
-def rate_windows(world: Befallen, troubles: tuple[Trouble, ...]) -> list[RateWindow]:
+def rate_windows(world: FaultTargets, troubles: tuple[Trouble, ...]) -> list[RateWindow]:
     """What the troubles do to how often clients come; drawn before the day begins."""
     windows = []
     for number, trouble in enumerate(troubles):
         if isinstance(trouble, (Burst, ZoneShift)):
-            drawn = Drawn(world, trouble, number)
+            drawn = DrawnTrouble(world, trouble, number)
             zone = (
                 drawn.chance.below(len(world.day.network.zones)) if isinstance(trouble, ZoneShift) else None
             )
             start, end = drawn.start_ms - START_MS, drawn.end_ms - START_MS
-            windows.append(RateWindow(start, end, drawn.one(trouble.factor), zone))
+            windows.append(RateWindow(start, end, drawn.sample(trouble.factor), zone))
     return windows
 
 
-def plan(world: Befallen, troubles: tuple[Trouble, ...]) -> None:
+def plan(world: FaultTargets, troubles: tuple[Trouble, ...]) -> None:
     """Ask for everything that will go wrong."""
     for number, trouble in enumerate(troubles):
-        drawn = Drawn(world, trouble, number)
+        drawn = DrawnTrouble(world, trouble, number)
         world.marks.append((str(trouble.__struct_config__.tag), drawn.start_ms, drawn.end_ms))
         _plan(world, trouble, drawn)
 
 
-def _plan(world: Befallen, trouble: Trouble, drawn: Drawn) -> None:
+def _plan(world: FaultTargets, trouble: Trouble, drawn: DrawnTrouble) -> None:
     match trouble:
         case Slow():
-            factor = drawn.one(trouble.slower)
-            for box in drawn.boxes(world, drawn.one(trouble.part), trouble.tiers):
-                _for_a_while(world, drawn, _Multiply([box], factor))
+            factor = drawn.sample(trouble.slower)
+            for box in drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers):
+                _schedule(world, drawn, _Multiply([box], factor))
         case SharedSlow():
-            _for_a_while(world, drawn, _Multiply(list(world.boxes.values()), drawn.one(trouble.slower)))
+            _schedule(world, drawn, _Multiply(list(world.boxes.values()), drawn.sample(trouble.slower)))
         case Errors():
-            boxes = drawn.boxes(world, drawn.one(trouble.part), trouble.tiers)
-            _for_a_while(world, drawn, _Errors(boxes, drawn.one(trouble.share)))
+            boxes = drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers)
+            _schedule(world, drawn, _Errors(boxes, drawn.sample(trouble.share)))
         case Pauses():
-            boxes = drawn.boxes(world, drawn.one(trouble.part), trouble.tiers)
-            figures = (drawn.one(trouble.pause_ms), drawn.one(trouble.every_s) * 1000)
-            _for_a_while(world, drawn, _Pauses(boxes, *figures))
+            boxes = drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers)
+            figures = (drawn.sample(trouble.pause_ms), drawn.sample(trouble.every_s) * 1000)
+            _schedule(world, drawn, _Pauses(boxes, *figures))
         case Neighbour():
             _neighbour(world, trouble, drawn)
         case Silent():
-            boxes = drawn.boxes(world, drawn.one(trouble.part), trouble.tiers)
+            boxes = drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers)
             _vanish(world, boxes, drawn)
         case LostZone():
             zone = drawn.zone(world)
             _vanish(world, [b for b in world.boxes.values() if b.zone == zone], drawn)
         case CutZone():
-            _for_a_while(world, drawn, _Cut(world, drawn.zone(world)))
+            _schedule(world, drawn, _Cut(world, drawn.zone(world)))
         case LateReports():
-            _for_a_while(world, drawn, _LateReports(world, drawn.one(trouble.delay_s) * 1000))
+            _schedule(world, drawn, _LateReports(world, drawn.sample(trouble.delay_s) * 1000))
         case LateList():
-            _for_a_while(world, drawn, _LateList(world, drawn.one(trouble.delay_s) * 1000))
+            _schedule(world, drawn, _LateList(world, drawn.sample(trouble.delay_s) * 1000))
         case SilentDiscovery():
-            _for_a_while(world, drawn, _SilentDiscovery(world, drawn.end_ms))
+            _schedule(world, drawn, _SilentDiscovery(world, drawn.end_ms))
         case LostAnswers():
-            _for_a_while(world, drawn, _NetworkShare(world, "answers_lost_share", drawn.one(trouble.share)))
+            _schedule(world, drawn, _NetworkShare(world, "answers_lost_share", drawn.sample(trouble.share)))
         case Resets():
-            _for_a_while(world, drawn, _NetworkShare(world, "resets_share", drawn.one(trouble.share)))
+            _schedule(world, drawn, _NetworkShare(world, "resets_share", drawn.sample(trouble.share)))
         case LeaveEarly():
-            _for_a_while(world, drawn, _Leaving(world, drawn.one(trouble.share)))
+            _schedule(world, drawn, _Leaving(world, drawn.sample(trouble.share)))
         case Release():
             _release(world, trouble, drawn)
         case KillBalancers():
@@ -285,7 +285,7 @@
             pass  # in the arrivals already
 
 
-class _Change:
+class _TemporaryChange:
     """What holds for a while: begun, then ended."""
 
     def begin(self, _: None) -> None:
@@ -298,22 +298,22 @@
         raise NotImplementedError
 
 
-def _for_a_while(world: Befallen, drawn: Drawn, change: _Change) -> None:
+def _schedule(world: FaultTargets, drawn: DrawnTrouble, change: _TemporaryChange) -> None:
     world.events.at(drawn.start_ms, change.begin)
     world.events.at(drawn.end_ms, change.end)
 
 
-class _Multiply(_Change):
+class _Multiply(_TemporaryChange):
     def __init__(self, boxes: list[Box], factor: float) -> None:
         self._boxes, self._factor = boxes, factor
 
     def set(self, on: bool) -> None:
         for box in self._boxes:
             box.slower *= self._factor if on else 1.0 / self._factor
-            box.retune()
+            box.update_rate()
 
 
-class _Errors(_Change):
+class _Errors(_TemporaryChange):
     def __init__(self, boxes: list[Box], share: float) -> None:
         self._boxes, self._share = boxes, share
 
@@ -322,7 +322,7 @@
             box.errors = self._share if on else box.figures.error_share
 
 
-class _Pauses(_Change):
+class _Pauses(_TemporaryChange):
     def __init__(self, boxes: list[Box], pause_ms: float, every_ms: float) -> None:
         self._boxes, self._figures = boxes, (pause_ms, every_ms)
 
@@ -332,25 +332,25 @@
             box.pause_ms, box.pause_every_ms = self._figures if on else usual
 
 
-class _Cut(_Change):
-    def __init__(self, world: Befallen, zone: str) -> None:
+class _Cut(_TemporaryChange):
+    def __init__(self, world: FaultTargets, zone: str) -> None:
         self._network, self._zone = world.network, zone
 
     def set(self, on: bool) -> None:
         (self._network.cut_off.add if on else self._network.cut_off.discard)(self._zone)
 
 
-class _LateReports(_Change):
-    def __init__(self, world: Befallen, delay_ms: float) -> None:
+class _LateReports(_TemporaryChange):
+    def __init__(self, world: FaultTargets, delay_ms: float) -> None:
         self._world, self._delay_ms = world, delay_ms
 
     def set(self, on: bool) -> None:
         for box in self._world.boxes.values():
-            box.gauge.added_delay_ms = self._delay_ms if on else 0.0
+            box.load_reporter.added_delay_ms = self._delay_ms if on else 0.0
 
 
-class _LateList(_Change):
-    def __init__(self, world: Befallen, delay_ms: float) -> None:
+class _LateList(_TemporaryChange):
+    def __init__(self, world: FaultTargets, delay_ms: float) -> None:
         self._world, self._delay_ms = world, delay_ms
 
     def set(self, on: bool) -> None:
@@ -358,26 +358,26 @@
             registry.added_delay_ms = self._delay_ms if on else 0.0
 
 
-class _SilentDiscovery(_Change):
-    def __init__(self, world: Befallen, until_ms: float) -> None:
+class _SilentDiscovery(_TemporaryChange):
+    def __init__(self, world: FaultTargets, until_ms: float) -> None:
         self._world, self._until_ms = world, until_ms
 
     def set(self, on: bool) -> None:
         if on:
             for registry in self._world.registries:
-                registry.fall_silent(self._until_ms)
+                registry.go_silent(self._until_ms)
 
 
-class _NetworkShare(_Change):
-    def __init__(self, world: Befallen, name: str, share: float) -> None:
+class _NetworkShare(_TemporaryChange):
+    def __init__(self, world: FaultTargets, name: str, share: float) -> None:
         self._network, self._name, self._share = world.network, name, share
 
     def set(self, on: bool) -> None:
         setattr(self._network, self._name, self._share if on else 0.0)
 
 
-class _Leaving(_Change):
-    def __init__(self, world: Befallen, share: float) -> None:
+class _Leaving(_TemporaryChange):
+    def __init__(self, world: FaultTargets, share: float) -> None:
         self._world, self._share = world, share
 
     def set(self, on: bool) -> None:
@@ -393,51 +393,53 @@
     def turn(self, on: bool) -> None:
         """Take the share, or give it back."""
         self._box.taken = self._share if on else 0.0
-        self._box.retune()
+        self._box.update_rate()
 
 
-def _neighbour(world: Befallen, trouble: Neighbour, drawn: Drawn) -> None:
-    for box in drawn.boxes(world, drawn.one(trouble.part), trouble.tiers):
-        taken = _Taken(box, drawn.one(trouble.taken_share))
+def _neighbour(world: FaultTargets, trouble: Neighbour, drawn: DrawnTrouble) -> None:
+    for box in drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers):
+        taken = _Taken(box, drawn.sample(trouble.taken_share))
         at, on = drawn.start_ms, True
         while at < drawn.end_ms:
             world.events.at(at, taken.turn, on)
-            at, on = at + drawn.one(trouble.phase_s) * 1000, not on
+            at, on = at + drawn.sample(trouble.phase_s) * 1000, not on
         world.events.at(drawn.end_ms, taken.turn, False)
 
 
-def _vanish(world: Befallen, boxes: list[Box], drawn: Drawn) -> None:
+def _vanish(world: FaultTargets, boxes: list[Box], drawn: DrawnTrouble) -> None:
     for box in boxes:
-        world.events.at(drawn.start_ms, world.box_vanishes, box)
-        world.events.at(drawn.end_ms, world.box_starts, box)
+        world.events.at(drawn.start_ms, world.vanish_box, box)
+        world.events.at(drawn.end_ms, world.start_box, box)
 
 
-def _release(world: Befallen, trouble: Release, drawn: Drawn) -> None:
-    boxes = drawn.boxes(world, drawn.one(trouble.part), trouble.tiers)
+def _release(world: FaultTargets, trouble: Release, drawn: DrawnTrouble) -> None:
+    boxes = drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers)
     order = [boxes[i] for i in drawn.chance.order(len(boxes))]
-    step_ms = drawn.one(trouble.step_s) * 1000
+    step_ms = drawn.sample(trouble.step_s) * 1000
     for place, box in enumerate(order):
         at = drawn.start_ms + step_ms * (place * trouble.steps // max(len(order), 1))
-        ends = at + drawn.one(trouble.drain_s) * 1000
-        world.events.at(at, world.box_drains, box)
-        world.events.at(ends, world.box_stops, box)
-        back = world.box_replaced if trouble.renamed else world.box_starts
-        world.events.at(ends + drawn.one(trouble.down_s) * 1000, back, box)
+        ends = at + drawn.sample(trouble.drain_s) * 1000
+        world.events.at(at, world.drain_box, box)
+        world.events.at(ends, world.stop_box, box)
+        back = world.replace_box if trouble.renamed else world.start_box
+        world.events.at(ends + drawn.sample(trouble.down_s) * 1000, back, box)
 
 
-def _kill(world: Befallen, trouble: KillBalancers, drawn: Drawn) -> None:
-    hosts = world.hosts[0]
-    for i in drawn.chance.some(round(drawn.one(trouble.part) * len(hosts)), len(hosts)):
-        world.events.at(drawn.start_ms, world.restarts.dies, hosts[i])
-        world.events.at(drawn.start_ms + drawn.one(trouble.down_s) * 1000, world.restarts.starts, hosts[i])
+def _kill(world: FaultTargets, trouble: KillBalancers, drawn: DrawnTrouble) -> None:
+    balancers = world.balancers[0]
+    for i in drawn.chance.some(round(drawn.sample(trouble.part) * len(balancers)), len(balancers)):
+        world.events.at(drawn.start_ms, world.restarts.kill, balancers[i])
+        world.events.at(
+            drawn.start_ms + drawn.sample(trouble.down_s) * 1000, world.restarts.start, balancers[i]
+        )
 
 
-def _restart(world: Befallen, trouble: RestartBalancers, drawn: Drawn) -> None:
-    hosts: list[Host] = world.hosts[0]
-    size = max(1, round(drawn.one(trouble.step_part) * len(hosts)))
+def _restart(world: FaultTargets, trouble: RestartBalancers, drawn: DrawnTrouble) -> None:
+    balancers: list[Balancer] = world.balancers[0]
+    size = max(1, round(drawn.sample(trouble.step_part) * len(balancers)))
     longest = min(max(c.deadline_ms for c in world.day.classes), LONGEST_MS)
-    for place, host in enumerate(hosts):
-        at = drawn.start_ms + drawn.one(trouble.step_s) * 1000 * (place // size)
-        world.events.at(at + FRONT_STOPS_MS, world.front.leave_out, host)
-        world.events.at(at + longest + KILLED_AFTER_MS, world.restarts.dies, host)
-        world.events.at(at + longest + KILLED_AFTER_MS + 1.0, world.restarts.starts, host)
+    for place, balancer in enumerate(balancers):
+        at = drawn.start_ms + drawn.sample(trouble.step_s) * 1000 * (place // size)
+        world.events.at(at + FRONT_STOPS_MS, world.front.remove, balancer)
+        world.events.at(at + longest + KILLED_AFTER_MS, world.restarts.kill, balancer)
+        world.events.at(at + longest + KILLED_AFTER_MS + 1.0, world.restarts.start, balancer)
--- a/mastturn/emulator/visit.py
+++ b/mastturn/emulator/visit.py
@@ -9,16 +9,16 @@
 
 from typing import Protocol
 
-from mastturn.emulator.calls import Attempt, Call, Cause, Final, Loss
+from mastturn.emulator.calls import Attempt, Call, FinalOutcome, Loss, LossCause
 from mastturn.emulator.day import Day
 from mastturn.emulator.events import Events
 
 BEFORE_CALLS = 0.5  # of a box's own work
 LOOPBACK_MS = 0.05  # between a box and the balancer beside it
-LEAST_REMAINING_MS = 1.0  # less time than this for a call is none
+MIN_REMAINING_MS = 1.0  # less time than this for a call is none
 
 
-class Around(Protocol):
+class VisitEnvironment(Protocol):
     """What a request in a box needs of the world."""
 
     day: Day
@@ -27,7 +27,7 @@
     def next_number(self) -> int:
         """A number for a request."""
 
-    def box_answers(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
+    def deliver_response(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
         """A box has an answer."""
 
 
@@ -37,7 +37,9 @@
     __slots__ = ("_begun_ms", "_calls_left", "_epoch", "_rest_ms", "_service_ms", "_wait_ms", "_world",
                  "answered", "attempt", "call", "extra_ms", "useful_ms", "waits", "work_ms")  # fmt: skip
 
-    def __init__(self, world: Around, attempt: Attempt, work_ms: float, wait_ms: float, calls: int) -> None:
+    def __init__(
+        self, world: VisitEnvironment, attempt: Attempt, work_ms: float, wait_ms: float, calls: int
+    ) -> None:
         self._world, self.attempt = world, attempt
         self.work_ms, self._wait_ms, self._calls_left = work_ms, wait_ms, calls
         self.extra_ms = 0.0  # of a handshake
@@ -55,7 +57,7 @@
         self._rest_ms = self.work_ms - first
         self.attempt.box.work(self, first + self.extra_ms)
 
-    def worked(self) -> None:
+    def on_work_done(self) -> None:
         """A part of its work is done."""
         if self._wait_ms > 0:
             wait, self._wait_ms = self._wait_ms, 0.0
@@ -80,19 +82,21 @@
     def _call(self) -> None:
         """Call the next tier through the balancer beside the box."""
         world, box = self._world, self.attempt.box
-        host, caller = box.beside, self.attempt.call
-        assert host is not None
-        remaining = caller.first.cls.deadline_ms
+        balancer, caller = box.local_balancer, self.attempt.call
+        assert balancer is not None
+        remaining = caller.client_request.cls.deadline_ms
         if world.day.passes_deadline:
-            remaining = max(caller.deadline_ms - world.events.now, LEAST_REMAINING_MS)
-        self.call = Call(world.next_number(), caller.first, host, self, remaining, world.events.now)
-        world.events.after(LOOPBACK_MS, host.take, self.call)
+            remaining = max(caller.deadline_ms - world.events.now, MIN_REMAINING_MS)
+        self.call = Call(
+            world.next_number(), caller.client_request, balancer, self, remaining, world.events.now
+        )
+        world.events.after(LOOPBACK_MS, balancer.on_request, self.call)
 
-    def take_answer(self, call: Call, final: Final, advice_ms: float) -> None:
+    def on_final_outcome(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
         """The call is over: the next one, the rest of the work, or an error."""
         if self._epoch != self.attempt.box.epoch or call is not self.call:
             return
-        if final is Final.SERVED:
+        if final is FinalOutcome.SERVED:
             self.useful_ms += call.useful_ms
             self._go_on()
         else:
@@ -102,8 +106,8 @@
         box = self.attempt.box
         self.answered = True
         if served and box.errors > 0 and box.chance.uniform() < box.errors:
-            served, loss = False, Loss(box.number, Cause.ERROR)
+            served, loss = False, Loss(box.number, LossCause.ERROR)
         if served:
-            box.gauge.served(self._world.events.now - self._begun_ms)
-        self._world.box_answers(self.attempt, self, served, loss)
+            box.load_reporter.record_served(self._world.events.now - self._begun_ms)
+        self._world.deliver_response(self.attempt, self, served, loss)
         box.leave(self)
--- a/mastturn/emulator/world.py
+++ b/mastturn/emulator/world.py
@@ -7,31 +7,31 @@
 from mastturn.emulator.calls import Attempt, Loss
 from mastturn.emulator.chance import Stream, generator
 from mastturn.emulator.clients import Clients
-from mastturn.emulator.contract import BoxState, Fault, Version
+from mastturn.emulator.contract import BoxState, ContractViolation, Version
 from mastturn.emulator.day import Day, Machine
 from mastturn.emulator.discovery import Entry, Phase, Registry
 from mastturn.emulator.events import START_MS, Events
 from mastturn.emulator.front import Front, Restarts
-from mastturn.emulator.host import Host
+from mastturn.emulator.host import Balancer
 from mastturn.emulator.judge import Judge
 from mastturn.emulator.machine import Box
 from mastturn.emulator.network import Network
-from mastturn.emulator.record import Mark, Played, Recorder
+from mastturn.emulator.record import DayResult, Mark, Recorder
 from mastturn.emulator.troubles import Trouble, plan, rate_windows
 from mastturn.emulator.visit import Visit
-from mastturn.emulator.watch import Watch
+from mastturn.emulator.watch import Trace
 
 COLD_SHARE = 2.0 / 3.0  # of the work sent, from balancers that were told: then a fall breaks the rule (WIRE)
 RESET_WAIT_MS = 20.0  # mean time until a connection that is reset under a request breaks
 # Noise of single attempts comes from a table, by request, so that it is the same whichever version decides.
-NOISES, LEAST_NOISE = 8_191, 0.2
+NOISES, MIN_NOISE = 8_191, 0.2
 
 
 class World:
     """Everything that there is on one day; a day is played once."""
 
     def __init__(
-        self, day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Watch | None = None
+        self, day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Trace | None = None
     ) -> None:
         self.day, self.version, self.watch = day, version, watch
         self.events = Events()
@@ -48,11 +48,11 @@
             Registry(day.discovery, self.events, Stream(day.seed, "discovery", t))
             for t in range(len(day.tiers))
         ]
-        self.hosts: list[list[Host]] = [[] for _ in day.tiers]
-        self._recorder = Recorder(self.events, self.boxes, self.hosts, self.marks)
+        self.balancers: list[list[Balancer]] = [[] for _ in day.tiers]
+        self._recorder = Recorder(self.events, self.boxes, self.balancers, self.marks)
         self._settings: list[Any] = []
         self._build()
-        self.front = Front(self.hosts[0], day.fleet.uneven, Stream(day.seed, "front"))
+        self.front = Front(self.balancers[0], day.fleet.uneven, Stream(day.seed, "front"))
         self.clients = Clients(self, rate_windows(self, troubles))
         notice = Stream(day.seed, "front notice")
         self.restarts = Restarts(self.front, self.events, day.network.front_notice_ms, notice)
@@ -65,23 +65,25 @@
         for tier, machines in enumerate(day.machines):
             for machine in machines:
                 self.boxes[machine.name] = Box(machine, day.tiers[tier], self.events, day.seed)
-            self.registries[tier].list_at_start(
+            self.registries[tier].set_initial_entries(
                 [Entry(m.name, Phase.READY, m.zone, m.cell) for m in machines]
             )
         zones = day.network.zones
         for i in range(day.fleet.balancers_front):
-            self.hosts[0].append(Host(self, 0, i, zones[i % len(zones)], self.registries[0]))
+            self.balancers[0].append(Balancer(self, 0, i, zones[i % len(zones)], self.registries[0]))
         for box in list(self.boxes.values()):
-            self._put_balancer_beside(box)
-        counts = [len(hosts) for hosts in self.hosts]
+            self._add_local_balancer(box)
+        counts = [len(balancers) for balancers in self.balancers]
         seen = [max(round(count * day.fleet.seen), 1) for count in counts]
         self._settings = [self.version.settings(day, t, seen[t]) for t in range(len(day.tiers))]
 
-    def _put_balancer_beside(self, box: Box) -> None:
+    def _add_local_balancer(self, box: Box) -> None:
         tier = box.number + 1
         if tier < len(self.day.tiers):
-            box.beside = Host(self, tier, len(self.hosts[tier]), box.zone, self.registries[tier])
-            self.hosts[tier].append(box.beside)
+            box.local_balancer = Balancer(
+                self, tier, len(self.balancers[tier]), box.zone, self.registries[tier]
+            )
+            self.balancers[tier].append(box.local_balancer)
 
     def settings(self, tier: int) -> Any:
         """What an instance that calls a tier is told."""
@@ -95,10 +97,10 @@
         """A list entry in the words of the module's contract."""
         known = self._members.get(entry)
         if known is None:
-            face = self.version.face
-            known = self._members[entry] = face.Member(
+            interface = self.version.interface
+            known = self._members[entry] = interface.Member(
                 entry.server,
-                face.Readiness[entry.phase.name],
+                interface.Readiness[entry.phase.name],
                 entry.zone,
                 entry.cell,
                 1.0,
@@ -119,13 +121,13 @@
 
     # ---- the day ---------------------------------------------------------------------------------
 
-    def play(self) -> Played:
+    def play(self) -> DayResult:
         """Play the day: arrivals for its length, and then on until all is answered."""
         fault = None
         try:
-            for hosts in self.hosts:
-                for host in hosts:
-                    host.start()
+            for balancers in self.balancers:
+                for balancer in balancers:
+                    balancer.start()
             for box in self.boxes.values():
                 if box.pause_ms > 0 or box.pause_every_ms > 0:
                     box.plan_pause()
@@ -133,28 +135,28 @@
             self._recorder.begin()
             longest = max(c.deadline_ms for c in self.day.classes) + self.day.site.rules.answer_slack_ms
             self.events.run(START_MS + self.day.fleet.length_ms + longest)
-        except Fault as error:
+        except ContractViolation as error:
             fault = str(error)
         return self._recorder.played(self.day, self.judge, self.fallen, fault)
 
     # ---- requests at boxes -----------------------------------------------------------------------
 
-    def box_receives(self, attempt: Attempt) -> bool:
+    def deliver_request(self, attempt: Attempt) -> bool:
         """A request's last byte is at its box; whether it is turned away."""
-        box, first, tier = attempt.box, attempt.call.first, attempt.box.tier
-        first.received += 1
-        noise = self._noise[(first.number * 61 + first.received * 17 + box.number) % NOISES]
-        share = tier.work_share * max(1.0 + first.cls.attempt_noise * noise, LEAST_NOISE)
-        work = first.work_ms * share
+        box, client_request, tier = attempt.box, attempt.call.client_request, attempt.box.tier
+        client_request.received += 1
+        noise = self._noise[(client_request.number * 61 + client_request.received * 17 + box.number) % NOISES]
+        share = tier.work_share * max(1.0 + client_request.cls.attempt_noise * noise, MIN_NOISE)
+        work = client_request.work_ms * share
         if box.budget is not None and not box.fallen:
-            told = attempt.call.host.knows_start(box)
-            if box.budget.sent(work, told, box.power(), self.events.now):
-                self._falls(box)
-                self.events.after(RESET_WAIT_MS, attempt.call.host.reset_by_box, attempt)
+            informed = attempt.call.balancer.is_start_known(box)
+            if box.budget.add_work(work, informed, box.power(), self.events.now):
+                self._overload_box(box)
+                self.events.after(RESET_WAIT_MS, attempt.call.balancer.on_box_reset, attempt)
                 return False
         last = box.number + 1 >= len(self.day.tiers)
-        calls = 0 if last else first.calls[box.number]
-        visit = Visit(self, attempt, work, first.cls.wait_ms * share, calls)
+        calls = 0 if last else client_request.calls[box.number]
+        visit = Visit(self, attempt, work, client_request.cls.wait_ms * share, calls)
         if attempt.handshake:
             visit.extra_ms = tier.handshake_work_ms
         attempt.visit = visit
@@ -162,7 +164,7 @@
             if self.watch is not None:
                 self.watch.line(
                     self.events.now,
-                    first,
+                    client_request,
                     "",
                     box.name,
                     f"request {attempt.call.number} at the box,"
@@ -172,23 +174,23 @@
         attempt.visit = None
         return True
 
-    def box_answers(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
+    def deliver_response(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
         """A box has an answer; it may be lost on its way."""
-        host, box = attempt.call.host, attempt.box
+        balancer, box = attempt.call.balancer, attempt.box
         if self.watch is not None:
             self.watch.line(
                 self.events.now,
-                attempt.call.first,
+                attempt.call.client_request,
                 "",
                 box.name,
                 f"request {attempt.call.number} {'answered' if served else 'failed'}",
             )
-        if attempt.over or host.life != attempt.life:
+        if attempt.over or balancer.life != attempt.life:
             return
-        if self.network.is_cut(host.zone, box.zone) or self.network.loses_answer():
+        if self.network.is_cut(balancer.zone, box.zone) or self.network.loses_answer():
             return
-        way = self.network.delay_ms(host.zone, box.zone)
-        self.events.after(way, host.answered, (attempt, served, loss, box.report(), visit.useful_ms))
+        way = self.network.delay_ms(balancer.zone, box.zone)
+        self.events.after(way, balancer.on_response, (attempt, served, loss, box.report(), visit.useful_ms))
 
     def reset_wait_ms(self) -> float:
         """How long a request is under way before its connection breaks."""
@@ -203,58 +205,64 @@
 
     def _end_process(self, box: Box, silent: bool) -> None:
         died = box.stop(silent)
-        if box.beside is not None and box.beside.alive:
-            box.beside.stop()
+        if box.local_balancer is not None and box.local_balancer.alive:
+            box.local_balancer.stop()
         if silent:
             return
         for visit in died:
             attempt = visit.attempt
             if not attempt.over:
-                way = self.network.delay_ms(attempt.call.host.zone, box.zone)
-                if not attempt.call.host.is_cut_from(box):
-                    self.events.after(way, attempt.call.host.reset_by_box, attempt)
+                way = self.network.delay_ms(attempt.call.balancer.zone, box.zone)
+                if not attempt.call.balancer.is_cut_from(box):
+                    self.events.after(way, attempt.call.balancer.on_box_reset, attempt)
 
-    def _falls(self, box: Box) -> None:
+    def _overload_box(self, box: Box) -> None:
         """A cold box is pushed over and stays out of service."""
         assert box.budget is not None
         self.fallen += 1
-        if box.budget.by_told_share() >= COLD_SHARE:
-            self.judge.break_rule("cold", f"{box.name} was pushed over {box.started_ms - START_MS:.0f} ms")
+        if box.budget.informed_share() >= COLD_SHARE:
+            self.judge.record_violation(
+                "cold", f"{box.name} was pushed over {box.started_ms - START_MS:.0f} ms"
+            )
         self._end_process(box, silent=False)
         box.fallen = True
-        self.registries[box.number].tell(self._entry(box, Phase.GONE), self.day.discovery.notice_ms)
+        self.registries[box.number].report_change(self._entry(box, Phase.GONE), self.day.discovery.notice_ms)
 
-    def box_vanishes(self, box: Box) -> None:
+    def vanish_box(self, box: Box) -> None:
         """The machine is gone without a word."""
         if box.up:
             self._end_process(box, silent=True)
-            self.registries[box.number].tell(
+            self.registries[box.number].report_change(
                 self._entry(box, Phase.GONE), self.day.discovery.silent_notice_ms
             )
 
-    def box_drains(self, box: Box) -> None:
+    def drain_box(self, box: Box) -> None:
         """It completes what it holds and wants nothing new."""
         if box.up:
             box.draining = True
-            self.registries[box.number].tell(self._entry(box, Phase.DRAINING), self.day.discovery.add_ms)
+            self.registries[box.number].report_change(
+                self._entry(box, Phase.DRAINING), self.day.discovery.add_ms
+            )
 
-    def box_stops(self, box: Box) -> None:
+    def stop_box(self, box: Box) -> None:
         """Its process ends: connections are reset, new ones refused."""
         if box.up:
             self._end_process(box, silent=False)
-            self.registries[box.number].tell(self._entry(box, Phase.GONE), self.day.discovery.notice_ms)
+            self.registries[box.number].report_change(
+                self._entry(box, Phase.GONE), self.day.discovery.notice_ms
+            )
 
-    def box_starts(self, box: Box) -> None:
+    def start_box(self, box: Box) -> None:
         """A new process on the same machine, cold, with a new balancer beside it."""
         if box.up or box.fallen:
             return
         rules = self.day.site.rules
         box.start(rules.fall_multiple, rules.fall_ms)
-        if box.beside is not None:
-            box.beside.start()
-        self.registries[box.number].tell(self._entry(box, Phase.READY), self.day.discovery.add_ms)
+        if box.local_balancer is not None:
+            box.local_balancer.start()
+        self.registries[box.number].report_change(self._entry(box, Phase.READY), self.day.discovery.add_ms)
 
-    def box_replaced(self, box: Box) -> None:
+    def replace_box(self, box: Box) -> None:
         """Another machine takes its place, under a name of its own."""
         old = box.figures
         count = sum(1 for name in self.boxes if name.startswith(f"{old.name}-new"))
@@ -263,12 +271,12 @@
         new = Box(machine, box.tier, self.events, self.day.seed)
         new.up = False
         self.boxes[machine.name] = new
-        self._put_balancer_beside(new)
+        self._add_local_balancer(new)
         if new.pause_ms > 0:
             new.plan_pause()
-        self.box_starts(new)
+        self.start_box(new)
 
 
-def play(day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Watch | None = None) -> Played:
+def play(day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Trace | None = None) -> DayResult:
     """Play one day with one version of the module."""
     return World(day, troubles, version, watch).play()
--- a/mastturn/lab/losses.py
+++ b/mastturn/lab/losses.py
@@ -6,10 +6,10 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from mastturn.emulator.calls import Cause, First
+from mastturn.emulator.calls import ClientRequest, LossCause
 from mastturn.emulator.events import START_MS
-from mastturn.emulator.judge import counted, is_served
-from mastturn.emulator.record import Played
+from mastturn.emulator.judge import counted_requests, is_served
+from mastturn.emulator.record import DayResult
 
 UNANSWERED = "still open at the end"
 
@@ -26,30 +26,30 @@
     by_second: dict[int, float]  # share of the worth asked, by the second of arrival
 
 
-def _where(first: First, tiers: list[str]) -> tuple[str, str]:
-    if first.loss is None:
+def _where(client_request: ClientRequest, tiers: list[str]) -> tuple[str, str]:
+    if client_request.loss is None:
         return "client", UNANSWERED
-    late = first.served_ms >= 0
-    cause = Cause.ON_THE_WAY if late else first.loss.cause
-    return tiers[first.loss.tier], "answered after its aim" if late else cause.value
+    late = client_request.served_ms >= 0
+    cause = LossCause.ON_THE_WAY if late else client_request.loss.cause
+    return tiers[client_request.loss.tier], "answered after its aim" if late else cause.value
 
 
-def losses(played: Played) -> list[Lost]:
+def losses(played: DayResult) -> list[Lost]:
     """Every cause, the dearest first."""
-    firsts = counted(played.judge.firsts)
-    asked = sum(f.worth for f in firsts) or 1.0
+    client_requests = counted_requests(played.judge.client_requests)
+    asked = sum(f.worth for f in client_requests) or 1.0
     tiers = [tier.name for tier in played.day.tiers]
-    found: dict[tuple[str, str], list[First]] = defaultdict(list)
-    for first in firsts:
-        if not is_served(first):
-            found[_where(first, tiers)].append(first)
+    found: dict[tuple[str, str], list[ClientRequest]] = defaultdict(list)
+    for client_request in client_requests:
+        if not is_served(client_request):
+            found[_where(client_request, tiers)].append(client_request)
     lost = []
     for (tier, cause), group in found.items():
         classes: dict[str, float] = defaultdict(float)
         seconds: dict[int, float] = defaultdict(float)
-        for first in group:
-            classes[first.cls.name] += first.worth / asked
-            seconds[int((first.arrived_ms - START_MS) // 1000)] += first.worth / asked
+        for client_request in group:
+            classes[client_request.cls.name] += client_request.worth / asked
+            seconds[int((client_request.arrived_ms - START_MS) // 1000)] += client_request.worth / asked
         worth = sum(f.worth for f in group) / asked
         lost.append(Lost(tier, cause, worth, len(group), dict(classes), dict(sorted(seconds.items()))))
     return sorted(lost, key=lambda item: (-item.worth_share, item.tier, item.cause))
--- a/mastturn/lab/outcome.py
+++ b/mastturn/lab/outcome.py
@@ -9,8 +9,8 @@
 
 from mastturn.emulator.day import Day
 from mastturn.emulator.events import START_MS
-from mastturn.emulator.judge import RULES, Judge, Parts, counted, is_served
-from mastturn.emulator.record import Played
+from mastturn.emulator.judge import RULES, Judge, Score, counted_requests, is_served
+from mastturn.emulator.record import DayResult
 from mastturn.lab.losses import Lost, losses
 
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
@@ -23,25 +23,29 @@
     return {"value": round(value, 6), "unit": unit}
 
 
-def latencies(played: Played) -> HdrHistogram:
+def latencies(played: DayResult) -> HdrHistogram:
     """Times of the answers that were served, in microseconds, from the client's first try."""
     histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-    for first in counted(played.judge.firsts):
-        if first.served_ms >= 0:
-            histogram.record_value(max(LOWEST_US, int((first.served_ms - first.arrived_ms) * 1000)))
+    for client_request in counted_requests(played.judge.client_requests):
+        if client_request.served_ms >= 0:
+            histogram.record_value(
+                max(LOWEST_US, int((client_request.served_ms - client_request.arrived_ms) * 1000))
+            )
     return histogram
 
 
-def _series(played: Played) -> dict[str, Any]:
+def _series(played: DayResult) -> dict[str, Any]:
     """Figures of each second, for pictures."""
     length = int(played.day.fleet.length_ms // 1000)
     asked, served, refused = ([0.0] * length for _ in range(3))
-    for first in played.judge.firsts:
-        second = int((first.arrived_ms - START_MS) // 1000)
+    for client_request in played.judge.client_requests:
+        second = int((client_request.arrived_ms - START_MS) // 1000)
         if second < length:
-            asked[second] += first.worth
-            served[second] += first.worth * is_served(first)
-            refused[second] += first.worth * (not is_served(first) and first.served_ms < 0)
+            asked[second] += client_request.worth
+            served[second] += client_request.worth * is_served(client_request)
+            refused[second] += client_request.worth * (
+                not is_served(client_request) and client_request.served_ms < 0
+            )
     samples = [s for s in played.samples if s.at_ms <= played.day.fleet.length_ms]
     return {
         "unit": "worth asked, served, unanswered in each second of arrival; calls out; cores in use",
@@ -54,7 +58,7 @@
     }
 
 
-def _parts(parts: Parts) -> dict[str, Any]:
+def _parts(parts: Score) -> dict[str, Any]:
     return {
         "whole": _figure(parts.whole, SHARE),
         "worst_window": _figure(parts.worst_window, f"{SHARE}, of the worst 10 s"),
@@ -63,11 +67,11 @@
     }
 
 
-def _counts(played: Played) -> dict[str, Any]:
+def _counts(played: DayResult) -> dict[str, Any]:
     judge = played.judge
-    served = sum(is_served(f) for f in judge.firsts)
+    served = sum(is_served(f) for f in judge.client_requests)
     return {
-        "requests": _figure(len(judge.firsts), "clients' first tries"),
+        "requests": _figure(len(judge.client_requests), "clients' first tries"),
         "served": _figure(served, "first tries answered within their aim"),
         "unreached": _figure(judge.counts["unreached by clients"], "tries that met no balancer"),
         "later_tries": _figure(judge.counts["later tries"], "tries"),
@@ -89,7 +93,7 @@
     }
 
 
-def _latency(played: Played) -> dict[str, Any]:
+def _latency(played: DayResult) -> dict[str, Any]:
     histogram = latencies(played)
     return {
         **{f"p{q:g}": _figure(histogram.get_value_at_percentile(q) / 1000, "ms") for q in QUANTILES},
@@ -123,7 +127,7 @@
     }
 
 
-def as_values(name: str, version: str, played: Played, series: bool = True) -> dict[str, Any]:
+def as_values(name: str, version: str, played: DayResult, series: bool = True) -> dict[str, Any]:
     """One run as plain values, each with its unit; nothing in it depends on when or where it ran."""
     judge, parts = played.judge, played.parts
     result: dict[str, Any] = {
--- a/mastturn/report/tables.py
+++ b/mastturn/report/tables.py
@@ -6,7 +6,7 @@
 
 from rich.table import Table
 
-from mastturn.emulator.watch import Line
+from mastturn.emulator.watch import TraceLine
 from mastturn.lab.compare import Difference
 from mastturn.lab.scenario import Scenario
 from mastturn.lab.validate import Cell
@@ -108,7 +108,7 @@
     return table
 
 
-def lines(found: list[Line]) -> Table:
+def lines(found: list[TraceLine]) -> Table:
     """A trace, line by line."""
     table = Table(box=None, pad_edge=False, header_style="bold")
     for column in ("ms", "request", "balancer", "box", "what"):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,7 +19,7 @@
 from mastturn.emulator.machine import Box
 from mastturn.emulator.visit import Visit
 from tests.worlds import FLEET, Scripted, a_day, played, version
-from umberworks import interface as face
+from umberworks import interface
 
 TIER = TierFigures("front", 0.3, 1.0, 500.0, 100.0, 0.0, 1.0, 1.0, 15_000.0, 150.0, 0.0, None)
 MACHINE = Machine("m", 0, "z", 0, "k", 1, 1.0, 100, 2, 0.0, 1e9, 0.5, 4_000.0, 1e9, 0.0, 0.0, 1_000)
@@ -35,7 +35,7 @@
     def begin(self) -> None:
         self.box.work(cast(Visit, self), self.work_ms)
 
-    def worked(self) -> None:
+    def on_work_done(self) -> None:
         self.done = self.events.now
         self.box.leave(cast(Visit, self))
 
@@ -93,10 +93,10 @@
 
 def test_a_cold_box_falls_over_by_work_sent_within_a_window_not_by_the_same_work_over_longer() -> None:
     quick, slow = ColdBudget(2.5, 2_000.0), ColdBudget(2.5, 2_000.0)
-    fell = [quick.sent(600.0, True, 1.0, 100.0 * i) for i in range(20)]
+    fell = [quick.add_work(600.0, True, 1.0, 100.0 * i) for i in range(20)]
     assert any(fell)
-    assert quick.by_told_share() == 1.0
-    assert not any(slow.sent(600.0, True, 1.0, 300.0 * i) for i in range(20))
+    assert quick.informed_share() == 1.0
+    assert not any(slow.add_work(600.0, True, 1.0, 300.0 * i) for i in range(20))
 
 
 def test_crowding_slows_a_box_and_a_pause_stops_it() -> None:
@@ -113,11 +113,11 @@
 
 def test_a_crowd_that_stays_chokes_a_box_until_it_has_rested() -> None:
     choke = Choke(ChokeFigures(4.0, 2_000.0, 3.0, 3_000.0, 0.4, 22_000.0, 0.06))
-    assert not choke.follow(5, 1, 0.0)
-    assert not choke.follow(5, 1, 1_900.0)
-    assert choke.follow(5, 1, 2_000.0) and choke.factor() == 3.0
-    assert not choke.follow(0, 1, 3_000.0)
-    assert choke.follow(0, 1, 6_000.0) and choke.factor() == 1.0
+    assert not choke.update(5, 1, 0.0)
+    assert not choke.update(5, 1, 1_900.0)
+    assert choke.update(5, 1, 2_000.0) and choke.factor() == 3.0
+    assert not choke.update(0, 1, 3_000.0)
+    assert choke.update(0, 1, 6_000.0) and choke.factor() == 1.0
 
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.5), (1, 0.7), (3, 0.7)])
@@ -147,14 +147,14 @@
     assert first.digest == again.digest and first.parts == again.parts and first.events == again.events
     assert first.digest != other.digest
     assert first.fault is None and not sum(first.judge.rules.values())
-    assert len(first.judge.firsts) > 50 and first.parts.whole > 0.8
+    assert len(first.judge.client_requests) > 50 and first.parts.whole > 0.8
 
 
 def test_a_trouble_leaves_the_draws_of_the_clients_alone() -> None:
     slow = troubles.Slow(at_s=2.0, for_s=4.0, part=0.5, slower=5.0)
     calm, rough = played(), played(slow)
-    assert [(f.arrived_ms, f.work_ms, f.brand) for f in calm.judge.firsts] == [
-        (f.arrived_ms, f.work_ms, f.brand) for f in rough.judge.firsts
+    assert [(f.arrived_ms, f.work_ms, f.brand) for f in calm.judge.client_requests] == [
+        (f.arrived_ms, f.work_ms, f.brand) for f in rough.judge.client_requests
     ]
     assert rough.digest != calm.digest
 
@@ -164,18 +164,18 @@
     calm = draw_arrivals(day, [])
     burst = draw_arrivals(day, [RateWindow(2_000.0, 4_000.0, 4.0)])
 
-    def inside(firsts: list[Any]) -> int:
-        return sum(102_000 <= f.arrived_ms < 104_000 for f in firsts)
+    def inside(client_requests: list[Any]) -> int:
+        return sum(102_000 <= f.arrived_ms < 104_000 for f in client_requests)
 
     assert inside(burst) > 2 * inside(calm)
 
 
 def test_every_request_of_a_day_ends_and_a_served_one_counts() -> None:
     day = played()
-    assert all(f.ended_ms > f.arrived_ms for f in day.judge.firsts)
+    assert all(f.ended_ms > f.arrived_ms for f in day.judge.client_requests)
     for tier, ended in enumerate(day.judge.ended):
         assert sum(ended.values()) + day.judge.counts["left"] <= day.judge.calls[tier]
-    assert 0 < sum(is_served(f) for f in day.judge.firsts) <= len(day.judge.firsts)
+    assert 0 < sum(is_served(f) for f in day.judge.client_requests) <= len(day.judge.client_requests)
     assert day.parts.g < day.parts.whole
     assert day.parts.prices["handshake"] > 0 and day.parts.prices["cross_zone"] > 0
 
@@ -228,33 +228,35 @@
 
 def test_requests_that_hang_at_silent_boxes_are_told_from_slow_ones() -> None:
     day = played(troubles.Silent(at_s=2.0, for_s=5.0, part=0.4))
-    causes = {f.loss.cause.value for f in day.judge.firsts if f.loss is not None and not is_served(f)}
+    causes = {
+        f.loss.cause.value for f in day.judge.client_requests if f.loss is not None and not is_served(f)
+    }
     assert "hung at a silent box" in causes
 
 
 class Raises(Scripted):
-    def arrived(self, event: face.RequestArrived, now: float) -> list[Any]:
+    def arrived(self, event: interface.RequestArrived, now: float) -> list[Any]:
         raise RuntimeError("no idea")
 
 
 class Floods(Scripted):
-    def arrived(self, event: face.RequestArrived, now: float) -> list[Any]:
-        return [face.SetTimer(now + 1, "x")] * 5_000
+    def arrived(self, event: interface.RequestArrived, now: float) -> list[Any]:
+        return [interface.SetTimer(now + 1, "x")] * 5_000
 
 
 class Invents(Scripted):
-    def arrived(self, event: face.RequestArrived, now: float) -> list[Any]:
-        return [face.Send(event.request, "nowhere", 1_000.0)]
+    def arrived(self, event: interface.RequestArrived, now: float) -> list[Any]:
+        return [interface.Send(event.request, "nowhere", 1_000.0)]
 
 
 class SaysNothing(Scripted):
-    def arrived(self, event: face.RequestArrived, now: float) -> list[Any]:
+    def arrived(self, event: interface.RequestArrived, now: float) -> list[Any]:
         return []
 
 
 class SendsTwice(Scripted):
-    def arrived(self, event: face.RequestArrived, now: float) -> list[Any]:
-        return [face.Send(event.request, self.first, 1_000.0)] * 2
+    def arrived(self, event: interface.RequestArrived, now: float) -> list[Any]:
+        return [interface.Send(event.request, self.first, 1_000.0)] * 2
 
 
 @pytest.mark.parametrize(
@@ -284,10 +286,10 @@
     """Sends everything to the server that started last, as soon as it is told of it."""
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        if isinstance(event, face.ListUpdate):
-            ready = [m for m in event.members if m.readiness is face.Readiness.READY]
+        if isinstance(event, interface.ListUpdate):
+            ready = [m for m in event.members if m.readiness is interface.Readiness.READY]
             self.first = max(ready, key=lambda m: m.up_since_ms).server if ready else self.first
-            return [face.Subscribe()] if event.kind is face.ListKind.SAVED else []
+            return [interface.Subscribe()] if event.kind is interface.ListKind.SAVED else []
         return super().handle(event, now)
 
 
@@ -296,17 +298,17 @@
         at_s=0.1, part=0.25, steps=1, step_s=1.0, drain_s=2.0, down_s=0.1, tiers=("front",)
     )
     busy = replace(FLEET, load_share=1.2, length_ms=10_000.0)
-    told = played(release, version=version(ToTheNewest), fleet=busy)
-    assert told.fallen and told.judge.rules["cold"]
+    result = played(release, version=version(ToTheNewest), fleet=busy)
+    assert result.fallen and result.judge.rules["cold"]
 
 
 def test_a_balancer_that_dies_leaves_its_callers_to_come_again() -> None:
     day = played(troubles.KillBalancers(at_s=3.0, part=1.0, down_s=0.5))
     assert day.judge.counts["unreached by clients"] > 0
-    assert any(f.tries > 1 and is_served(f) for f in day.judge.firsts)
+    assert any(f.tries > 1 and is_served(f) for f in day.judge.client_requests)
 
 
 def test_the_installed_module_is_met_through_its_contract_alone() -> None:
     one, two = installed(), installed()
-    assert one.face is not two.face and one.face.Send is not face.Send
+    assert one.interface is not two.interface and one.interface.Send is not interface.Send
     assert played(version=one).digest == played(version=two).digest
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -8,12 +8,12 @@
 
 from mastturn.emulator.contract import Truth, Version, installed
 from mastturn.emulator.day import Day, Fleet, draw
-from mastturn.emulator.record import Played
+from mastturn.emulator.record import DayResult
 from mastturn.emulator.site import Site
 from mastturn.emulator.troubles import Trouble
 from mastturn.emulator.world import World
 from mastturn.lab.scenario import read_site
-from umberworks import interface as face
+from umberworks import interface
 
 FLEET = Fleet(2, 4, 0.4, 4.0, 8_000.0, 0.1)
 
@@ -23,7 +23,9 @@
     return draw(Site(**(values | site)), fleet, seed)
 
 
-def played(*troubles: Trouble, seed: int = 1, version: Version | None = None, fleet: Fleet = FLEET) -> Played:
+def played(
+    *troubles: Trouble, seed: int = 1, version: Version | None = None, fleet: Fleet = FLEET
+) -> DayResult:
     return World(a_day(seed, fleet), troubles, version or installed()).play()
 
 
@@ -34,18 +36,18 @@
         self.first = ""
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        if isinstance(event, face.ListUpdate) and event.members and not self.first:
+        if isinstance(event, interface.ListUpdate) and event.members and not self.first:
             self.first = event.members[0].server
-            return [face.Subscribe()]
-        if isinstance(event, face.RequestArrived):
+            return [interface.Subscribe()]
+        if isinstance(event, interface.RequestArrived):
             return self.arrived(event, now)
-        if isinstance(event, face.AttemptEnded) and not event.answered:
-            return [face.Fail(event.request)]
+        if isinstance(event, interface.AttemptEnded) and not event.answered:
+            return [interface.Fail(event.request)]
         return []
 
-    def arrived(self, event: face.RequestArrived, now: float) -> list[Any]:
-        return [face.Send(event.request, self.first, event.remaining_ms)]
+    def arrived(self, event: interface.RequestArrived, now: float) -> list[Any]:
+        return [interface.Send(event.request, self.first, event.remaining_ms)]
 
 
 def version(kind: type[Scripted]) -> Version:
-    return Version("scripted", face, kind)
+    return Version("scripted", interface, kind)
