--- a/mastturn/capacity/memory.py
+++ b/mastturn/capacity/memory.py
@@ -77,16 +77,16 @@
         began = time.process_time()
         message: Any = KINDS.decode(int.from_bytes(frame[4:6], "big"), frame[6:])
         if role._latest.store(message):
-            role._told(message)
+            role._on_update(message)
         spent = time.process_time() - began
         del message
         gc.collect()
         pipe.send((name, resident_mb(), spent))
-    role._told(Pulse(1, 1, shape.balancers))
+    role._on_update(Pulse(1, 1, shape.balancers))
     for name, batches in (("holdings", 1), ("kept, full", _full(shape))):
         began = time.process_time()
         for batch in range(batches):
-            role._told(_holdings(names, round(MAX_SUBJECTS * share), f"{name[0]}{batch:x}"))
+            role._on_update(_holdings(names, round(MAX_SUBJECTS * share), f"{name[0]}{batch:x}"))
         gc.collect()
         pipe.send((name, resident_mb(), time.process_time() - began))
     pipe.send(None)
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -23,7 +23,7 @@
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Figures, Job
 from mastturn.engines.wire import HEAD_BYTES, Network, SimulatedUpstreams, extra
-from mastturnd.balancing import HOLDINGS_S
+from mastturnd.balancing import HOLDINGS_REPORT_DELAY_S
 from passpost.attempt import Outgoing
 
 MakeTiers = Callable[[random.Random, Callable[[str], bool]], Tiers]
@@ -283,7 +283,7 @@
 
     def _say_later(self, new: tuple[Holding, ...]) -> None:
         if new and not self._unsaid:
-            asyncio.get_running_loop().call_later(HOLDINGS_S, self._say_holdings)
+            asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._say_holdings)
         self._unsaid += new
 
     def _say_holdings(self) -> None:
--- a/mastturnd/__main__.py
+++ b/mastturnd/__main__.py
@@ -22,7 +22,7 @@
 from config.errors import FleetError, SettingsError
 from config.settings import Settings, parse_address
 from mastturnd.roles import BALANCER, CONTROL, ROLES, current_name
-from mastturnd.wrong import WrongCallError
+from mastturnd.wrong import UsageError
 from passpost.listening import listen
 
 OPERATORS = ("status", "config", "drain", "undrain", "trace", "explain")  # their commands
@@ -83,7 +83,7 @@
 
         try:
             rest, log_level = role_flags.parse(argv)
-        except WrongCallError as error:
+        except UsageError as error:
             print(f"{error.problem}; {USAGE}", file=sys.stderr)
             return 2
     role = current_name(rest[0]) if len(rest) == 1 else ""
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -1,8 +1,8 @@
 """The platform's list while no control process is heard of: who asks for it, how often, and who is told.
 
 All balancers that are alone share a part of the platform's rate. Where that lets each of them read the list
-every few seconds they do, in turn. Where they are too many, the first of each zone, by the order of the
-relays, reads it for its zone and tells the others; whoever hears nothing of it reads it in its own turn.
+every few seconds they do, in schedule. Where they are too many, the first of each zone, by the order of the
+relays, reads it for its zone and tells the others; whoever hears nothing of it reads it in its own schedule.
 """
 
 from __future__ import annotations
@@ -27,42 +27,42 @@
 
 ALONE_S = 1.8  # without news for so long we read the platform's list ourselves
 SHARE = 0.25  # of the platform's rate that all balancers may use when they are alone
-LEAST_S = 1.5  # between two readings of one balancer
-EACH_S = 6.0  # a turn of all that is no longer than this needs no readers for others
-MISSED = 2.0  # so many of a reader's periods without its word, and we read ourselves
+MIN_READ_INTERVAL_S = 1.5  # between two readings of one balancer
+EACH_S = 6.0  # a schedule of all that is no longer than this needs no readers for others
+MISSED_READS = 2.0  # so many of a reader's periods without its word, and we read ourselves
 PAGE = 50  # upstreams on a page of the platform's list, until we have read it ourselves
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class ReadSchedule:
     """When one balancer reads the list, in seconds; whom it tells, and whose word spares it."""
 
-    period: float
-    offset: float
-    tells: tuple[str, ...] = ()  # IPs
-    reader: str = ""  # the IP of who reads for us
-    spared_s: float = 0.0  # by each of its words
+    period_s: float
+    offset_s: float
+    recipients: tuple[str, ...] = ()  # IPs
+    reader_ip: str = ""  # the balancer that reads on behalf of this one
+    suppressed_s: float = 0.0  # own reads are suppressed for this long after each list from the reader
 
 
-def turn_of(me: Present, members: Sequence[Present], pages: int, calls_s: float) -> Turn:
-    """The turn of one balancer while all are alone; `calls_s`: pages a second that all may ask for."""
+def schedule_reads(me: Present, members: Sequence[Present], pages: int, calls_s: float) -> ReadSchedule:
+    """The schedule of one balancer while all are alone; `calls_s`: pages a second that all may ask for."""
     count = max(len(members), 1)
     whole = count * pages / calls_s
     place, mine = next(((i, m) for i, m in enumerate(members) if m.node == me.node), (0, None))
     if whole <= EACH_S or mine is None:
-        period = max(LEAST_S, whole)
-        return Turn(period, period * place / count)
+        period = max(MIN_READ_INTERVAL_S, whole)
+        return ReadSchedule(period, period * place / count)
     heads = heads_of(members)
-    read_s = max(LEAST_S, 2 * len(heads) * pages / calls_s)  # half of the rate is theirs
+    read_s = max(MIN_READ_INTERVAL_S, 2 * len(heads) * pages / calls_s)  # half of the rate is theirs
     reader = heads[mine.zone]
     if reader is mine:
         zone = tuple(m.ip for m in members if m.zone == mine.zone and m is not mine)
-        return Turn(read_s, read_s * list(heads).index(mine.zone) / len(heads), zone)
-    spared = MISSED * read_s
-    return Turn(2 * whole, spared + 2 * whole * place / count, (), reader.ip, spared)
+        return ReadSchedule(read_s, read_s * list(heads).index(mine.zone) / len(heads), zone)
+    spared = MISSED_READS * read_s
+    return ReadSchedule(2 * whole, spared + 2 * whole * place / count, (), reader.ip, spared)
 
 
-class LoneReader:
+class FallbackListReader:
     """One balancer's part in it."""
 
     def __init__(
@@ -98,25 +98,27 @@
         return most if self._due is None else min(max(self._due - now, 0.0), most)
 
     async def look(self, now: float) -> None:
-        """Read the list if we are alone and it is our turn."""
+        """Read the list if we are alone and it is our schedule."""
         if self._is_fresh(ALONE_S) or self._latest.configuration is None:
             self._due = None
             return
-        turn = self._turn()
+        schedule = self._turn()
         if self._due is None:
-            self._due = now + turn.offset
-        if turn.reader:
-            self._due = max(self._due, self._spared_at + turn.spared_s)
+            self._due = now + schedule.offset_s
+        if schedule.reader_ip:
+            self._due = max(self._due, self._spared_at + schedule.suppressed_s)
         if now >= self._due:
-            self._due = now + turn.period
-            await self._read(turn)
+            self._due = now + schedule.period_s
+            await self._read(schedule)
 
-    def _turn(self) -> Turn:
+    def _turn(self) -> ReadSchedule:
         pages = max(self._platform.pages, math.ceil(self.listed / PAGE))
         members = self._latest.members
-        return turn_of(self._me, members.balancers if members is not None else (), pages, self._calls_s)
+        return schedule_reads(
+            self._me, members.balancers if members is not None else (), pages, self._calls_s
+        )
 
-    async def _read(self, turn: Turn) -> None:
+    async def _read(self, schedule: ReadSchedule) -> None:
         try:
             entries = await self._platform.read()
         except PlatformError as error:
@@ -126,15 +128,15 @@
             return
         page = pack(self._cold_times.stabilize(entries, asyncio.get_running_loop().time()))
         is_new, news, kinds = self._take(page), self._latest.upstreams, self._links.kinds
-        if news is None or not turn.tells:
+        if news is None or not schedule.recipients:
             return
         frame = compress_frame(kinds.encode(news)) if is_new else kinds.encode(unchanged_list(news))
-        for ip in turn.tells:
+        for ip in schedule.recipients:
             self._links.send_frame(Endpoint(ip, self._port), frame)
 
     def heard(self, ip: str, message: UpstreamNews | UpstreamChange) -> None:
         """A balancer's word on the list: that of our zone's reader counts while we are alone."""
-        if self._is_fresh(ALONE_S) or ip != self._turn().reader:
+        if self._is_fresh(ALONE_S) or ip != self._turn().reader_ip:
             return
         if isinstance(message, UpstreamChange):
             try:
--- a/mastturnd/asking.py
+++ b/mastturnd/asking.py
@@ -13,12 +13,12 @@
 
 from config.errors import SettingsError
 from config.settings import parse_address
-from mastturnd.wrong import UnansweredError, WrongCallError
+from mastturnd.wrong import NoAnswerError, UsageError
 
 SILENT_S = 2.0  # of one process; then another is asked
-MOST_WORDS = 500  # characters of an error
-MOST_BODY = 16 * 1024 * 1024  # bytes of an answer
-REDIRECTS = 2
+MAX_ERROR_CHARS = 500  # characters of an error
+MAX_BODY_BYTES = 16 * 1024 * 1024  # bytes of an answer
+MAX_REDIRECTS = 2
 AGAIN_S = 0.4  # until one process is asked again
 PAUSE_S, PAUSE_GROWS, PAUSE_MOST_S = 0.1, 1.6, 1.0  # between two rounds
 
@@ -30,47 +30,47 @@
     status: int
     headers: Mapping[str, str]  # names in lower case
     body: bytes
-    by: str
+    endpoint: str
 
     def json(self) -> dict[str, Any]:
-        """The object that it holds; raises UnansweredError."""
+        """The object that it holds; raises NoAnswerError."""
         try:
             found = json.loads(self.body)
         except (ValueError, RecursionError):
             found = None
         if not isinstance(found, dict):
-            raise UnansweredError(f"{self.by} answers with no JSON", "see that it is one of ours")
+            raise NoAnswerError(f"{self.endpoint} answers with no JSON", "see that it is one of ours")
         return found
 
-    def words(self) -> str:
+    def error_text(self) -> str:
         """What it says in a few words, on one line."""
         try:
-            return " ".join(str(json.loads(self.body)["error"]).split())[:MOST_WORDS]
+            return " ".join(str(json.loads(self.body)["error"]).split())[:MAX_ERROR_CHARS]
         except (ValueError, KeyError, TypeError, RecursionError):
             return f"status {self.status}"
 
 
-def address(text: str) -> str:
-    """An `IP:PORT`, checked; raises WrongCallError."""
+def parse_endpoint(text: str) -> str:
+    """An `IP:PORT`, checked; raises UsageError."""
     try:
         host, port = parse_address(text)
     except SettingsError as error:
-        raise WrongCallError(error.problem, error.remedy) from None
+        raise UsageError(error.problem, error.remedy) from None
     return f"{host}:{port}"
 
 
-def once(
-    by: str,
+def call_once(
+    endpoint: str,
     method: str,
     target: str,
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
     silent_s: float = SILENT_S,
-    most: int = MOST_BODY,
+    most: int = MAX_BODY_BYTES,
 ) -> Answer | None:
     """One call to one process; None without a whole answer of `most` bytes within the silence (s)."""
     try:
-        host, port = parse_address(by)
+        host, port = parse_address(endpoint)
         with contextlib.closing(http.client.HTTPConnection(host, port, timeout=silent_s)) as connection:
             connection.request(method, target, body, dict(headers or {}))
             answer = connection.getresponse()
@@ -80,7 +80,7 @@
         return None
     if len(held) > most or not is_whole:
         return None
-    return Answer(answer.status, {k.lower(): v for k, v in answer.getheaders()}, held, by)
+    return Answer(answer.status, {k.lower(): v for k, v in answer.getheaders()}, held, endpoint)
 
 
 def _is_whole(answer: http.client.HTTPResponse) -> bool:
@@ -91,11 +91,11 @@
     return answer.chunked or answer.length == 0
 
 
-def patiently(by: str, target: str, within_s: float) -> Answer | None:
+def call_until_answered(endpoint: str, target: str, within_s: float) -> Answer | None:
     """One process's answer, asked again where it gives none or is asked too often; None after `within_s`."""
     until = time.monotonic() + within_s
     while True:
-        answer = once(by, "GET", target, silent_s=within_s)
+        answer = call_once(endpoint, "GET", target, silent_s=within_s)
         if answer is not None and answer.status != 429:
             return answer
         if time.monotonic() + AGAIN_S >= until:
@@ -103,25 +103,25 @@
         time.sleep(AGAIN_S)
 
 
-def _along(
-    by: str, method: str, target: str, body: bytes | None, headers: Mapping[str, str] | None
+def _call_following_redirects(
+    endpoint: str, method: str, target: str, body: bytes | None, headers: Mapping[str, str] | None
 ) -> Answer | None:
     """One call, also to where it is sent on; None without a clear answer."""
-    for _ in range(REDIRECTS + 1):
-        answer = once(by, method, target, body, headers)
+    for _ in range(MAX_REDIRECTS + 1):
+        answer = call_once(endpoint, method, target, body, headers)
         if answer is None or answer.status >= 500 or answer.status in (408, 429):
             return None
         if answer.status != 307:
             return answer
         place = answer.headers.get("location", "").removeprefix("http://").partition("/")[0]
         try:
-            by = address(place)
-        except WrongCallError:
+            endpoint = parse_endpoint(place)
+        except UsageError:
             return None
     return None
 
 
-def any_of(
+def call_any(
     ctl: list[str],
     method: str,
     target: str,
@@ -129,10 +129,10 @@
     headers: Mapping[str, str] | None = None,
     within_s: float = 8.0,
 ) -> Answer:
-    """The clear answer of whoever gives one, asked in turn until `within_s`; raises UnansweredError."""
+    """The clear answer of whoever gives one, asked in turn until `within_s`; raises NoAnswerError."""
     until, pause = time.monotonic() + within_s, PAUSE_S
     for number in itertools.count(1):
-        answer = _along(ctl[(number - 1) % len(ctl)], method, target, body, headers)
+        answer = _call_following_redirects(ctl[(number - 1) % len(ctl)], method, target, body, headers)
         if answer is not None:
             return answer
         if time.monotonic() >= until:
@@ -141,7 +141,7 @@
             time.sleep(pause)
             pause = min(pause * PAUSE_GROWS, PAUSE_MOST_S)
     asked = ", ".join(ctl)
-    raise UnansweredError(
+    raise NoAnswerError(
         f"none of {asked} gives a clear answer to {method} {target} within {within_s:g} s",
         "see that a majority of the control processes runs, or give --ctl=IP:PORT of others",
     )
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -46,7 +46,7 @@
     UpstreamNews,
 )
 from mastturnd import draining, logs
-from mastturnd.alone import LoneReader
+from mastturnd.alone import FallbackListReader
 from mastturnd.load_exchange import LoadExchange
 from transport.endpoint import Endpoint
 from transport.links import Links
@@ -54,7 +54,7 @@
 from transport.wire import EDITION, Link, MessageKinds
 
 KINDS = MessageKinds().include(messages.KINDS)
-HOLDINGS_S = 0.1  # what was seen read is reported no sooner after the report before
+HOLDINGS_REPORT_DELAY_S = 0.1  # what was seen read is reported no sooner after the report before
 SILENT_S = 2.5  # a balancer below us that says nothing for so long has gone
 
 
@@ -85,7 +85,7 @@
             self._latest,
             Ports(settings.control_port, settings.balancer_port),
             settings.seed_ips,
-            self._told,
+            self._on_update,
             self._feed.present,
             self._attached,
             self._loads.sum.resend_steps,
@@ -93,13 +93,13 @@
         )
         self._doubts = FailureExchange(self.balancer, self._latest, self._follower.send)
         self._platform = PlatformList(parse_address(settings.cloud_api.addr), settings.cloud_api.rate_per_s)
-        self._lone = LoneReader(
+        self._lone = FallbackListReader(
             me,
             self._platform,
             self._latest,
             self._links,
             self._follower.is_fresh,
-            self._told,
+            self._on_update,
             settings.balancer_port,
         )
         self._lone.allow(settings.cloud_api.rate_per_s)
@@ -218,7 +218,7 @@
 
     def _say_later(self, new: tuple[Holding, ...]) -> None:
         if new and not self._unsaid:
-            asyncio.get_running_loop().call_later(HOLDINGS_S, self._say_holdings)
+            asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._say_holdings)
         self._unsaid += new
 
     def _say_holdings(self) -> None:
@@ -232,7 +232,7 @@
         self._doubts.sum.resend()
         self._follower.send(HoldingReport(self._holdings.first_hand()))
 
-    def _told(self, message: Any, new: Any = None) -> None:
+    def _on_update(self, message: Any, new: Any = None) -> None:
         """A newer piece of news: on to whoever hears it from us, and in force here. `new`: see `Follower`."""
         match message:
             case UpstreamNews():
--- a/mastturnd/commands.py
+++ b/mastturnd/commands.py
@@ -19,10 +19,10 @@
 from config.errors import FleetError
 from config.settings import Settings, parse_address
 from mastturnd import asking, configuring, fleet_status, present, salvage, tracing
-from mastturnd.draining import names_of
+from mastturnd.draining import drained_nodes
 from mastturnd.explanation import lines_of_explanation
 from mastturnd.tables import table
-from mastturnd.wrong import DIFFERS, DONE, FAILED, WRONG_CALL, FailedError, UnansweredError, WrongCallError
+from mastturnd.wrong import DIFFERS, DONE, FAILED, USAGE_ERROR, CommandFailedError, NoAnswerError, UsageError
 
 USAGE = """usage: python3 -m mastturnd COMMAND [FLAGS]
   status                     who leads, what each process has, who is present, what differs
@@ -90,11 +90,11 @@
             own = self._settings.listen.ctl
             given = list(dict.fromkeys([*([own] if own else []), *self._settings.seed_addrs]))
         if not given:
-            raise WrongCallError(
+            raise UsageError(
                 "no control process is known",
                 f"give --ctl=IP:PORT, or let {settings_file.VARIABLE} name a settings file",
             )
-        return [asking.address(part) for part in given]
+        return [asking.parse_endpoint(part) for part in given]
 
     def _readyz_port(self) -> int | None:
         if self._given.readyz_port:
@@ -109,27 +109,27 @@
     def status(self) -> Report:
         """The whole fleet."""
         found = present.fleet(self._ctl(), self._readyz_port(), self._within_s)
-        return Report(found, fleet_status.lines_of(found), DIFFERS if found["differs"] else DONE)
+        return Report(found, fleet_status.format_lines(found), DIFFERS if found["differs"] else DONE)
 
     def explain(self, where: str) -> Report:
         """One balancer's ready sets, and its next choices."""
         if ":" in where:
-            place = asking.address(where)
+            place = asking.parse_endpoint(where)
         else:
             port = self._readyz_port()
             if port is None:
-                raise WrongCallError(
+                raise UsageError(
                     "the port of the balancers' readiness is not known",
                     "give --readyz_port, or IP:PORT for NODE",
                 )
             place = f"{self._balancer(where)['ip']}:{port}"
         choices = int(self._given.choices)
         target = "/api/explain" + (f"?next={choices}" if choices else "")
-        answer = asking.patiently(place, target, max(self._within_s, 5.0))
+        answer = asking.call_until_answered(place, target, max(self._within_s, 5.0))
         if answer is None or answer.status == 404:
-            raise FailedError(f"{place} gives no answer", "name the address of a balancer's readiness")
+            raise CommandFailedError(f"{place} gives no answer", "name the address of a balancer's readiness")
         if answer.status != 200:
-            raise FailedError(f"{place} says: {answer.words()}", "ask again")
+            raise CommandFailedError(f"{place} says: {answer.error_text()}", "ask again")
         return Report(answer.json(), lines_of_explanation(answer.json()))
 
     def _balancer(self, node: str) -> dict[str, Any]:
@@ -137,7 +137,7 @@
         mine = next((b for b in found if b["node"] == node), None)
         if mine is None:
             names = ", ".join(b["node"] for b in found) or "none"
-            raise WrongCallError(f"no balancer {node!r} is present", f"name one of: {names}")
+            raise UsageError(f"no balancer {node!r} is present", f"name one of: {names}")
         return mine
 
     # ---- the configuration
@@ -146,7 +146,7 @@
         """The configuration in force."""
         now = configuring.current(self._ctl(), self._within_s)
         if not now.ver:
-            raise FailedError("no configuration has been taken yet", "put one")
+            raise CommandFailedError("no configuration has been taken yet", "put one")
         return Report(now.raw(), [now.body.decode("utf-8", "replace")])
 
     def put(self, name: str) -> Report:
@@ -192,9 +192,11 @@
 
     def history(self) -> Report:
         """The versions that were taken."""
-        answer = asking.any_of(self._ctl(), "GET", "/api/history", within_s=self._within_s)
+        answer = asking.call_any(self._ctl(), "GET", "/api/history", within_s=self._within_s)
         if answer.status != 200:
-            raise FailedError(f"{answer.by} says: {answer.words()}", "ask a process of this program")
+            raise CommandFailedError(
+                f"{answer.endpoint} says: {answer.error_text()}", "ask a process of this program"
+            )
         found = answer.json()
         rows = [[t["ver"], t["digest"]] for t in found["taken"]]
         return Report(found, table(["VERSION", "DIGEST OF WHAT WAS SENT"], rows))
@@ -203,7 +205,7 @@
         """What a disk holds; nobody is asked."""
         found = salvage.read(folder)
         if not found.ver:
-            raise FailedError(
+            raise CommandFailedError(
                 f"{folder} holds no configuration (epoch {found.epoch})",
                 f"read the disk of a holder: {', '.join(found.holders) or 'not known here'}",
             )
@@ -222,8 +224,8 @@
         return self._change_drain(node, True)
 
     def _see_enough_left(self, node: str) -> None:
-        """Raise WrongCallError where nobody of that name is present, FailedError where too few are left."""
-        gone = names_of(configuring.current(self._ctl(), self._within_s).raw()) or ()
+        """Raise UsageError if the balancer is not present, CommandFailedError if too few would remain."""
+        gone = drained_nodes(configuring.current(self._ctl(), self._within_s).raw()) or ()
 
         def left_of(found: present.Balancers) -> tuple[int, int, str] | None:
             """How many would take new clients, of how many, in which zone."""
@@ -241,9 +243,9 @@
         left = left_of(found)
         if left is None:
             names = ", ".join(b["node"] for b in found) or "none"
-            raise WrongCallError(f"no balancer {node!r} is present", f"name one of: {names}; or give --force")
+            raise UsageError(f"no balancer {node!r} is present", f"name one of: {names}; or give --force")
         if 2 * left[0] < left[1]:
-            raise FailedError(
+            raise CommandFailedError(
                 f"that leaves {left[0]} of {left[1]} balancers of {left[2]}; with under half left, "
                 "the whole zone gets clients",
                 "undrain another first, or give --force",
@@ -273,13 +275,13 @@
         until = time.monotonic() + self._within_s
         try:
             found = present.balancers(self._ctl(), self._within_s, present.named(node))
-        except UnansweredError:
+        except NoAnswerError:
             return None  # the change is taken all the same
         place = next((f"{b['ip']}:{port}" for b in found if b["node"] == node), None)
         told: list[dict[str, Any]] = []
 
         def holds() -> bool:
-            answer = fleet_status.status_of(place) if place is not None else None
+            answer = fleet_status.fetch_status(place) if place is not None else None
             if answer is not None and answer.get("drained") == drains:
                 told.append(answer)
             return bool(told)
@@ -294,7 +296,7 @@
         """One request's lines."""
         found = tracing.trace(request, list(logs))
         if not found:
-            raise FailedError(
+            raise CommandFailedError(
                 f"no line of {len(logs)} files names request {request}",
                 "lines on requests that go well are written at level DEBUG only: set log_levels",
             )
@@ -308,7 +310,7 @@
 
 
 def _find(commands: Commands, words: list[str]) -> Callable[[], Report]:
-    """The command that the words name; raises WrongCallError."""
+    """The command that the words name; raises UsageError."""
     one = {"drain": commands.drain, "undrain": commands.undrain, "explain": commands.explain}
     files = {
         "put": commands.put,
@@ -337,7 +339,7 @@
         "explain": "say `explain NODE` or `explain IP:PORT`",
     }
     remedy = needs.get(words[0], f"say `{words[0]} NODE`") if words else "say one of the commands"
-    raise WrongCallError(f"the call `{' '.join(words)}` can't be understood", remedy)
+    raise UsageError(f"the call `{' '.join(words)}` can't be understood", remedy)
 
 
 def main(words: list[str]) -> int:
@@ -364,7 +366,7 @@
         report = _find(Commands(given), rest)()
     except flags.Error as error:
         print(f"{str(error).splitlines()[0]}; see `python3 -m mastturnd status --help`", file=sys.stderr)
-        return WRONG_CALL
+        return USAGE_ERROR
     except FleetError as error:
         print(str(error), file=sys.stderr)
         return getattr(error, "code", FAILED)
--- a/mastturnd/configuring.py
+++ b/mastturnd/configuring.py
@@ -13,8 +13,8 @@
 from config.errors import InvalidConfigurationError
 from config.patching import Patch, apply_patch, parse_patch
 from mastturnd import asking
-from mastturnd.draining import FIELD, names_of
-from mastturnd.wrong import FailedError, RefusedError, WrongCallError
+from mastturnd.draining import FIELD, drained_nodes
+from mastturnd.wrong import CommandFailedError, RequestRefusedError, UsageError
 
 MOST_FILE = 4 * 1024 * 1024  # bytes; more is not taken
 
@@ -33,36 +33,38 @@
 
 
 def read_file(name: str) -> bytes:
-    """A file's bytes; raises WrongCallError."""
+    """A file's bytes; raises UsageError."""
     try:
         with Path(name).open("rb") as file:
             body = file.read(MOST_FILE + 1)
     except OSError as error:
-        raise WrongCallError(f"{name} can't be read ({error.strerror})", "name a readable file") from None
+        raise UsageError(f"{name} can't be read ({error.strerror})", "name a readable file") from None
     if len(body) > MOST_FILE:
-        raise WrongCallError(f"{name} is longer than {MOST_FILE} bytes", "name a configuration's file")
+        raise UsageError(f"{name} is longer than {MOST_FILE} bytes", "name a configuration's file")
     return body
 
 
 def checked(body: bytes, name: str) -> dict[str, Any]:
-    """The JSON of a good configuration; raises FailedError that names the field and the remedy."""
+    """The JSON of a good configuration; raises CommandFailedError that names the field and the remedy."""
     try:
         check(body)
     except InvalidConfigurationError as error:
-        raise FailedError(f"{name}: {error.problem}", error.remedy) from None
+        raise CommandFailedError(f"{name}: {error.problem}", error.remedy) from None
     raw: dict[str, Any] = json.loads(body)
-    if names_of(raw) is None:
-        raise FailedError(f"{name}: {FIELD} is no list of names", f'write it as "{FIELD}": ["edge-1"]')
+    if drained_nodes(raw) is None:
+        raise CommandFailedError(f"{name}: {FIELD} is no list of names", f'write it as "{FIELD}": ["edge-1"]')
     return raw
 
 
 def current(ctl: list[str], within_s: float) -> InForce:
-    """The newest configuration; raises UnansweredError or RefusedError."""
-    answer = asking.any_of(ctl, "GET", "/api/config", within_s=within_s)
+    """The newest configuration; raises NoAnswerError or RequestRefusedError."""
+    answer = asking.call_any(ctl, "GET", "/api/config", within_s=within_s)
     if answer.status == 404:
         return InForce(0, b"")
     if answer.status != 200:
-        raise RefusedError(f"{answer.by} says: {answer.words()}", "see its log", answer.status)
+        raise RequestRefusedError(
+            f"{answer.endpoint} says: {answer.error_text()}", "see its log", answer.status
+        )
     return InForce(int(answer.json()["ver"]), answer.body)
 
 
@@ -78,18 +80,18 @@
 
 def _send(ctl: list[str], method: str, body: bytes, base: int, within_s: float) -> None:
     headers = {"If-Match": str(base), "Content-Type": "application/json"}
-    answer = asking.any_of(ctl, method, "/api/config", body, headers, within_s)
+    answer = asking.call_any(ctl, method, "/api/config", body, headers, within_s)
     if answer.status == 200:
         return
     remedy = {
         412: "look at `config diff`, and put it on top of the newest",
         413: "send a shorter one",
     }.get(answer.status, "put that right in the file")
-    raise RefusedError(f"{answer.by} says: {answer.words()}", remedy, answer.status)
+    raise RequestRefusedError(f"{answer.endpoint} says: {answer.error_text()}", remedy, answer.status)
 
 
 def patched(body: bytes, name: str, now: InForce, next_ver: bool) -> tuple[bytes, Patch, dict[str, Any]]:
-    """A patch as it is to be sent, what it says, and what comes of it; raises FailedError."""
+    """A patch as it is to be sent, what it says, and what comes of it; raises CommandFailedError."""
     try:
         patch = parse_patch(body)
         if next_ver:
@@ -97,7 +99,7 @@
             patch = parse_patch(body)
         result = apply_patch(now.body, patch, ConfigurationReader())
     except InvalidConfigurationError as error:
-        raise FailedError(f"{name}: {error.problem}", error.remedy) from None
+        raise CommandFailedError(f"{name}: {error.problem}", error.remedy) from None
     return body, patch, json.loads(result.body)
 
 
@@ -105,7 +107,7 @@
     """What to send for a file, its JSON, and what was changed in it: a new number, and drains that go on."""
     raw = checked(body, name)
     notes = []
-    drained = names_of(now.raw()) or ()
+    drained = drained_nodes(now.raw()) or ()
     if FIELD not in raw and drained:
         raw[FIELD] = list(drained)
         notes.append(f"{', '.join(drained)} stay drained; `undrain` ends that")
@@ -121,9 +123,9 @@
     while True:
         now = current(ctl, within_s)
         if not now.ver:
-            raise FailedError("there is no configuration yet", "put one first")
+            raise CommandFailedError("there is no configuration yet", "put one first")
         raw = now.raw()
-        names = set(names_of(raw) or ())
+        names = set(drained_nodes(raw) or ())
         if (node in names) == drains:
             return now.ver, False
         names ^= {node}
@@ -132,7 +134,7 @@
             del raw[FIELD]
         try:
             put(ctl, json.dumps(raw).encode(), now.ver, within_s)
-        except RefusedError as error:
+        except RequestRefusedError as error:
             if error.status != 412 or time.monotonic() >= until:  # somebody else was first: on top of theirs
                 raise
             continue
--- a/mastturnd/dashboard.py
+++ b/mastturnd/dashboard.py
@@ -14,7 +14,7 @@
 from config.settings import Settings, parse_address
 from mastturnd import fleet_status
 from mastturnd.tables import is_number, shown
-from mastturnd.wrong import UnansweredError
+from mastturnd.wrong import NoAnswerError
 from transport.calls import Response, json_response
 
 FRESH_S = 2.0  # a page is shown to all who ask within this
@@ -56,27 +56,27 @@
 
     async def _make(self, settings: Settings) -> Response:
         try:
-            self._made = await asyncio.to_thread(reply, settings)
+            self._made = await asyncio.to_thread(build_response, settings)
             self._at = asyncio.get_running_loop().time()
             return self._made
         finally:
             self._making = None
 
 
-def reply(settings: Settings) -> Response:
+def build_response(settings: Settings) -> Response:
     """Ask the whole fleet, and answer with the page; it takes a few seconds where some are silent."""
     own = settings.listen.ctl
     ctl = list(dict.fromkeys([*([own] if own else []), *settings.seed_addrs]))
     places = [f"{host}:{port}" for host, port in map(parse_address, ctl)]
     try:
         found = fleet_status.gather(places, settings.readyz_port or None, MOST_BALANCERS)
-    except UnansweredError as error:
+    except NoAnswerError as error:
         return json_response(503, str(error))
     at = time.strftime("%H:%M:%S")
-    return Response(200, page(found, settings.node, at).encode(), HEADERS, "text/html; charset=utf-8")
+    return Response(200, render_page(found, settings.node, at).encode(), HEADERS, "text/html; charset=utf-8")
 
 
-def page(found: dict[str, Any], by: str, at: str) -> str:
+def render_page(found: dict[str, Any], by: str, at: str) -> str:
     """What `fleet_status.gather` has found, as HTML; all of it is others' words, so all of it is escaped."""
     parts = []
     for title, (head, rows) in zip(TITLES, fleet_status.tables_of(found), strict=True):
--- a/mastturnd/draining.py
+++ b/mastturnd/draining.py
@@ -13,7 +13,7 @@
 MARK = b'"drained"'  # a body without it names nobody, and need not be read again
 
 
-def names_of(raw: dict[str, Any]) -> tuple[str, ...] | None:
+def drained_nodes(raw: dict[str, Any]) -> tuple[str, ...] | None:
     """The drained balancers of a configuration's JSON; None where the field is no list of texts."""
     found = raw.get(FIELD)
     if found is None:
@@ -31,4 +31,4 @@
         raw = json.loads(body)
     except (ValueError, RecursionError):
         return False
-    return isinstance(raw, dict) and node in (names_of(raw) or ())
+    return isinstance(raw, dict) and node in (drained_nodes(raw) or ())
--- a/mastturnd/fleet_status.py
+++ b/mastturnd/fleet_status.py
@@ -12,7 +12,7 @@
 from mastturnd.answers import is_status
 from mastturnd.roles import BALANCER, CONTROL, current_name
 from mastturnd.tables import table
-from mastturnd.wrong import UnansweredError
+from mastturnd.wrong import NoAnswerError
 
 SILENT_S = 2.0
 AT_ONCE = 16
@@ -23,21 +23,21 @@
 
 
 def gather(ctl: list[str], readyz_port: int | None, most: int | None = None) -> dict[str, Any]:
-    """What every process says; raises UnansweredError if no control process answers.
+    """What every process says; raises NoAnswerError if no control process answers.
 
     Without the port of the balancers' readiness, or where they are more than `most`, balancers are only those
     that the primary names.
     """
     with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
-        told = _control_processes(pool.map(status_of, ctl))
+        told = _control_processes(pool.map(fetch_status, ctl))
         if not told:
-            raise UnansweredError(
+            raise NoAnswerError(
                 f"none of {', '.join(ctl)} answers within {SILENT_S:g} s",
                 "see that they run, or give --ctl=IP:PORT of others",
             )
         latest = max(told.values(), key=lambda a: int(a["epoch"]))
         more = [m["ctl"] for m in latest["members"] if m["ctl"] and m["ctl"] not in told]
-        told |= _control_processes(pool.map(status_of, more))
+        told |= _control_processes(pool.map(fetch_status, more))
         by_node = {a["node"]: a for a in told.values()}
         newest = max(int(a["epoch"]) for a in told.values())
         leads = [a for a in told.values() if a["standing"] == "primary" and a["epoch"] == newest]
@@ -46,7 +46,7 @@
         asked = [f"{p['ip']}:{readyz_port}" for p in present] if readyz_port else []
         if most is not None and len(asked) > most:
             asked = []
-        answers = [a if a and _is_balancer(a) else None for a in pool.map(status_of, asked)]
+        answers = [a if a and _is_balancer(a) else None for a in pool.map(fetch_status, asked)]
     view = primary or max(told.values(), key=lambda a: int(a["epoch"]))
     names = [m["node"] for m in view["members"]]
     control = [
@@ -67,7 +67,7 @@
         "upstreams": view["upstreams"],
     }
     found["judged"] = judged.gather(found["balancers"])
-    found["differs"] = _differences(found) + judged.lines_of(found["judged"])
+    found["differs"] = _differences(found) + judged.format_lines(found["judged"])
     return found
 
 
@@ -86,19 +86,19 @@
     return {a["ctl"]: a for a in answers if a is not None and current_name(a["role"]) == CONTROL}
 
 
-def status_of(place: str) -> dict[str, Any] | None:
+def fetch_status(place: str) -> dict[str, Any] | None:
     """A process's own word; None if it gives none that can be read."""
-    answer = asking.once(place, "GET", "/api/status", silent_s=SILENT_S, most=MOST_STATUS)
+    answer = asking.call_once(place, "GET", "/api/status", silent_s=SILENT_S, most=MOST_STATUS)
     for _ in range(TRIES):
         if answer is None or answer.status != 429:
             break
         time.sleep(AGAIN_S)  # others ask too
-        answer = asking.once(place, "GET", "/api/status", silent_s=SILENT_S, most=MOST_STATUS)
+        answer = asking.call_once(place, "GET", "/api/status", silent_s=SILENT_S, most=MOST_STATUS)
     if answer is None or answer.status != 200:
         return None
     try:
         told = answer.json()
-    except UnansweredError:
+    except NoAnswerError:
         return None
     return told if is_status(told) else None
 
@@ -168,7 +168,7 @@
     return f"{led}, epoch {found['epoch']}, configuration {version}; {counts} answer"
 
 
-def lines_of(found: dict[str, Any]) -> list[str]:
+def format_lines(found: dict[str, Any]) -> list[str]:
     """The same for people."""
     control, balancers, parts = (table(head, rows) for head, rows in tables_of(found))
     note = [] if found["balancers_asked"] else [UNASKED]
--- a/mastturnd/judged.py
+++ b/mastturnd/judged.py
@@ -32,7 +32,7 @@
     return dict(sorted(found.items()))
 
 
-def lines_of(found: dict[str, Counts]) -> list[str]:
+def format_lines(found: dict[str, Counts]) -> list[str]:
     """The same for people, a line for each upstream."""
     lines = []
     for name, counts in found.items():
--- a/mastturnd/present.py
+++ b/mastturnd/present.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from mastturnd import fleet_status
-from mastturnd.wrong import UnansweredError
+from mastturnd.wrong import NoAnswerError
 
 NAMED_SHARE = 1 / 3  # of the whole time: one primary's word that doesn't suit is asked for again for so long
 AGAIN_S = 0.4  # a process answers eight times a second, to all who ask
@@ -22,7 +22,7 @@
     """Those that the primary names, once they suit; else those of its last word, after a part of `within_s`.
 
     A new primary has that part anew, and one that names nobody at all has the whole: a fleet without any is
-    rarer than one that looks for its primary. Raises UnansweredError where nobody leads, or nobody answers,
+    rarer than one that looks for its primary. Raises NoAnswerError where nobody leads, or nobody answers,
     within the whole of it (s).
     """
     began = since = time.monotonic()
@@ -31,7 +31,7 @@
         error = None
         try:
             found = fleet_status.gather(ctl, None)
-        except UnansweredError as nobody:
+        except NoAnswerError as nobody:
             error = nobody
         now = time.monotonic()
         if error is None and found["leader"]:
@@ -42,7 +42,7 @@
             if suit(named) or now - since >= patience or now - began >= within_s:
                 return named
         elif now - began >= within_s:
-            raise error or UnansweredError(
+            raise error or NoAnswerError(
                 f"nobody leads within {within_s:g} s, so who is present can't be known",
                 "see that a majority of the control processes runs",
             )
@@ -52,13 +52,13 @@
 def fleet(ctl: list[str], readyz_port: int | None, within_s: float) -> dict[str, Any]:
     """All that `fleet_status.gather` finds, once who leads knows who is present.
 
-    After a part of `within_s` (s) the last look counts; raises UnansweredError where nobody answers then.
+    After a part of `within_s` (s) the last look counts; raises NoAnswerError where nobody answers then.
     """
     until = time.monotonic() + within_s * NAMED_SHARE
     while True:
         try:
             found = fleet_status.gather(ctl, readyz_port)
-        except UnansweredError:
+        except NoAnswerError:
             if time.monotonic() >= until:
                 raise
         else:
--- a/mastturnd/role_flags.py
+++ b/mastturnd/role_flags.py
@@ -4,7 +4,7 @@
 
 from absl import flags
 
-from mastturnd.wrong import WrongCallError
+from mastturnd.wrong import UsageError
 
 FLAGS = flags.FLAGS
 flags.DEFINE_enum(
@@ -13,9 +13,9 @@
 
 
 def parse(argv: list[str]) -> tuple[list[str], str]:
-    """The words beside the flags, and the level of the log; raises WrongCallError."""
+    """The words beside the flags, and the level of the log; raises UsageError."""
     try:
         rest: list[str] = FLAGS(argv)[1:]
     except flags.Error as error:
-        raise WrongCallError(str(error), "") from None
+        raise UsageError(str(error), "") from None
     return rest, str(FLAGS.log_level)
--- a/mastturnd/salvage.py
+++ b/mastturnd/salvage.py
@@ -15,7 +15,7 @@
 from consensus.files import OsFiles
 from consensus.slots import Store
 from consensus.views import DurableState
-from mastturnd.wrong import FailedError, WrongCallError
+from mastturnd.wrong import CommandFailedError, UsageError
 
 FILES = ("slot.0", "slot.1", "log.0", "log.1")
 
@@ -32,11 +32,11 @@
 
 
 def read(folder: str) -> Salvaged:
-    """What a folder holds; raises WrongCallError where it is none, FailedError where nothing can be read."""
+    """Return what a data directory holds; raises UsageError or CommandFailedError."""
     place = Path(folder)
     found = [name for name in FILES if (place / name).is_file()]
     if not found:
-        raise WrongCallError(
+        raise UsageError(
             f"{folder} holds none of {', '.join(FILES)}", "name the data_dir of a control process"
         )
     durable_state = DurableState("")
@@ -48,9 +48,11 @@
             for part in ([loaded.state] if loaded.state is not None else []) + list(loaded.records):
                 apply_record(durable_state, decode_record(part))
         except OSError as error:
-            raise WrongCallError(f"{folder} can't be read ({error.strerror})", "see its rights") from None
+            raise UsageError(f"{folder} can't be read ({error.strerror})", "see its rights") from None
         except (DiskError, WireError, IndexError, ValueError, KeyError, TypeError) as error:
-            raise FailedError(f"{folder} can't be read whole ({error})", "try the disk of another") from None
+            raise CommandFailedError(
+                f"{folder} can't be read whole ({error})", "try the disk of another"
+            ) from None
     view = durable_state.view
     holders = tuple(view.member_at(slot).node for slot in view.holders) if view is not None else ()
     document = durable_state.document
--- a/mastturnd/tracing.py
+++ b/mastturnd/tracing.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from mastturnd.wrong import WrongCallError
+from mastturnd.wrong import UsageError
 
 _PAIR = re.compile(r"""(\w+)=('(?:[^'\\]|\\.)*'|"(?:[^"\\]|\\.)*"|\S*)""")
 _TIME = re.compile(r"(\d\d):(\d\d):(\d\d\.\d{3})")
@@ -30,7 +30,7 @@
         return self.fields.get("event", "")
 
 
-def pairs_of(line: str) -> dict[str, str]:
+def parse_pairs(line: str) -> dict[str, str]:
     """The key=value pairs of a line; quotes round a value are taken off."""
     return {key: value[1:-1] if value[:1] in ("'", '"') else value for key, value in _PAIR.findall(line)}
 
@@ -41,7 +41,7 @@
     for line in lines:
         if len(line) > LONGEST or not line.startswith("time="):
             continue
-        fields = pairs_of(line)
+        fields = parse_pairs(line)
         told = _TIME.fullmatch(fields.get("time", ""))
         if told is None:
             continue
@@ -53,7 +53,7 @@
 
 
 def trace(request: str, names: list[str]) -> list[Event]:
-    """The events that name a request; a process is called as its file. Raises WrongCallError."""
+    """The events that name a request; a process is called as its file. Raises UsageError."""
     found: list[Event] = []
     for name in names:
         try:
@@ -61,5 +61,5 @@
                 mine = events(file, Path(name).stem)
                 found += [event for event in mine if event.fields.get("request") == request]
         except OSError as error:
-            raise WrongCallError(f"{name} can't be read ({error.strerror})", "name log files") from None
+            raise UsageError(f"{name} can't be read ({error.strerror})", "name log files") from None
     return sorted(found, key=lambda event: event.at)
--- a/mastturnd/wrong.py
+++ b/mastturnd/wrong.py
@@ -4,26 +4,26 @@
 
 from config.errors import FleetError
 
-DONE, FAILED, WRONG_CALL, DIFFERS = 0, 1, 2, 3  # exit codes
+DONE, FAILED, USAGE_ERROR, DIFFERS = 0, 1, 2, 3  # exit codes
 
 
-class WrongCallError(FleetError):
+class UsageError(FleetError):
     """The command can't be understood, or names what is not there."""
 
-    code = WRONG_CALL
+    code = USAGE_ERROR
 
 
-class FailedError(FleetError):
+class CommandFailedError(FleetError):
     """It was understood, and is not done."""
 
     code = FAILED
 
 
-class UnansweredError(FailedError):
+class NoAnswerError(CommandFailedError):
     """Nobody who could tell gives an answer."""
 
 
-class RefusedError(FailedError):
+class RequestRefusedError(CommandFailedError):
     """The control state says no."""
 
     def __init__(self, wrong: str, remedy: str, status: int) -> None:
--- a/tests/test_dissemination_news.py
+++ b/tests/test_dissemination_news.py
@@ -11,7 +11,7 @@
 from control.node import KINDS
 from dissemination.messages import Attach, MemberNews, Moved, Present, Pulse, UpstreamNews
 from dissemination.relays import heads_of, parent_of
-from mastturnd.alone import LEAST_S, MISSED, turn_of
+from mastturnd.alone import MIN_READ_INTERVAL_S, MISSED_READS, schedule_reads
 from tests.fabric import Process
 from tests.fabric_callers import PLATFORM, configuration, upstream
 from tests.fabric_scenes import APPLY_S, start_fleet, wait_in_force
@@ -272,17 +272,19 @@
     if count <= 80:
         first = {m.zone: m for m in members if parent_of(m.node, m.zone, members) is None}
         assert heads_of(members) == first
-    turns = {m.node: turn_of(m, members, pages, calls_s) for m in members}
-    asked_s = sum(pages / turn.period for turn in turns.values())
-    assert asked_s <= calls_s * 1.001 or all(t.period == LEAST_S for t in turns.values())
-    readers = {turn.reader for turn in turns.values()} - {""}
-    receivers = [ip for turn in turns.values() for ip in turn.tells]
-    spared = [m.ip for m in members if turns[m.node].reader]
+    schedules = {m.node: schedule_reads(m, members, pages, calls_s) for m in members}
+    asked_s = sum(pages / schedule.period_s for schedule in schedules.values())
+    assert asked_s <= calls_s * 1.001 or all(t.period_s == MIN_READ_INTERVAL_S for t in schedules.values())
+    readers = {schedule.reader_ip for schedule in schedules.values()} - {""}
+    receivers = [ip for schedule in schedules.values() for ip in schedule.recipients]
+    spared = [m.ip for m in members if schedules[m.node].reader_ip]
     assert sorted(receivers) == sorted(spared)  # every balancer with a reader is sent the list by exactly one
     for ip in readers:
         reader = next(m for m in members if m.ip == ip)
-        assert turns[reader.node].tells and not turns[reader.node].reader
-        assert turns[reader.node].period * MISSED <= min(t.spared_s for t in turns.values() if t.reader == ip)
+        assert schedules[reader.node].recipients and not schedules[reader.node].reader_ip
+        assert schedules[reader.node].period_s * MISSED_READS <= min(
+            t.suppressed_s for t in schedules.values() if t.reader_ip == ip
+        )
 
 
 def test_without_its_zones_reader_a_balancer_reads_the_list_itself() -> None:
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -41,7 +41,7 @@
 from control.platform import PlatformError, PlatformList, pack
 from dissemination import messages as news
 from mastturnd import asking, dashboard, draining, fleet_status
-from mastturnd.tracing import pairs_of
+from mastturnd.tracing import parse_pairs
 from passpost.http1 import Answer
 from passpost.validation import BadRequestError
 from tests import fuzz_inputs
@@ -511,8 +511,8 @@
 def test_an_answer_to_a_command_is_json_or_told_so(body: bytes) -> None:
     count("answer")
     answer = asking.Answer(200, {}, body, "10.0.0.1:1")
-    assert len(answer.words().splitlines()) <= 1 and len(answer.words()) <= asking.MOST_WORDS
-    for read in (answer.json, partial(asking.address, body.decode("latin-1"))):
+    assert len(answer.error_text().splitlines()) <= 1 and len(answer.error_text()) <= asking.MAX_ERROR_CHARS
+    for read in (answer.json, partial(asking.parse_endpoint, body.decode("latin-1"))):
         try:
             read()
         except FleetError as error:
@@ -534,14 +534,14 @@
     whole = as_text(_control("core-2", "witness", epoch=2))
     bodies = {"core-1:1": control, "core-2:1": whole}
 
-    def once(by: str, method: str, target: str, **more: Any) -> asking.Answer | None:
-        return asking.Answer(200, {}, bodies.get(by, balancer), by)
+    def call_once(endpoint: str, method: str, target: str, **more: Any) -> asking.Answer | None:
+        return asking.Answer(200, {}, bodies.get(endpoint, balancer), endpoint)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(asking, "once", once)
+        patch.setattr(asking, "call_once", call_once)
         found = fleet_status.gather(["core-1:1", "core-2:1"], 8)
-    assert fleet_status.lines_of(found)
-    assert "<script" not in dashboard.page(found, "core-1", "")
+    assert fleet_status.format_lines(found)
+    assert "<script" not in dashboard.render_page(found, "core-1", "")
 
 
 @LIMITS
@@ -553,4 +553,4 @@
 )
 def test_a_spoilt_log_line_is_read_as_far_as_it_goes(line: str) -> None:
     count("log line")
-    assert all(isinstance(v, str) for v in pairs_of(line).values())
+    assert all(isinstance(v, str) for v in parse_pairs(line).values())
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -16,7 +16,7 @@
 from control.platform import PlatformError, PlatformList
 from mastturnd import asking, draining, fleet_status
 from mastturnd.answers import is_status
-from mastturnd.wrong import UnansweredError
+from mastturnd.wrong import NoAnswerError
 from passpost.http1 import Answer
 from tests.test_mastturnd_cli_commands import PRESENT, _balancer, _control
 from transport.wire import FrameReader
@@ -58,9 +58,9 @@
 
 
 def test_an_answer_to_a_command_is_one_line_whatever_it_is() -> None:
-    assert asking.Answer(400, {}, DEEP, "c").words() == "status 400"
-    assert asking.Answer(400, {}, b'{"error": "two\\nlines"}', "c").words() == "two lines"
-    assert len(asking.Answer(400, {}, json.dumps({"error": "x" * 9999}).encode(), "c").words()) == 500
+    assert asking.Answer(400, {}, DEEP, "c").error_text() == "status 400"
+    assert asking.Answer(400, {}, b'{"error": "two\\nlines"}', "c").error_text() == "two lines"
+    assert len(asking.Answer(400, {}, json.dumps({"error": "x" * 9999}).encode(), "c").error_text()) == 500
 
 
 @pytest.mark.parametrize("port", [-1, 65536, 2**31, 2**40])
@@ -82,7 +82,7 @@
     "place", ["", "core-1", "core-1:", "core-1:x", f"{'a' * 70}.b:1", "\ud800:1", "a b\r\n:1"]
 )
 def test_a_process_at_an_address_that_is_none_gives_no_answer(place: str) -> None:
-    assert asking.once(place, "GET", "/api/status", silent_s=0.1) is None
+    assert asking.call_once(place, "GET", "/api/status", silent_s=0.1) is None
 
 
 @pytest.mark.parametrize(
@@ -102,6 +102,6 @@
 
 
 def test_a_balancer_in_the_place_of_a_control_process_leads_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet_status, "status_of", {"a:1": _balancer("edge-1")}.get)
-    with pytest.raises(UnansweredError):
+    monkeypatch.setattr(fleet_status, "fetch_status", {"a:1": _balancer("edge-1")}.get)
+    with pytest.raises(NoAnswerError):
         fleet_status.gather(["a:1"], None)
--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -97,7 +97,7 @@
         UpstreamNews(1, 1, json.dumps({"upstreams": [entry]}).encode()),
     ):
         assert role._latest.store(news)
-        role._told(news)
+        role._on_update(news)
 
 
 def test_a_balancer_tells_what_it_serves() -> None:
@@ -136,7 +136,7 @@
             assert (await get(role, "/api/status"))[1]["drained"]
             news = ConfigurationNews(6, document(6))
             role._latest.store(news)
-            role._told(news)
+            role._on_update(news)
             assert (await say(role, last)).startswith(b"HTTP/1.1 200 ")
 
     run(test())
--- a/tests/test_mastturnd_cli_commands.py
+++ b/tests/test_mastturnd_cli_commands.py
@@ -298,11 +298,11 @@
 
 
 def test_an_answer_that_never_ends_or_is_no_http_is_none() -> None:
-    assert asking.once("127.0.0.1:1", "GET", "/", silent_s=0.2) is None
+    assert asking.call_once("127.0.0.1:1", "GET", "/", silent_s=0.2) is None
     loop = Ctl(lambda m, p, b, h: (307, {"Location": f"http://{h['host']}{p}"}, b""))
     try:
-        assert asking._along(loop.place, "GET", "/api/config", None, None) is None
-        assert len(loop.calls) == asking.REDIRECTS + 1
+        assert asking._call_following_redirects(loop.place, "GET", "/api/config", None, None) is None
+        assert len(loop.calls) == asking.MAX_REDIRECTS + 1
     finally:
         loop.close()
 
@@ -354,7 +354,7 @@
 
 
 def test_pairs_keep_what_is_quoted() -> None:
-    assert tracing.pairs_of("""a=1 b='x y=2' c="it's" d= e=5""") == {
+    assert tracing.parse_pairs("""a=1 b='x y=2' c="it's" d= e=5""") == {
         "a": "1", "b": "x y=2", "c": "it's", "d": "", "e": "5",
     }  # fmt: skip
 
@@ -383,7 +383,7 @@
 
 
 def _gather(monkeypatch: pytest.MonkeyPatch, answers: dict[str, Any]) -> dict[str, Any]:
-    monkeypatch.setattr(fleet_status, "status_of", answers.get)
+    monkeypatch.setattr(fleet_status, "fetch_status", answers.get)
     return fleet_status.gather(["core-1:1", "core-2:1", "core-3:1"], 8)
 
 
@@ -410,7 +410,7 @@
         },
     )
     assert found["leader"] == "core-2" and found["differs"] == []
-    assert fleet_status.lines_of(found) == [
+    assert fleet_status.format_lines(found) == [
         "led by core-2, epoch 3, configuration 7; 3 of 3 control processes and 2 of 2 balancers answer",
         "",
         "CONTROL  ZONE  STANDING  EPOCH  CONFIG  PROGRAM  DISK WELL  SILENT MS    MB  MARK",
@@ -447,7 +447,7 @@
         "edge-2: gives no answer",
         "edge-1: runs program bb, most run aa",
     ]
-    lines = fleet_status.lines_of(found)
+    lines = fleet_status.format_lines(found)
     marked = [line.split()[0] for line in lines if line.endswith("  !")]
     assert marked == ["core-2", "core-3", "edge-1", "edge-2"]
 
@@ -470,7 +470,7 @@
     )
     line = "u-7: upstream in doubt, by balancers: distrusted 1, wary 1, silent 1; 9 failures"
     assert found["differs"] == [line] and list(found["judged"]) == ["u-7"]
-    assert f"! {line}" in fleet_status.lines_of(found)
+    assert f"! {line}" in fleet_status.format_lines(found)
 
 
 STRANGE = [None, 5, "u-7", [None], [{"id": 7}], [{"id": "u", "trust": ["x"], "silent": "yes"}], {"id": "u"}]
@@ -500,7 +500,7 @@
     server = Ctl(lambda m, p, b, h: told.pop(0))
     monkeypatch.setattr(fleet_status, "AGAIN_S", 0.0)
     try:
-        found = fleet_status.status_of(server.place)
+        found = fleet_status.fetch_status(server.place)
     finally:
         server.close()
     assert found is not None and found["node"] == "edge-1"
--- a/tests/test_mastturnd_cut_answers.py
+++ b/tests/test_mastturnd_cut_answers.py
@@ -52,7 +52,7 @@
 )
 def test_an_answer_that_is_cut_short_is_none(data: bytes, resets: bool) -> None:
     with answering(data, resets) as place:
-        assert asking.once(place, "GET", "/api/config") is None
+        assert asking.call_once(place, "GET", "/api/config") is None
 
 
 @pytest.mark.parametrize(
@@ -60,6 +60,6 @@
 )
 def test_an_answer_that_is_whole_is_taken(data: bytes) -> None:
     with answering(data, resets=False) as place:
-        answer = asking.once(place, "GET", "/api/config")
+        answer = asking.call_once(place, "GET", "/api/config")
     assert answer is not None
     assert answer.body == b"x" * 20
--- a/tests/test_mastturnd_dashboard.py
+++ b/tests/test_mastturnd_dashboard.py
@@ -107,7 +107,7 @@
         made.append(settings)
         return Response(200)
 
-    monkeypatch.setattr(dashboard, "reply", reply)
+    monkeypatch.setattr(dashboard, "build_response", reply)
     monkeypatch.setattr(dashboard, "FRESH_S", -1.0)
     page = dashboard.Dashboard()
 
@@ -127,7 +127,7 @@
             raise found
         return found
 
-    monkeypatch.setattr(dashboard, "reply", reply)
+    monkeypatch.setattr(dashboard, "build_response", reply)
     page = dashboard.Dashboard()
 
     async def test() -> None:
@@ -139,7 +139,7 @@
 
 
 def test_nobody_to_ask_is_told_with_the_remedy() -> None:
-    found = dashboard.reply(settings(seed_addrs=["127.0.0.1:1"]))
+    found = dashboard.build_response(settings(seed_addrs=["127.0.0.1:1"]))
     assert found.status == 503 and b"see that they run" in found.body
 
 
@@ -150,7 +150,7 @@
         threads.append(threading.current_thread())
         return Response(200)
 
-    monkeypatch.setattr(dashboard, "reply", reply)
+    monkeypatch.setattr(dashboard, "build_response", reply)
     run_with(dashboard.Dashboard().page(settings()))
     assert threads[0] is not threading.main_thread()
 
@@ -165,8 +165,8 @@
             {"id": EVIL, "svc": EVIL, "part": EVIL, "state": "up", "calls": 1, "tokens": 1}]),
         "10.1.0.1:8": _balancer(EVIL, program=EVIL, told_by=EVIL, ver=1),
     }  # fmt: skip
-    monkeypatch.setattr(fleet_status, "status_of", answers.get)
-    text = dashboard.page(fleet_status.gather(["core-1:1"], 8), EVIL, "")
+    monkeypatch.setattr(fleet_status, "fetch_status", answers.get)
+    text = dashboard.render_page(fleet_status.gather(["core-1:1"], 8), EVIL, "")
     assert "<script" not in text and "&lt;script&gt;" in text
 
 
@@ -177,8 +177,8 @@
         "10.1.0.1:8": _balancer("edge-1"),
         "10.1.0.2:8": _balancer("edge-2"),
     }
-    monkeypatch.setattr(fleet_status, "status_of", answers.get)
-    text = dashboard.page(fleet_status.gather(["core-1:1"], 8), "core-1", "")
+    monkeypatch.setattr(fleet_status, "fetch_status", answers.get)
+    text = dashboard.render_page(fleet_status.gather(["core-1:1"], 8), "core-1", "")
     assert '<p class="well">Nothing differs.</p>' in text and 'class="differs"' not in text
 
 
@@ -190,10 +190,10 @@
         "core-2:1": _control("core-2", "holder", ver=6),
         "10.1.0.1:8": _balancer("edge-1"),
     }
-    monkeypatch.setattr(fleet_status, "status_of", answers.get)
-    text = dashboard.page(fleet_status.gather(["core-1:1", "core-2:1"], 8), "core-1", "")
+    monkeypatch.setattr(fleet_status, "fetch_status", answers.get)
+    text = dashboard.render_page(fleet_status.gather(["core-1:1", "core-2:1"], 8), "core-1", "")
     assert '<tr class="differs"><td>core-2</td>' in text and '<tr class="differs"><td>edge-2</td>' in text
     assert "<li>core-2: holds configuration 6, the primary 7</li>" in text
     found = fleet_status.gather(["core-1:1", "core-2:1"], 8, 1)
     assert not found["balancers_asked"] and len(found["balancers"]) == 2
-    assert "Balancers were not asked" in dashboard.page(found, "core-1", "")
+    assert "Balancers were not asked" in dashboard.render_page(found, "core-1", "")
