--- a/mastturnd/__main__.py
+++ b/mastturnd/__main__.py
@@ -25,19 +25,19 @@
 from mastturnd.wrong import UsageError
 from passpost.listening import listen
 
-OPERATORS = ("status", "config", "drain", "undrain", "trace", "explain")  # their commands
+OPERATOR_COMMANDS = ("status", "config", "drain", "undrain", "trace", "explain")  # their commands
 USAGE = (
     "usage: python3 -m mastturnd [--log_level=LEVEL] ROLE, with ROLE one of: "
     + ", ".join(ROLES)
     + "; or an operator's command: "
-    + ", ".join(OPERATORS)
+    + ", ".join(OPERATOR_COMMANDS)
 )
-USUAL_LOG_LEVEL = "INFO"
+DEFAULT_LOG_LEVEL = "INFO"
 
 
-def _check(name: str, settings: Settings) -> None:
+def _require_settings(name: str, settings: Settings) -> None:
     """Whether the settings hold what a role needs; raises SettingsError."""
-    needed = {
+    required = {
         BALANCER: [
             ("listen.http", settings.listen.http, "name the address for clients"),
             ("listen.readyz", settings.listen.readyz, "name the address at which readiness is asked for"),
@@ -46,7 +46,7 @@
             ("listen.ctl", settings.listen.ctl, "name the address for operators"),
         ],
     }
-    for field, value, remedy in needed[name]:
+    for field, value, remedy in required[name]:
         if not value:
             raise SettingsError(f"there is no {field}", remedy)
     if name == CONTROL and settings.quorum_member and not settings.data_dir:
@@ -57,7 +57,7 @@
         )
 
 
-def _listen_early(name: str, settings: Settings) -> socket.socket | None:
+def _bind_client_socket(name: str, settings: Settings) -> socket.socket | None:
     """The socket for clients: they wait there while the rest is loaded, in place of being refused.
 
     Raises OSError where the address can't be had.
@@ -73,11 +73,11 @@
     Operators' commands have codes of their own (docs/OPERATE.md).
     """
     has_role = any(current_name(word) in ROLES for word in argv[1:])
-    if any(word in OPERATORS for word in argv[1:]) and not has_role:
-        from mastturnd.commands import main as operate
+    if any(word in OPERATOR_COMMANDS for word in argv[1:]) and not has_role:
+        from mastturnd.commands import main as run_command
 
-        return operate(argv[1:])
-    rest, log_level = argv[1:], USUAL_LOG_LEVEL
+        return run_command(argv[1:])
+    rest, log_level = argv[1:], DEFAULT_LOG_LEVEL
     if any(word.startswith("-") for word in rest):
         from mastturnd import role_flags
 
@@ -94,8 +94,8 @@
         print(f"the role {rest[0]} is named {role} now; name it so", file=sys.stderr)
     try:
         settings = settings_file.read()
-        _check(role, settings)
-        listener = _listen_early(role, settings)
+        _require_settings(role, settings)
+        listener = _bind_client_socket(role, settings)
         from mastturnd import hosting
 
         hosting.run(role, settings, log_level, listener)
--- a/mastturnd/asking.py
+++ b/mastturnd/asking.py
@@ -15,12 +15,12 @@
 from config.settings import parse_address
 from mastturnd.wrong import NoAnswerError, UsageError
 
-SILENT_S = 2.0  # of one process; then another is asked
+RESPONSE_TIMEOUT_S = 2.0  # of one process; then another is asked
 MAX_ERROR_CHARS = 500  # characters of an error
 MAX_BODY_BYTES = 16 * 1024 * 1024  # bytes of an answer
 MAX_REDIRECTS = 2
-AGAIN_S = 0.4  # until one process is asked again
-PAUSE_S, PAUSE_GROWS, PAUSE_MOST_S = 0.1, 1.6, 1.0  # between two rounds
+RETRY_DELAY_S = 0.4  # until one process is asked again
+ROUND_DELAY_S, ROUND_DELAY_FACTOR, MAX_ROUND_DELAY_S = 0.1, 1.6, 1.0  # between two rounds
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,12 +35,12 @@
     def json(self) -> dict[str, Any]:
         """The object that it holds; raises NoAnswerError."""
         try:
-            found = json.loads(self.body)
+            parsed = json.loads(self.body)
         except (ValueError, RecursionError):
-            found = None
-        if not isinstance(found, dict):
+            parsed = None
+        if not isinstance(parsed, dict):
             raise NoAnswerError(f"{self.endpoint} answers with no JSON", "see that it is one of ours")
-        return found
+        return parsed
 
     def error_text(self) -> str:
         """What it says in a few words, on one line."""
@@ -65,25 +65,25 @@
     target: str,
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
-    silent_s: float = SILENT_S,
-    most: int = MAX_BODY_BYTES,
+    timeout_s: float = RESPONSE_TIMEOUT_S,
+    max_bytes: int = MAX_BODY_BYTES,
 ) -> Answer | None:
     """One call to one process; None without a whole answer of `most` bytes within the silence (s)."""
     try:
         host, port = parse_address(endpoint)
-        with contextlib.closing(http.client.HTTPConnection(host, port, timeout=silent_s)) as connection:
+        with contextlib.closing(http.client.HTTPConnection(host, port, timeout=timeout_s)) as connection:
             connection.request(method, target, body, dict(headers or {}))
             answer = connection.getresponse()
-            held = answer.read(most + 1)
-            is_whole = _is_whole(answer)
+            content = answer.read(max_bytes + 1)
+            is_complete = _is_complete(answer)
     except (OSError, http.client.HTTPException, SettingsError, UnicodeError):  # the last: no host's name
         return None
-    if len(held) > most or not is_whole:
+    if len(content) > max_bytes or not is_complete:
         return None
-    return Answer(answer.status, {k.lower(): v for k, v in answer.getheaders()}, held, endpoint)
+    return Answer(answer.status, {k.lower(): v for k, v in answer.getheaders()}, content, endpoint)
 
 
-def _is_whole(answer: http.client.HTTPResponse) -> bool:
+def _is_complete(answer: http.client.HTTPResponse) -> bool:
     """Whether all of an answer was read: http.client takes a connection's end for that of a head or a length.
 
     Our processes give each answer a length or chunks; a cut in the latter raises while it is read.
@@ -93,14 +93,14 @@
 
 def call_until_answered(endpoint: str, target: str, within_s: float) -> Answer | None:
     """One process's answer, asked again where it gives none or is asked too often; None after `within_s`."""
-    until = time.monotonic() + within_s
+    deadline = time.monotonic() + within_s
     while True:
-        answer = call_once(endpoint, "GET", target, silent_s=within_s)
+        answer = call_once(endpoint, "GET", target, timeout_s=within_s)
         if answer is not None and answer.status != 429:
             return answer
-        if time.monotonic() + AGAIN_S >= until:
+        if time.monotonic() + RETRY_DELAY_S >= deadline:
             return answer
-        time.sleep(AGAIN_S)
+        time.sleep(RETRY_DELAY_S)
 
 
 def _call_following_redirects(
@@ -113,9 +113,9 @@
             return None
         if answer.status != 307:
             return answer
-        place = answer.headers.get("location", "").removeprefix("http://").partition("/")[0]
+        location = answer.headers.get("location", "").removeprefix("http://").partition("/")[0]
         try:
-            endpoint = parse_endpoint(place)
+            endpoint = parse_endpoint(location)
         except UsageError:
             return None
     return None
@@ -130,18 +130,18 @@
     within_s: float = 8.0,
 ) -> Answer:
     """The clear answer of whoever gives one, asked in turn until `within_s`; raises NoAnswerError."""
-    until, pause = time.monotonic() + within_s, PAUSE_S
+    deadline, delay_s = time.monotonic() + within_s, ROUND_DELAY_S
     for number in itertools.count(1):
         answer = _call_following_redirects(ctl[(number - 1) % len(ctl)], method, target, body, headers)
         if answer is not None:
             return answer
-        if time.monotonic() >= until:
+        if time.monotonic() >= deadline:
             break
         if number % len(ctl) == 0:
-            time.sleep(pause)
-            pause = min(pause * PAUSE_GROWS, PAUSE_MOST_S)
-    asked = ", ".join(ctl)
+            time.sleep(delay_s)
+            delay_s = min(delay_s * ROUND_DELAY_FACTOR, MAX_ROUND_DELAY_S)
+    endpoints = ", ".join(ctl)
     raise NoAnswerError(
-        f"none of {asked} gives a clear answer to {method} {target} within {within_s:g} s",
+        f"none of {endpoints} gives a clear answer to {method} {target} within {within_s:g} s",
         "see that a majority of the control processes runs, or give --ctl=IP:PORT of others",
     )
--- a/mastturnd/balancer_calls.py
+++ b/mastturnd/balancer_calls.py
@@ -14,35 +14,35 @@
 from loguru import logger
 
 from mastturnd import balancer_report, explaining, figures
-from mastturnd.pace import Pace
+from mastturnd.pace import RateLimiter
 from mastturnd.reported import ReportedRole
 from transport.calls import REASONS
 
-_PACES = {target: Pace() for target in ("/api/status", "/api/explain", "/metrics")}
+_RATE_LIMITERS = {target: RateLimiter() for target in ("/api/status", "/api/explain", "/metrics")}
 _tasks: set[asyncio.Task[None]] = set()
 
 
-def take(role: ReportedRole, head: bytes, transport: asyncio.Transport) -> bool:
+def handle_request(role: ReportedRole, head: bytes, transport: asyncio.Transport) -> bool:
     """Answer a question and end its connection; False if it is none of ours."""
-    words = head.split(b"\r\n", 1)[0].split(b" ")
-    if len(words) != 3 or words[0] != b"GET":
+    request_line = head.split(b"\r\n", 1)[0].split(b" ")
+    if len(request_line) != 3 or request_line[0] != b"GET":
         return False
-    target, _, query = words[1].decode("latin-1").partition("?")
-    if target not in _PACES:
+    target, _, query = request_line[1].decode("latin-1").partition("?")
+    if target not in _RATE_LIMITERS:
         return False
     loop = asyncio.get_running_loop()
-    if not _PACES[target].allows(loop.time()):
+    if not _RATE_LIMITERS[target].allows(loop.time()):
         _write(transport, 429, _error("asked too often; ask again in a second"))
     elif target == "/metrics":
-        _later(_figures(role, transport), transport)
+        _run_in_background(_write_metrics(role, transport), transport)
     elif target == "/api/status":
         _write(transport, 200, json.dumps(balancer_report.status(role)).encode())
     else:
-        _later(_explain(role, query, transport), transport)
+        _run_in_background(_write_explanation(role, query, transport), transport)
     return True
 
 
-def _later(work: Coroutine[Any, Any, None], transport: asyncio.Transport) -> None:
+def _run_in_background(work: Coroutine[Any, Any, None], transport: asyncio.Transport) -> None:
     """Have an answer written; a fault costs that question alone."""
 
     async def guarded() -> None:
@@ -57,22 +57,28 @@
     task.add_done_callback(_tasks.discard)
 
 
-async def _figures(role: ReportedRole, transport: asyncio.Transport) -> None:
-    _write(transport, 200, await figures.text("mastturnd.balancer_figures", role), figures.CONTENT_TYPE)
+async def _write_metrics(role: ReportedRole, transport: asyncio.Transport) -> None:
+    _write(
+        transport, 200, await figures.render_text("mastturnd.balancer_figures", role), figures.CONTENT_TYPE
+    )
 
 
-async def _explain(role: ReportedRole, query: str, transport: asyncio.Transport) -> None:
-    wanted = (parse_qs(query[:200]).get("next") or ["0"])[0]
-    if not wanted.isascii() or not wanted.isdigit() or int(wanted[:6]) > explaining.MOST_CHOICES:
-        _write(transport, 400, _error(f"next is no number up to {explaining.MOST_CHOICES}; give one"))
+async def _write_explanation(role: ReportedRole, query: str, transport: asyncio.Transport) -> None:
+    requested = (parse_qs(query[:200]).get("next") or ["0"])[0]
+    if (
+        not requested.isascii()
+        or not requested.isdigit()
+        or int(requested[:6]) > explaining.MAX_RECORDED_CHOICES
+    ):
+        _write(transport, 400, _error(f"next is no number up to {explaining.MAX_RECORDED_CHOICES}; give one"))
         return
-    found = explaining.standing(role.balancer, role.settings.node)
-    if int(wanted):
+    explanation = explaining.describe_groups(role.balancer, role.settings.node)
+    if int(requested):
         if explaining.is_recording(role.balancer):
             _write(transport, 429, _error("choices are being recorded already; ask again in a moment"))
             return
-        found["choices"] = await explaining.record(role.balancer, int(wanted))
-    _write(transport, 200, json.dumps(found).encode())
+        explanation["choices"] = await explaining.record(role.balancer, int(requested))
+    _write(transport, 200, json.dumps(explanation).encode())
 
 
 def _error(text: str) -> bytes:
--- a/mastturnd/balancer_figures.py
+++ b/mastturnd/balancer_figures.py
@@ -11,37 +11,37 @@
 from mastturnd.reported import ReportedRole
 from passpost.answer_end import Misuse
 
-Told = dict[str, Any]  # what `status` tells
+Status = dict[str, Any]  # what `status` tells
 
 
 def metrics(role: ReportedRole) -> list[Metric]:
     """The same as figures."""
-    told = status(role)
+    report = status(role)
     return [
-        *_standing(told),
-        *_requests(told, role.balancer.counters),
-        *_answers(role.balancer.answer_log),
-        *_news(told),
-        *_upstreams(told),
-        gauge("process_resident_memory_bytes", "Memory in use.", told["memory_kb"] * 1024),
-        counter("process_cpu_seconds_total", "Processor time.", told["processor_s"]),
+        *_state_metrics(report),
+        *_request_metrics(report, role.balancer.counters),
+        *_answer_metrics(role.balancer.answer_log),
+        *_control_state_metrics(report),
+        *_upstream_metrics(report),
+        gauge("process_resident_memory_bytes", "Memory in use.", report["memory_kb"] * 1024),
+        counter("process_cpu_seconds_total", "Processor time.", report["processor_s"]),
     ]
 
 
-def _standing(told: Told) -> list[Metric]:
+def _state_metrics(report: Status) -> list[Metric]:
     return [
-        gauge("station_ready", "1 while readiness is answered with 200.", told["ready"]),
-        gauge("station_drained", "1 while the configuration drains this balancer.", told["drained"]),
-        gauge("station_news_fresh", "1 while the control state is heard of.", told["fresh"]),
-        gauge("station_configuration_version", "Version in force here, 0 without one.", told["ver"]),
+        gauge("station_ready", "1 while readiness is answered with 200.", report["ready"]),
+        gauge("station_drained", "1 while the configuration drains this balancer.", report["drained"]),
+        gauge("station_news_fresh", "1 while the control state is heard of.", report["fresh"]),
+        gauge("station_configuration_version", "Version in force here, 0 without one.", report["ver"]),
     ]
 
 
-def _requests(told: Told, counters: RequestCounters) -> list[Metric]:
-    ended = {name: float(count) for name, count in told["ended"].items()}
-    refused, read = told["refused"], counters.tokens_read
+def _request_metrics(report: Status, counters: RequestCounters) -> list[Metric]:
+    ended = {name: float(count) for name, count in report["ended"].items()}
+    refused, read = report["refused"], counters.tokens_read
     return [
-        gauge("station_requests_in_flight", "Requests taken and not answered.", told["in_flight"]),
+        gauge("station_requests_in_flight", "Requests taken and not answered.", report["in_flight"]),
         by("station_requests_total", "counter", "Requests that have ended, by how.", "end", ended),
         by("station_refusals_total", "counter", "Requests that got no run, by why.", "reason", refused),
         histogram(
@@ -73,7 +73,7 @@
     ]
 
 
-def _answers(answers: AnswerLog) -> list[Metric]:
+def _answer_metrics(answers: AnswerLog) -> list[Metric]:
     return [
         by_labels(
             "station_upstream_answers_total",
@@ -96,18 +96,18 @@
     ]
 
 
-def _news(told: Told) -> list[Metric]:
-    age = told["news_age_s"]
+def _control_state_metrics(report: Status) -> list[Metric]:
+    age = report["news_age_s"]
     since = "Since the control state was last heard of."
     return [
-        gauge("station_epoch", "The epoch of whoever leads, as last heard of.", told["epoch"]),
+        gauge("station_epoch", "The epoch of whoever leads, as last heard of.", report["epoch"]),
         *([gauge("station_news_age_seconds", since, age)] if age is not None else []),
-        counter("station_list_calls_total", "Pages of the platform's list asked for.", told["list_calls"]),
+        counter("station_list_calls_total", "Pages of the platform's list asked for.", report["list_calls"]),
     ]
 
 
-def _upstreams(told: Told) -> list[Metric]:
-    parts = _by_part(told)
+def _upstream_metrics(report: Status) -> list[Metric]:
+    parts = _counts_by_part(report)
     return [
         by("station_upstreams_up", "gauge", "Upstreams that are up.", "part", parts["up"]),
         by("station_upstreams_silent", "gauge", "Upstreams that owe us a word.", "part", parts["silent"]),
@@ -123,11 +123,11 @@
     ]
 
 
-def _by_part(told: Told) -> dict[str, dict[str, float]]:
+def _counts_by_part(report: Status) -> dict[str, dict[str, float]]:
     """Counts of the upstreams by their part in a split request."""
     names = ("up", "silent", "distrusted", "calls", "tokens")
     parts: dict[str, dict[str, float]] = {name: {} for name in names}
-    for entry in told["upstreams"]:
+    for entry in report["upstreams"]:
         part = entry["part"] or "whole"
         for name, more in (
             ("up", entry["state"] == "up"),
--- a/mastturnd/balancer_report.py
+++ b/mastturnd/balancer_report.py
@@ -8,7 +8,7 @@
 from balancer.peer import Peer
 from mastturnd.reported import ReportedRole
 from mastturnd.roles import BALANCER
-from mastturnd.version import memory_kb, processor_s, program
+from mastturnd.version import memory_kb, processor_s, program_digest
 from transport.wire import EDITION
 
 
@@ -21,21 +21,21 @@
 def status(role: ReportedRole) -> dict[str, Any]:
     """All that an operator may want of one balancer."""
     settings, balancer = role.settings, role.balancer
-    figures = balancer.counts()
+    counts = balancer.counts()
     now = time.monotonic()
     return {
         "role": BALANCER,
         "node": settings.node,
         "ip": settings.ip,
         "zone": settings.zone,
-        "program": program(),
+        "program": program_digest(),
         "edition": EDITION,
         "ready": balancer.is_ready(),
         "memory_kb": memory_kb(),
         "processor_s": processor_s(),
-        **role.standing(),
-        "in_flight": figures["in_flight"],
-        "calls_out": figures["calls_out"],
+        **role.report_state(),
+        "in_flight": counts["in_flight"],
+        "calls_out": counts["calls_out"],
         "refused": {why.value: count for why, count in balancer.counters.refusals.items()},
         "ended": {final.value: count for final, count in balancer.counters.ends.items()},
         "upstreams": [
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -55,7 +55,7 @@
 
 KINDS = MessageKinds().include(messages.KINDS)
 HOLDINGS_REPORT_DELAY_S = 0.1  # what was seen read is reported no sooner after the report before
-SILENT_S = 2.5  # a balancer below us that says nothing for so long has gone
+CHILD_TIMEOUT_S = 2.5  # a balancer below us that says nothing for so long has gone
 
 
 class BalancerRole:
@@ -69,15 +69,15 @@
         self._list_reader = ListReader()
         self._reader = ConfigurationReader()
         own = Endpoint(settings.ip, settings.balancer_port)
-        self._links = Links(KINDS, own, self._heard, self._ended)
+        self._links = Links(KINDS, own, self._on_message, self._on_link_closed)
         self._feed = Feed(self._latest, KINDS, lambda: None)
         self._loads = LoadExchange(self.balancer.loads, self._latest, self._feed, lambda: self._follower)
-        self._others = self._loads.others
-        self.balancer.set_other_loads(self._others.of)
+        self._peer_loads = self._loads.peer_loads
+        self.balancer.set_other_loads(self._peer_loads.of)
         self.balancer.watch_loads(self._loads.sum.schedule)
         self._holdings = Holdings()
-        self._unsaid: list[Holding] = []  # seen here or below, and not reported yet
-        self.balancer.watch_cached_prefixes(self._kept)
+        self._unreported: list[Holding] = []  # seen here or below, and not reported yet
+        self.balancer.watch_cached_prefixes(self._on_prefix_cached)
         me = Present(settings.node, settings.ip, settings.zone)
         self._follower = Follower(
             me,
@@ -87,13 +87,13 @@
             settings.seed_ips,
             self._on_update,
             self._feed.present,
-            self._attached,
+            self._on_attached,
             self._loads.sum.resend_steps,
             secrets.randbits(32),
         )
         self._doubts = FailureExchange(self.balancer, self._latest, self._follower.send)
         self._platform = PlatformList(parse_address(settings.cloud_api.addr), settings.cloud_api.rate_per_s)
-        self._lone = FallbackListReader(
+        self._fallback_reader = FallbackListReader(
             me,
             self._platform,
             self._latest,
@@ -102,12 +102,12 @@
             self._on_update,
             settings.balancer_port,
         )
-        self._lone.allow(settings.cloud_api.rate_per_s)
+        self._fallback_reader.set_rate(settings.cloud_api.rate_per_s)
         self._tasks: list[asyncio.Task[None]] = []
-        self._headcount = BalancerCount()
+        self._balancer_count = BalancerCount()
         self._drained = False  # the configuration has us take no new clients
-        self._tap: Any = None  # while every step of a request is logged
-        self.balancer.request_handler = self._asked
+        self._step_log: Any = None  # while every step of a request is logged
+        self.balancer.request_handler = self._handle_request
 
     async def start(self) -> None:
         """Listen, and hear the news from now on; raises OSError where an address can't be had."""
@@ -115,7 +115,9 @@
         await self.balancer.start()
         self._log_steps()
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(run_forever(work)) for work in (self._follower.run, self._watch)]
+        self._tasks = [
+            loop.create_task(run_forever(work)) for work in (self._follower.run, self._run_fallback)
+        ]
 
     async def stop(self) -> None:
         """Answer what is held, and end."""
@@ -129,46 +131,46 @@
         self.settings = settings
         self._follower.set_seeds(settings.seed_ips)
         self._platform.set_address(parse_address(settings.cloud_api.addr))
-        self._lone.allow(settings.cloud_api.rate_per_s)
+        self._fallback_reader.set_rate(settings.cloud_api.rate_per_s)
         self._log_steps()
 
     # ---- what operators ask; nothing of it is loaded until they do
 
-    def _asked(self, head: bytes, transport: asyncio.Transport) -> bool:
+    def _handle_request(self, head: bytes, transport: asyncio.Transport) -> bool:
         from mastturnd import balancer_calls
 
-        return balancer_calls.take(self, head, transport)
+        return balancer_calls.handle_request(self, head, transport)
 
     def _log_steps(self) -> None:
         """Log every step of each request while the level is DEBUG."""
-        if (self._tap is not None) == logs.is_debug():
+        if (self._step_log is not None) == logs.is_debug():
             return
-        if self._tap is not None:
-            self._tap.remove()
-            self._tap = None
+        if self._step_log is not None:
+            self._step_log.remove()
+            self._step_log = None
             return
         from mastturnd.tap import StepLog
 
-        self._tap = StepLog(self.balancer)
+        self._step_log = StepLog(self.balancer)
 
-    def standing(self) -> dict[str, Any]:
+    def report_state(self) -> dict[str, Any]:
         """What this process knows and is told, for a report."""
-        known = self._latest
+        latest = self._latest
         return {
             "drained": self._drained,
             "fresh": self._follower.is_fresh(),
             "told_by": str(self._follower.parent() or ""),
             "tells": sorted(self._feed.present()),
-            "ver": known.configuration.ver if known.configuration is not None else 0,
-            "epoch": known.pulse.epoch if known.pulse is not None else 0,
-            "listed": self._lone.listed,
+            "ver": latest.configuration.ver if latest.configuration is not None else 0,
+            "epoch": latest.pulse.epoch if latest.pulse is not None else 0,
+            "listed": self._fallback_reader.upstream_count,
             "list_calls": self._platform.calls,
             "news_age_s": self._follower.age_s(),
         }
 
     # ---- news
 
-    def _heard(self, link: Link, message: Any) -> None:
+    def _on_message(self, link: Link, message: Any) -> None:
         if self._follower.is_parent_link(link):
             self._follower.on_message(link, message)
             return
@@ -185,17 +187,17 @@
                 self._feed.on_hello(link, message)
                 link.send(Speaks(EDITION, b""))
             case LoadReport() | LoadReportStep():
-                self._loads.heard_below(link, message)
+                self._loads.on_child_report(link, message)
             case DoubtReport():
                 self._doubts.sum.report(link, message)
             case HoldingReport(holdings):
-                self._say_later(self._hold(holdings))
+                self._report_later(self._store_holdings(holdings))
             case EpochHeard(epoch) if epoch > self._latest.epoch():
                 self._follower.send(message)
             case UpstreamNews() | UpstreamChange():
-                self._lone.heard(link.peer, message)
+                self._fallback_reader.on_message(link.peer, message)
 
-    def _ended(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         self._follower.on_closed(link)
         self._feed.on_closed(link)
         self._loads.sum.remove_child(link)
@@ -203,11 +205,11 @@
 
     # ---- what upstreams have read
 
-    def _kept(self, subject: bytes, upstream: str) -> None:
+    def _on_prefix_cached(self, subject: bytes, upstream: str) -> None:
         """An upstream has read the shared parts of a subject for us."""
-        self._say_later(self._holdings.add((Holding(subject, upstream),), first_hand=True))
+        self._report_later(self._holdings.add((Holding(subject, upstream),), first_hand=True))
 
-    def _hold(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
+    def _store_holdings(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
         """Take others' news; what is new goes on to whoever hears it from us."""
         new = self._holdings.add(holdings)
         for holding in new:
@@ -216,17 +218,17 @@
             self._feed.broadcast(HoldingNews(new))
         return new
 
-    def _say_later(self, new: tuple[Holding, ...]) -> None:
-        if new and not self._unsaid:
-            asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._say_holdings)
-        self._unsaid += new
+    def _report_later(self, new: tuple[Holding, ...]) -> None:
+        if new and not self._unreported:
+            asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._report_holdings)
+        self._unreported += new
 
-    def _say_holdings(self) -> None:
-        unsaid, self._unsaid = tuple(self._unsaid), []
-        self._follower.send(HoldingReport(unsaid))
-        self._feed.broadcast(HoldingNews(unsaid))
+    def _report_holdings(self) -> None:
+        unreported, self._unreported = tuple(self._unreported), []
+        self._follower.send(HoldingReport(unreported))
+        self._feed.broadcast(HoldingNews(unreported))
 
-    def _attached(self) -> None:
+    def _on_attached(self) -> None:
         """Whoever tells us the news from now on knows nothing of us yet."""
         self._loads.sum.resend()
         self._doubts.sum.resend()
@@ -237,17 +239,17 @@
         match message:
             case UpstreamNews():
                 self._feed.broadcast_list(message, new)
-                self._list(message, new)
+                self._apply_upstreams(message, new)
             case LoadNews() | LoadStep():
-                self._loads.heard(message, new)
+                self._loads.on_update(message, new)
             case DoubtNews():
                 self._feed.broadcast(message)
                 self._doubts.on_update(message)
             case HoldingNews(holdings):
-                self._hold(holdings)
+                self._store_holdings(holdings)
             case ConfigurationNews(ver, body):
                 self._feed.broadcast(message)
-                self._configure(ver, body)
+                self._apply_configuration(ver, body)
             case MemberNews(balancers=present):
                 self._feed.broadcast(message)
                 nodes = sorted(one.node for one in present)
@@ -255,53 +257,53 @@
             case Pulse():
                 self._feed.broadcast(message)
                 self._doubts.on_pulse(message)
-                if number := self._headcount.take(message, asyncio.get_running_loop().time()):
+                if number := self._balancer_count.take(message, asyncio.get_running_loop().time()):
                     self.balancer.count_balancers(number)
             case _:
                 self._feed.broadcast(message)
 
-    def _configure(self, ver: int, body: bytes) -> None:
+    def _apply_configuration(self, ver: int, body: bytes) -> None:
         try:
             self.balancer.configure(self._reader.parse(body))
         except InvalidConfigurationError as error:
             logger.error("event=configuration_unusable ver={} error={!r}", ver, str(error))
             return
         logger.info("event=configured ver={}", ver)
-        self._drain(draining.is_drained(body, self.settings.node))
-        self._allow()
+        self._set_drained(draining.is_drained(body, self.settings.node))
+        self._update_readiness()
 
-    def _list(self, message: UpstreamNews, change: UpstreamChange | None) -> None:
+    def _apply_upstreams(self, message: UpstreamNews, change: UpstreamChange | None) -> None:
         try:
             entries = self._list_reader.read(message, change)
         except FleetError as error:
             logger.error("event=list_unusable error={!r}", str(error))
             return
-        self._lone.listed = len(entries)
+        self._fallback_reader.upstream_count = len(entries)
         self._holdings.keep_only({e.id for e in entries})
         self.balancer.list_upstreams(entries)
-        self._allow()
+        self._update_readiness()
 
-    def _allow(self) -> None:
-        known = self._latest
-        equipped = known.configuration is not None and known.upstreams is not None
-        self.balancer.allow_ready(equipped and not self._drained)
+    def _update_readiness(self) -> None:
+        latest = self._latest
+        has_state = latest.configuration is not None and latest.upstreams is not None
+        self.balancer.allow_ready(has_state and not self._drained)
 
-    def _drain(self, drained: bool) -> None:
+    def _set_drained(self, drained: bool) -> None:
         if drained != self._drained:
             self._drained = drained
             logger.info("event={}", "drained" if drained else "undrained")
 
     # ---- alone
 
-    async def _watch(self) -> None:
+    async def _run_fallback(self) -> None:
         """Without the control state the list is read here, or by another balancer of the zone for us."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(self._lone.wait_s(loop.time(), STALE_AFTER_S / 2))
+            await asyncio.sleep(self._fallback_reader.seconds_until_due(loop.time(), STALE_AFTER_S / 2))
             now = loop.time()
-            self._feed.drop_silent(now, SILENT_S)
+            self._feed.drop_silent(now, CHILD_TIMEOUT_S)
             if not self._follower.is_fresh():
-                self._others.clear()
+                self._peer_loads.clear()
                 self._latest.clear_loads()
                 self._doubts.clear()
-            await self._lone.look(now)
+            await self._fallback_reader.read_if_due(now)
--- a/mastturnd/commands.py
+++ b/mastturnd/commands.py
@@ -20,7 +20,7 @@
 from config.settings import Settings, parse_address
 from mastturnd import asking, configuring, fleet_status, present, salvage, tracing
 from mastturnd.draining import drained_nodes
-from mastturnd.explanation import lines_of_explanation
+from mastturnd.explanation import format_explanation
 from mastturnd.tables import table
 from mastturnd.wrong import DIFFERS, DONE, FAILED, USAGE_ERROR, CommandFailedError, NoAnswerError, UsageError
 
@@ -40,7 +40,7 @@
        --force"""
 
 
-def _flags() -> flags.FlagValues:
+def _define_flags() -> flags.FlagValues:
     found = flags.FlagValues()  # type: ignore[no-untyped-call]
     flags.DEFINE_string(
         "ctl", "", "Control processes, IP:PORT with commas between; the settings' seeds if none.", found
@@ -74,7 +74,7 @@
     """The commands, with the flags of one call."""
 
     def __init__(self, given: flags.FlagValues) -> None:
-        self._given = given
+        self._flag_values = given
         self._settings = self._read_settings()
         self._within_s = float(given.within_s)
 
@@ -84,8 +84,8 @@
             return None
         return settings_file.read()
 
-    def _ctl(self) -> list[str]:
-        given = [part.strip() for part in self._given.ctl.split(",") if part.strip()]
+    def _control_endpoints(self) -> list[str]:
+        given = [part.strip() for part in self._flag_values.ctl.split(",") if part.strip()]
         if not given and self._settings is not None:
             own = self._settings.listen.ctl
             given = list(dict.fromkeys([*([own] if own else []), *self._settings.seed_addrs]))
@@ -97,8 +97,8 @@
         return [asking.parse_endpoint(part) for part in given]
 
     def _readyz_port(self) -> int | None:
-        if self._given.readyz_port:
-            return int(self._given.readyz_port)
+        if self._flag_values.readyz_port:
+            return int(self._flag_values.readyz_port)
         if self._settings is None:
             return None
         readyz = self._settings.listen.readyz
@@ -108,13 +108,13 @@
 
     def status(self) -> Report:
         """The whole fleet."""
-        found = present.fleet(self._ctl(), self._readyz_port(), self._within_s)
+        found = present.wait_for_fleet(self._control_endpoints(), self._readyz_port(), self._within_s)
         return Report(found, fleet_status.format_lines(found), DIFFERS if found["differs"] else DONE)
 
     def explain(self, where: str) -> Report:
         """One balancer's ready sets, and its next choices."""
         if ":" in where:
-            place = asking.parse_endpoint(where)
+            endpoint = asking.parse_endpoint(where)
         else:
             port = self._readyz_port()
             if port is None:
@@ -122,41 +122,45 @@
                     "the port of the balancers' readiness is not known",
                     "give --readyz_port, or IP:PORT for NODE",
                 )
-            place = f"{self._balancer(where)['ip']}:{port}"
-        choices = int(self._given.choices)
+            endpoint = f"{self._balancer(where)['ip']}:{port}"
+        choices = int(self._flag_values.choices)
         target = "/api/explain" + (f"?next={choices}" if choices else "")
-        answer = asking.call_until_answered(place, target, max(self._within_s, 5.0))
+        answer = asking.call_until_answered(endpoint, target, max(self._within_s, 5.0))
         if answer is None or answer.status == 404:
-            raise CommandFailedError(f"{place} gives no answer", "name the address of a balancer's readiness")
+            raise CommandFailedError(
+                f"{endpoint} gives no answer", "name the address of a balancer's readiness"
+            )
         if answer.status != 200:
-            raise CommandFailedError(f"{place} says: {answer.error_text()}", "ask again")
-        return Report(answer.json(), lines_of_explanation(answer.json()))
+            raise CommandFailedError(f"{endpoint} says: {answer.error_text()}", "ask again")
+        return Report(answer.json(), format_explanation(answer.json()))
 
     def _balancer(self, node: str) -> dict[str, Any]:
-        found = present.balancers(self._ctl(), self._within_s, present.named(node))
-        mine = next((b for b in found if b["node"] == node), None)
-        if mine is None:
+        found = present.wait_for_balancers(
+            self._control_endpoints(), self._within_s, present.contains_node(node)
+        )
+        balancer = next((b for b in found if b["node"] == node), None)
+        if balancer is None:
             names = ", ".join(b["node"] for b in found) or "none"
             raise UsageError(f"no balancer {node!r} is present", f"name one of: {names}")
-        return mine
+        return balancer
 
     # ---- the configuration
 
     def get(self) -> Report:
         """The configuration in force."""
-        now = configuring.current(self._ctl(), self._within_s)
-        if not now.ver:
+        current = configuring.fetch_current(self._control_endpoints(), self._within_s)
+        if not current.ver:
             raise CommandFailedError("no configuration has been taken yet", "put one")
-        return Report(now.raw(), [now.body.decode("utf-8", "replace")])
+        return Report(current.raw(), [current.body.decode("utf-8", "replace")])
 
     def put(self, name: str) -> Report:
         """Have a file taken."""
         body = configuring.read_file(name)
-        configuring.checked(body, name)
-        ctl = self._ctl()
-        now = configuring.current(ctl, self._within_s)
-        sent, raw, notes = configuring.prepared(body, name, now, bool(self._given.next))
-        base = int(self._given.base) if self._given.base >= 0 else now.ver
+        configuring.parse_valid(body, name)
+        ctl = self._control_endpoints()
+        current = configuring.fetch_current(ctl, self._within_s)
+        sent, raw, notes = configuring.prepare_put(body, name, current, bool(self._flag_values.next))
+        base = int(self._flag_values.base) if self._flag_values.base >= 0 else current.ver
         configuring.put(ctl, sent, base, self._within_s)
         lines = [f"version {raw['ver']} is taken on top of {base}", *notes]
         return Report({"ver": raw["ver"], "base": base, "notes": notes}, lines)
@@ -164,35 +168,37 @@
     def patch(self, name: str) -> Report:
         """Have named items changed, or see what that would change."""
         body = configuring.read_file(name)
-        now = configuring.current(self._ctl(), self._within_s)
-        base = int(self._given.base) if self._given.base >= 0 else now.ver
-        sent, patch, result = configuring.patched(body, name, now, bool(self._given.next))
-        found = configuring.differences(now.raw(), result)
-        lines = [configuring.line_of(d) for d in found]
+        current = configuring.fetch_current(self._control_endpoints(), self._within_s)
+        base = int(self._flag_values.base) if self._flag_values.base >= 0 else current.ver
+        sent, patch, result = configuring.prepare_patch(body, name, current, bool(self._flag_values.next))
+        found = configuring.differences(current.raw(), result)
+        lines = [configuring.format_difference(d) for d in found]
         data = {"ver": patch.ver, "base": base, "differs": found}
-        if self._given.dry_run:
+        if self._flag_values.dry_run:
             return Report(data, lines, DIFFERS if found else DONE)
-        configuring.send_patch(self._ctl(), sent, base, self._within_s)
+        configuring.send_patch(self._control_endpoints(), sent, base, self._within_s)
         return Report(data, [f"version {patch.ver} is taken on top of {base}", *lines])
 
     def diff(self, name: str) -> Report:
         """What a file would change."""
-        raw = configuring.checked(configuring.read_file(name), name)
-        now = configuring.current(self._ctl(), self._within_s)
-        found = configuring.differences(now.raw(), raw)
-        lines = [configuring.line_of(d) for d in found] or [f"{name} is what is in force, version {now.ver}"]
-        return Report({"ver": now.ver, "differs": found}, lines, DIFFERS if found else DONE)
+        raw = configuring.parse_valid(configuring.read_file(name), name)
+        current = configuring.fetch_current(self._control_endpoints(), self._within_s)
+        found = configuring.differences(current.raw(), raw)
+        lines = [configuring.format_difference(d) for d in found] or [
+            f"{name} is what is in force, version {current.ver}"
+        ]
+        return Report({"ver": current.ver, "differs": found}, lines, DIFFERS if found else DONE)
 
     def check(self, name: str) -> Report:
         """Whether a file is good."""
-        raw = configuring.checked(configuring.read_file(name), name)
+        raw = configuring.parse_valid(configuring.read_file(name), name)
         counts = {part: len(raw.get(part) or []) for part in ("routes", "svcs")}
         text = f"{name} is good: version {raw['ver']}, {counts['routes']} routes, {counts['svcs']} services"
         return Report({"ver": raw["ver"], **counts}, [text])
 
     def history(self) -> Report:
         """The versions that were taken."""
-        answer = asking.call_any(self._ctl(), "GET", "/api/history", within_s=self._within_s)
+        answer = asking.call_any(self._control_endpoints(), "GET", "/api/history", within_s=self._within_s)
         if answer.status != 200:
             raise CommandFailedError(
                 f"{answer.endpoint} says: {answer.error_text()}", "ask a process of this program"
@@ -219,34 +225,36 @@
 
     def drain(self, node: str) -> Report:
         """A balancer takes no new clients from now on."""
-        if not self._given.force:
-            self._see_enough_left(node)
+        if not self._flag_values.force:
+            self._check_remaining_balancers(node)
         return self._change_drain(node, True)
 
-    def _see_enough_left(self, node: str) -> None:
+    def _check_remaining_balancers(self, node: str) -> None:
         """Raise UsageError if the balancer is not present, CommandFailedError if too few would remain."""
-        gone = drained_nodes(configuring.current(self._ctl(), self._within_s).raw()) or ()
+        already_drained = (
+            drained_nodes(configuring.fetch_current(self._control_endpoints(), self._within_s).raw()) or ()
+        )
 
-        def left_of(found: present.Balancers) -> tuple[int, int, str] | None:
+        def remaining_in_zone(found: present.Balancers) -> tuple[int, int, str] | None:
             """How many would take new clients, of how many, in which zone."""
             zone = next((b["zone"] for b in found if b["node"] == node), None)
             if zone is None:
                 return None
             of_zone = [b["node"] for b in found if b["zone"] == zone]
-            return len([n for n in of_zone if n != node and n not in gone]), len(of_zone), zone
+            return len([n for n in of_zone if n != node and n not in already_drained]), len(of_zone), zone
 
-        def suit(found: present.Balancers) -> bool:
-            left = left_of(found)
-            return left is not None and 2 * left[0] >= left[1]
+        def enough_remain(found: present.Balancers) -> bool:
+            remaining = remaining_in_zone(found)
+            return remaining is not None and 2 * remaining[0] >= remaining[1]
 
-        found = present.balancers(self._ctl(), self._within_s, suit)
-        left = left_of(found)
-        if left is None:
+        found = present.wait_for_balancers(self._control_endpoints(), self._within_s, enough_remain)
+        remaining = remaining_in_zone(found)
+        if remaining is None:
             names = ", ".join(b["node"] for b in found) or "none"
             raise UsageError(f"no balancer {node!r} is present", f"name one of: {names}; or give --force")
-        if 2 * left[0] < left[1]:
+        if 2 * remaining[0] < remaining[1]:
             raise CommandFailedError(
-                f"that leaves {left[0]} of {left[1]} balancers of {left[2]}; with under half left, "
+                f"that leaves {remaining[0]} of {remaining[1]} balancers of {remaining[2]}; with under half left, "
                 "the whole zone gets clients",
                 "undrain another first, or give --force",
             )
@@ -255,40 +263,48 @@
         """It takes them again."""
         return self._change_drain(node, False)
 
-    def _change_drain(self, node: str, drains: bool) -> Report:
-        ver, is_new = configuring.change_drain(self._ctl(), node, drains, self._within_s)
-        word = "drained" if drains else "not drained"
-        lines = [f"{node} is {word} {'since' if is_new else 'already, in'} version {ver}"]
-        told = self._until_told(node, drains)
-        if told is not None:
-            lines.append(f"{node} says so itself; {told['in_flight']} requests are open there")
+    def _change_drain(self, node: str, drained: bool) -> Report:
+        ver, is_new = configuring.change_drain(self._control_endpoints(), node, drained, self._within_s)
+        state = "drained" if drained else "not drained"
+        lines = [f"{node} is {state} {'since' if is_new else 'already, in'} version {ver}"]
+        confirmation = self._wait_for_confirmation(node, drained)
+        if confirmation is not None:
+            lines.append(f"{node} says so itself; {confirmation['in_flight']} requests are open there")
         elif self._readyz_port() is not None:
             lines.append(f"{node} does not say so yet; see `status`")
-        data = {"node": node, "drained": drains, "ver": ver, "changed": is_new, "told": told is not None}
+        data = {
+            "node": node,
+            "drained": drained,
+            "ver": ver,
+            "changed": is_new,
+            "told": confirmation is not None,
+        }
         return Report(data, lines)
 
-    def _until_told(self, node: str, drains: bool) -> dict[str, Any] | None:
+    def _wait_for_confirmation(self, node: str, drained: bool) -> dict[str, Any] | None:
         """The balancer's own word that it has heard of it; None if it doesn't come, or can't be asked."""
         port = self._readyz_port()
         if port is None:
             return None
         until = time.monotonic() + self._within_s
         try:
-            found = present.balancers(self._ctl(), self._within_s, present.named(node))
+            found = present.wait_for_balancers(
+                self._control_endpoints(), self._within_s, present.contains_node(node)
+            )
         except NoAnswerError:
             return None  # the change is taken all the same
-        place = next((f"{b['ip']}:{port}" for b in found if b["node"] == node), None)
-        told: list[dict[str, Any]] = []
+        endpoint = next((f"{b['ip']}:{port}" for b in found if b["node"] == node), None)
+        confirmation: list[dict[str, Any]] = []
 
-        def holds() -> bool:
-            answer = fleet_status.fetch_status(place) if place is not None else None
-            if answer is not None and answer.get("drained") == drains:
-                told.append(answer)
-            return bool(told)
+        def is_confirmed() -> bool:
+            answer = fleet_status.fetch_status(endpoint) if endpoint is not None else None
+            if answer is not None and answer.get("drained") == drained:
+                confirmation.append(answer)
+            return bool(confirmation)
 
-        if place is not None:
-            configuring.until(holds, max(until - time.monotonic(), 0.0))
-        return told[0] if told else None
+        if endpoint is not None:
+            configuring.wait_until(is_confirmed, max(until - time.monotonic(), 0.0))
+        return confirmation[0] if confirmation else None
 
     # ---- logs
 
@@ -309,17 +325,17 @@
         return Report(data, table(["TIME", "PROCESS", "EVENT", "FIELDS"], rows))
 
 
-def _find(commands: Commands, words: list[str]) -> Callable[[], Report]:
+def _resolve(commands: Commands, args: list[str]) -> Callable[[], Report]:
     """The command that the words name; raises UsageError."""
-    one = {"drain": commands.drain, "undrain": commands.undrain, "explain": commands.explain}
-    files = {
+    node_commands = {"drain": commands.drain, "undrain": commands.undrain, "explain": commands.explain}
+    path_commands = {
         "put": commands.put,
         "patch": commands.patch,
         "diff": commands.diff,
         "check": commands.check,
         "salvage": commands.salvage,
     }
-    match words:
+    match args:
         case ["status"]:
             return commands.status
         case ["config", "get"]:
@@ -327,25 +343,25 @@
         case ["config", "history"]:
             return commands.history
         case ["config", ("put" | "patch" | "diff" | "check" | "salvage") as what, name]:
-            return lambda: files[what](name)
+            return lambda: path_commands[what](name)
         case [("drain" | "undrain" | "explain") as what, name]:
-            return lambda: one[what](name)
+            return lambda: node_commands[what](name)
         case ["trace", request, *logs] if logs:
             return lambda: commands.trace(request, *logs)
-    needs = {
+    remedies = {
         "config": "say `config get|history`, `config put|patch|diff|check FILE`, or `config salvage FOLDER`",
         "trace": "say `trace ID LOG...`",
         "status": "say `status` alone",
         "explain": "say `explain NODE` or `explain IP:PORT`",
     }
-    remedy = needs.get(words[0], f"say `{words[0]} NODE`") if words else "say one of the commands"
-    raise UsageError(f"the call `{' '.join(words)}` can't be understood", remedy)
+    remedy = remedies.get(args[0], f"say `{args[0]} NODE`") if args else "say one of the commands"
+    raise UsageError(f"the call `{' '.join(args)}` can't be understood", remedy)
 
 
-def main(words: list[str]) -> int:
+def main(args: list[str]) -> int:
     """Carry out a command; the result is its exit code. Whoever reads it may have enough early."""
     try:
-        code = _carry_out(words)
+        code = _execute(args)
         sys.stdout.flush()
     except BrokenPipeError:
         os.dup2(
@@ -355,15 +371,15 @@
     return code
 
 
-def _carry_out(words: list[str]) -> int:
+def _execute(args: list[str]) -> int:
     """A wrong call is told in one line."""
-    given = _flags()
-    if "--help" in words:
+    given = _define_flags()
+    if "--help" in args:
         print(USAGE)
         return DONE
     try:
-        rest = given(["mastturnd", *words])[1:]
-        report = _find(Commands(given), rest)()
+        rest = given(["mastturnd", *args])[1:]
+        report = _resolve(Commands(given), rest)()
     except flags.Error as error:
         print(f"{str(error).splitlines()[0]}; see `python3 -m mastturnd status --help`", file=sys.stderr)
         return USAGE_ERROR
--- a/mastturnd/configuring.py
+++ b/mastturnd/configuring.py
@@ -16,11 +16,11 @@
 from mastturnd.draining import FIELD, drained_nodes
 from mastturnd.wrong import CommandFailedError, RequestRefusedError, UsageError
 
-MOST_FILE = 4 * 1024 * 1024  # bytes; more is not taken
+MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes; more is not taken
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class CurrentConfiguration:
     """The newest configuration, as it was sent; version 0 while there is none."""
 
     ver: int
@@ -36,15 +36,15 @@
     """A file's bytes; raises UsageError."""
     try:
         with Path(name).open("rb") as file:
-            body = file.read(MOST_FILE + 1)
+            body = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise UsageError(f"{name} can't be read ({error.strerror})", "name a readable file") from None
-    if len(body) > MOST_FILE:
-        raise UsageError(f"{name} is longer than {MOST_FILE} bytes", "name a configuration's file")
+    if len(body) > MAX_FILE_BYTES:
+        raise UsageError(f"{name} is longer than {MAX_FILE_BYTES} bytes", "name a configuration's file")
     return body
 
 
-def checked(body: bytes, name: str) -> dict[str, Any]:
+def parse_valid(body: bytes, name: str) -> dict[str, Any]:
     """The JSON of a good configuration; raises CommandFailedError that names the field and the remedy."""
     try:
         check(body)
@@ -56,16 +56,16 @@
     return raw
 
 
-def current(ctl: list[str], within_s: float) -> InForce:
+def fetch_current(ctl: list[str], within_s: float) -> CurrentConfiguration:
     """The newest configuration; raises NoAnswerError or RequestRefusedError."""
     answer = asking.call_any(ctl, "GET", "/api/config", within_s=within_s)
     if answer.status == 404:
-        return InForce(0, b"")
+        return CurrentConfiguration(0, b"")
     if answer.status != 200:
         raise RequestRefusedError(
             f"{answer.endpoint} says: {answer.error_text()}", "see its log", answer.status
         )
-    return InForce(int(answer.json()["ver"]), answer.body)
+    return CurrentConfiguration(int(answer.json()["ver"]), answer.body)
 
 
 def put(ctl: list[str], body: bytes, base: int, within_s: float) -> None:
@@ -90,62 +90,68 @@
     raise RequestRefusedError(f"{answer.endpoint} says: {answer.error_text()}", remedy, answer.status)
 
 
-def patched(body: bytes, name: str, now: InForce, next_ver: bool) -> tuple[bytes, Patch, dict[str, Any]]:
+def prepare_patch(
+    body: bytes, name: str, current: CurrentConfiguration, next_ver: bool
+) -> tuple[bytes, Patch, dict[str, Any]]:
     """A patch as it is to be sent, what it says, and what comes of it; raises CommandFailedError."""
     try:
         patch = parse_patch(body)
         if next_ver:
-            body = json.dumps(json.loads(body) | {"ver": now.ver + 1}).encode()
+            body = json.dumps(json.loads(body) | {"ver": current.ver + 1}).encode()
             patch = parse_patch(body)
-        result = apply_patch(now.body, patch, ConfigurationReader())
+        result = apply_patch(current.body, patch, ConfigurationReader())
     except InvalidConfigurationError as error:
         raise CommandFailedError(f"{name}: {error.problem}", error.remedy) from None
     return body, patch, json.loads(result.body)
 
 
-def prepared(body: bytes, name: str, now: InForce, next_ver: bool) -> tuple[bytes, dict[str, Any], list[str]]:
+def prepare_put(
+    body: bytes, name: str, current: CurrentConfiguration, next_ver: bool
+) -> tuple[bytes, dict[str, Any], list[str]]:
     """What to send for a file, its JSON, and what was changed in it: a new number, and drains that go on."""
-    raw = checked(body, name)
+    raw = parse_valid(body, name)
     notes = []
-    drained = drained_nodes(now.raw()) or ()
+    drained = drained_nodes(current.raw()) or ()
     if FIELD not in raw and drained:
         raw[FIELD] = list(drained)
         notes.append(f"{', '.join(drained)} stay drained; `undrain` ends that")
-    if next_ver and raw["ver"] != now.ver + 1:
-        raw["ver"] = now.ver + 1
-        notes.append(f"it gets version {now.ver + 1}")
+    if next_ver and raw["ver"] != current.ver + 1:
+        raw["ver"] = current.ver + 1
+        notes.append(f"it gets version {current.ver + 1}")
     return (json.dumps(raw).encode() if notes else body), raw, notes
 
 
-def change_drain(ctl: list[str], node: str, drains: bool, within_s: float) -> tuple[int, bool]:
+def change_drain(ctl: list[str], node: str, drained: bool, within_s: float) -> tuple[int, bool]:
     """Have a balancer drained or no longer; the version that says so, and whether that is a new one."""
-    until = time.monotonic() + within_s
+    deadline = time.monotonic() + within_s
     while True:
-        now = current(ctl, within_s)
-        if not now.ver:
+        current = fetch_current(ctl, within_s)
+        if not current.ver:
             raise CommandFailedError("there is no configuration yet", "put one first")
-        raw = now.raw()
+        raw = current.raw()
         names = set(drained_nodes(raw) or ())
-        if (node in names) == drains:
-            return now.ver, False
+        if (node in names) == drained:
+            return current.ver, False
         names ^= {node}
-        raw |= {FIELD: sorted(names), "ver": now.ver + 1}
+        raw |= {FIELD: sorted(names), "ver": current.ver + 1}
         if not names:
             del raw[FIELD]
         try:
-            put(ctl, json.dumps(raw).encode(), now.ver, within_s)
+            put(ctl, json.dumps(raw).encode(), current.ver, within_s)
         except RequestRefusedError as error:
-            if error.status != 412 or time.monotonic() >= until:  # somebody else was first: on top of theirs
+            if (
+                error.status != 412 or time.monotonic() >= deadline
+            ):  # somebody else was first: on top of theirs
                 raise
             continue
-        return now.ver + 1, True
+        return current.ver + 1, True
 
 
-def until(condition: Callable[[], bool], within_s: float) -> bool:
+def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
     """Whether a condition holds within so long; it is looked at three times a second."""
-    ends = time.monotonic() + within_s
+    deadline = time.monotonic() + within_s
     while not condition():
-        if time.monotonic() >= ends:
+        if time.monotonic() >= deadline:
             return False
         time.sleep(0.3)
     return True
@@ -157,11 +163,11 @@
 def differences(old: dict[str, Any], new: dict[str, Any]) -> list[dict[str, Any]]:
     """Each field that differs, by its path; routes and services are told apart by their names."""
     found: list[dict[str, Any]] = []
-    _compare("", _named(old), _named(new), found)
+    _compare("", _index_by_name(old), _index_by_name(new), found)
     return found
 
 
-def _named(raw: dict[str, Any]) -> dict[str, Any]:
+def _index_by_name(raw: dict[str, Any]) -> dict[str, Any]:
     named = dict(raw)
     for part in ("routes", "svcs"):
         if isinstance(raw.get(part), list):
@@ -185,7 +191,7 @@
     found.append({"path": path, "change": "~", "old": old, "new": new})
 
 
-def line_of(difference: dict[str, Any]) -> str:
+def format_difference(difference: dict[str, Any]) -> str:
     """One difference for people."""
     old, new = (json.dumps(difference[k]) if k in difference else "" for k in ("old", "new"))
     told = f"{old} -> {new}" if difference["change"] == "~" else old or new
--- a/mastturnd/control_calls.py
+++ b/mastturnd/control_calls.py
@@ -10,34 +10,38 @@
 from weakref import WeakKeyDictionary
 
 from control.operators import OPERATOR_ROUTES
-from mastturnd.pace import Pace
+from mastturnd.pace import RateLimiter
 from transport.calls import Request, Response, json_response
 
 if TYPE_CHECKING:
     from control.node import ControlNode
     from mastturnd.dashboard import Dashboard
 
-_STATUS, _METRICS, _DASHBOARD = Pace(), Pace(), Pace()  # so that a stranger takes nothing from a collector
+_STATUS_LIMITER, _METRICS_LIMITER, _DASHBOARD_LIMITER = (
+    RateLimiter(),
+    RateLimiter(),
+    RateLimiter(),
+)  # so that a stranger takes nothing from a collector
 _pages: WeakKeyDictionary[ControlNode, Dashboard] = WeakKeyDictionary()  # made once somebody asks
 
 
-def declare() -> None:
+def register() -> None:
     """The calls are declared once this module is loaded; the program calls this to have it loaded."""
 
 
-def _is_too_often(pace: Pace) -> bool:
-    return not pace.allows(asyncio.get_running_loop().time())
+def _is_rate_limited(limiter: RateLimiter) -> bool:
+    return not limiter.allows(asyncio.get_running_loop().time())
 
 
-def _wait() -> Response:
+def _too_many_requests() -> Response:
     return json_response(429, "asked too often; ask again in a second", Retry_After="1")
 
 
 @OPERATOR_ROUTES.route("GET", "/api/status")
 async def get_status(control: ControlNode, request: Request) -> Response:
     """This process's own word on who leads, what is kept here and who is present."""
-    if _is_too_often(_STATUS):
-        return _wait()
+    if _is_rate_limited(_STATUS_LIMITER):
+        return _too_many_requests()
     from mastturnd import control_report
 
     return Response(200, json.dumps(control_report.status(control)).encode())
@@ -46,19 +50,19 @@
 @OPERATOR_ROUTES.route("GET", "/metrics")
 async def get_metrics(control: ControlNode, request: Request) -> Response:
     """The same as figures for a collector."""
-    if _is_too_often(_METRICS):
-        return _wait()
+    if _is_rate_limited(_METRICS_LIMITER):
+        return _too_many_requests()
     from mastturnd import figures
 
-    found = await figures.text("mastturnd.control_figures", control)
-    return Response(200, found, content_type=figures.CONTENT_TYPE)
+    body = await figures.render_text("mastturnd.control_figures", control)
+    return Response(200, body, content_type=figures.CONTENT_TYPE)
 
 
 @OPERATOR_ROUTES.route("GET", "/dashboard")
 async def get_dashboard(control: ControlNode, request: Request) -> Response:
     """A page for a browser on the whole fleet, as this process finds it."""
-    if _is_too_often(_DASHBOARD):
-        return _wait()
+    if _is_rate_limited(_DASHBOARD_LIMITER):
+        return _too_many_requests()
     if "mastturnd.dashboard" not in sys.modules:  # what asks others takes time and memory, once
         await asyncio.to_thread(importlib.import_module, "mastturnd.dashboard")
     from mastturnd.dashboard import Dashboard as Page
--- a/mastturnd/control_report.py
+++ b/mastturnd/control_report.py
@@ -7,7 +7,7 @@
 from config.checking import parse_upstreams
 from config.errors import WireError
 from mastturnd.roles import CONTROL
-from mastturnd.version import memory_kb, processor_s, program
+from mastturnd.version import memory_kb, processor_s, program_digest
 from transport.wire import EDITION
 
 if TYPE_CHECKING:
@@ -15,10 +15,10 @@
     from control.node import ControlNode
 
 
-MOST_MS = 1e9  # a longer silence is told as this
+MAX_SILENT_MS = 1e9  # a longer silence is told as this
 
 
-def _standing(replica: Replica | None) -> str:
+def _membership_role(replica: Replica | None) -> str:
     """What this process is in the view that it knows."""
     if replica is None or replica.durable_state.slot() is None:
         return "newcomer"
@@ -31,15 +31,15 @@
     """All that an operator may want of one control process; times in milliseconds."""
     replica, publisher, keeper = node.components()
     settings = node.settings
-    found: dict[str, Any] = {
+    report: dict[str, Any] = {
         "role": CONTROL,
         "node": settings.node,
         "ip": settings.ip,
         "zone": settings.zone,
         "ctl": settings.listen.ctl,
-        "program": program(),
+        "program": program_digest(),
         "edition": EDITION,
-        "standing": _standing(replica),
+        "standing": _membership_role(replica),
         "disk_well": keeper.is_healthy(),
         "synced": keeper.synced,
         "take_overs": publisher.take_overs,
@@ -58,10 +58,10 @@
         "tallies": _tallies(node),
     }
     if replica is None:
-        return found
+        return report
     now = node.now()
     durable_state, view, leader = replica.durable_state, replica.acceptor.latest_view, replica.leader()
-    found |= {
+    report |= {
         "promised": durable_state.promised,
         "ver": durable_state.document.ver if durable_state.is_holder() else 0,
         "writes": durable_state.document.number if durable_state.is_holder() else 0,
@@ -69,9 +69,9 @@
         "leader": leader.node if leader is not None else "",
     }
     if view is not None:
-        heard = replica.primary.heard_at if replica.primary is not None else {}
-        found["epoch"] = view.epoch
-        found["members"] = [
+        last_heard_at = replica.primary.heard_at if replica.primary is not None else {}
+        report["epoch"] = view.epoch
+        report["members"] = [
             {
                 "slot": slot,
                 "node": member.node,
@@ -80,18 +80,18 @@
                 "zone": member.zone,
                 "holds": slot in view.holders,
                 "leads": slot == view.primary,
-                "silent_ms": round(max(now - heard[slot], 0.0)) if slot in heard else None,
+                "silent_ms": round(max(now - last_heard_at[slot], 0.0)) if slot in last_heard_at else None,
             }
             for slot, member in enumerate(view.members)
             if member is not None
         ]
     if replica.primary is not None:
         present, loads = publisher.reported_state()
-        found["present"] = [
+        report["present"] = [
             {"node": p.node, "ip": p.ip, "zone": p.zone} for p in sorted(present, key=lambda p: p.node)
         ]
-        found["upstreams"] = _upstreams(publisher.latest.upstreams, loads)
-    return found
+        report["upstreams"] = _upstreams(publisher.latest.upstreams, loads)
+    return report
 
 
 def _tallies(node: ControlNode) -> dict[str, Any]:
@@ -111,7 +111,7 @@
             {
                 "ip": peer.ip,
                 "equal": peer.is_equal,
-                "silent_ms": round(min(peer.silent_ms, MOST_MS)),
+                "silent_ms": round(min(peer.silent_ms, MAX_SILENT_MS)),
                 "differs_ms": round(peer.differs_ms),
             }
             for peer in replica.peer_statuses(node.now())
--- a/mastturnd/explanation.py
+++ b/mastturnd/explanation.py
@@ -7,7 +7,7 @@
 from mastturnd.tables import table
 
 
-def lines_of_explanation(found: dict[str, Any]) -> list[str]:
+def format_explanation(explanation: dict[str, Any]) -> list[str]:
     """A balancer's ready sets, and its recorded choices, as lines for people."""
     head = [
         "UPSTREAM",
@@ -21,10 +21,13 @@
         "CHOSEN",
         "HELD BACK",
     ]
-    lines = [f"{found['node']}: of {found['draws']} draws the lowest load is kept: (in flight + 1) / per s"]
-    for group in found["groups"]:
+    lines = [
+        f"{explanation['node']}: of {explanation['draws']} draws the lowest load is kept: "
+        "(in flight + 1) / per s"
+    ]
+    for group in explanation["groups"]:
         lines += ["", f"{group['svc']} {group['part'] or 'whole'}:", *table(head, _rows(group["upstreams"]))]
-    for choice in found.get("choices", []):
+    for choice in explanation.get("choices", []):
         chosen = next(r for r in choice["considered"] if r["id"] == choice["chosen"])
         lines += [
             "",
@@ -47,13 +50,13 @@
             f"{u['load']:.4f}",
             f"{u['drawn'] * 100:.1f}%",
             f"{u['chosen'] * 100:.1f}%",
-            _held_back(u),
+            _restrictions(u),
         ]
         for u in upstreams
     ]
 
 
-def _held_back(upstream: dict[str, Any]) -> str:
+def _restrictions(upstream: dict[str, Any]) -> str:
     """Why an upstream gets less than its draws: nothing comes from it, it is avoided, or not trusted."""
     words = ["silent"] if upstream["silent"] else []
     words += [f"{upstream['blocked_ms']} ms"] if upstream["blocked_ms"] else []
--- a/mastturnd/exposition.py
+++ b/mastturnd/exposition.py
@@ -46,19 +46,19 @@
 
 def histogram(name: str, text: str, bounds: Sequence[float], counts: Sequence[int], total: float) -> Metric:
     """How many values lay up to each bound and above the one before; one count more for those above all."""
-    buckets, below = [], 0
+    buckets, cumulative = [], 0
     for bound, count in zip((*map(str, bounds), "+Inf"), counts, strict=True):
-        below += count
-        buckets.append((bound, float(below)))
+        cumulative += count
+        buckets.append((bound, float(cumulative)))
     return HistogramMetricFamily(name, text, buckets=buckets, sum_value=total)
 
 
 def render(metrics: Iterable[Metric]) -> bytes:
     """The text form; a metric without samples is left out."""
-    return bytes(exposition.generate_latest(_Some([m for m in metrics if m.samples])))
+    return bytes(exposition.generate_latest(_MetricCollector([m for m in metrics if m.samples])))
 
 
-class _Some:
+class _MetricCollector:
     """What the library asks for all figures."""
 
     def __init__(self, metrics: Sequence[Metric]) -> None:
--- a/mastturnd/hosting.py
+++ b/mastturnd/hosting.py
@@ -17,7 +17,7 @@
 from mastturnd import logs
 from mastturnd.roles import BALANCER
 
-LOOK_S = 2.0  # the settings file may change without a signal
+SETTINGS_POLL_S = 2.0  # the settings file may change without a signal
 
 
 class Role(Protocol):
@@ -46,42 +46,42 @@
     from control.node import ControlNode
     from mastturnd import control_calls
 
-    control_calls.declare()
+    control_calls.register()
     return ControlNode(settings)
 
 
 async def serve(name: str, settings: Settings, listener: socket.socket | None = None) -> None:
     """Run a role until the process is told to end."""
     loop = asyncio.get_running_loop()
-    ended, changed = asyncio.Event(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    loop.add_signal_handler(signal.SIGHUP, changed.set)
-    unread = ""
+    stop_requested, reload_requested = asyncio.Event(), asyncio.Event()
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
+    last_error = ""
     level = logs.LogLevel(name)
-    level.follow(settings.log_levels)
+    level.apply(settings.log_levels)
     role = make_role(name, settings, listener)
     await role.start()
     gc.collect()
     gc.freeze()
     logger.info("event=started role={} node={}", name, settings.node)
-    while not ended.is_set():
-        waits = [loop.create_task(ended.wait()), loop.create_task(changed.wait())]
-        await asyncio.wait(waits, timeout=LOOK_S, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
-        changed.clear()
+    while not stop_requested.is_set():
+        waiters = [loop.create_task(stop_requested.wait()), loop.create_task(reload_requested.wait())]
+        await asyncio.wait(waiters, timeout=SETTINGS_POLL_S, return_when=asyncio.FIRST_COMPLETED)
+        for waiter in waiters:
+            waiter.cancel()
+        reload_requested.clear()
         try:
-            newer = settings_file.read()
+            updated = settings_file.read()
         except FleetError as error:
-            if str(error) != unread:
-                unread = str(error)
-                logger.warning("event=settings_unread error={!r}", unread)
+            if str(error) != last_error:
+                last_error = str(error)
+                logger.warning("event=settings_unread error={!r}", last_error)
             continue
-        unread = ""
-        if newer != settings:
-            settings = newer
-            level.follow(settings.log_levels)
+        last_error = ""
+        if updated != settings:
+            settings = updated
+            level.apply(settings.log_levels)
             role.reconfigure(settings)
             logger.info("event=settings_read")
     logger.info("event=stopping")
@@ -91,6 +91,6 @@
 
 def run(name: str, settings: Settings, log_level: str, listener: socket.socket | None) -> None:
     """Run a role on a loop of its own; raises FleetError, or OSError where an address can't be had."""
-    logs.write_from(log_level)
+    logs.set_level(log_level)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(name, settings, listener))
--- a/mastturnd/judged.py
+++ b/mastturnd/judged.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-WORDS = ("distrusted", "wary", "silent")
+CONDITIONS = ("distrusted", "wary", "silent")
 Counts = dict[str, int]  # balancers by word, and the most failures that one of them knows of
 
 
@@ -13,29 +13,31 @@
 
     Others' words: what is not of the form that this release tells is passed over.
     """
-    found: dict[str, Counts] = {}
+    summary: dict[str, Counts] = {}
     for row in balancers:
-        told = (row["answer"] or {}).get("upstreams")
-        for entry in told if isinstance(told, list) else ():
+        upstreams = (row["answer"] or {}).get("upstreams")
+        for entry in upstreams if isinstance(upstreams, list) else ():
             if not isinstance(entry, dict) or not isinstance(name := entry.get("id"), str):
                 continue
-            words = {"silent"} if entry.get("silent") is True else set()
-            words |= {trust} if (trust := entry.get("trust")) in ("distrusted", "wary") else set()
-            if not words:
+            conditions = {"silent"} if entry.get("silent") is True else set()
+            conditions |= {trust} if (trust := entry.get("trust")) in ("distrusted", "wary") else set()
+            if not conditions:
                 continue
-            counts = found.setdefault(name, dict.fromkeys((*WORDS, "failures"), 0))
-            for word in words:
-                counts[word] += 1
+            counts = summary.setdefault(name, dict.fromkeys((*CONDITIONS, "failures"), 0))
+            for condition in conditions:
+                counts[condition] += 1
             failures = entry.get("failures")
             if isinstance(failures, int) and not isinstance(failures, bool):
                 counts["failures"] = max(counts["failures"], failures)
-    return dict(sorted(found.items()))
+    return dict(sorted(summary.items()))
 
 
-def format_lines(found: dict[str, Counts]) -> list[str]:
+def format_lines(summary: dict[str, Counts]) -> list[str]:
     """The same for people, a line for each upstream."""
     lines = []
-    for name, counts in found.items():
-        words = ", ".join(f"{word} {counts[word]}" for word in WORDS if counts[word])
-        lines.append(f"{name}: upstream in doubt, by balancers: {words}; {counts['failures']} failures")
+    for name, counts in summary.items():
+        conditions = ", ".join(
+            f"{condition} {counts[condition]}" for condition in CONDITIONS if counts[condition]
+        )
+        lines.append(f"{name}: upstream in doubt, by balancers: {conditions}; {counts['failures']} failures")
     return lines
--- a/mastturnd/load_exchange.py
+++ b/mastturnd/load_exchange.py
@@ -19,20 +19,26 @@
     """One balancer's part in the sums of load: as steps, or whole with those of an earlier edition."""
 
     def __init__(
-        self, own: Callable[[], Loads], latest: LatestUpdates, feed: Feed, follower: Callable[[], Follower]
+        self,
+        local_loads: Callable[[], Loads],
+        latest: LatestUpdates,
+        feed: Feed,
+        follower: Callable[[], Follower],
     ) -> None:
         """`own`: our own load; `follower`: whoever tells us the news is spoken to by it."""
-        self._own, self._latest, self._feed, self._follower = own, latest, feed, follower
-        self.others = PeerLoads()
-        self.sum = LoadSum(self._own_load, self._report, self._step, self._wants_whole)
+        self._local_loads, self._latest, self._feed, self._follower = local_loads, latest, feed, follower
+        self.peer_loads = PeerLoads()
+        self.sum = LoadSum(self._own_load, self._report, self._step, self._needs_full_report)
         self._reported: Loads = {}
         self._number = 0  # of the last step that we have reported
-        self._whole_timer: asyncio.TimerHandle | None = None  # to tell those of an earlier edition below us
-        self._whole_s = REPORT_INTERVAL_S
+        self._full_loads_timer: asyncio.TimerHandle | None = (
+            None  # to tell those of an earlier edition below us
+        )
+        self._full_loads_interval_s = REPORT_INTERVAL_S
 
     # ---- up
 
-    def heard_below(self, link: Link, message: LoadReport | LoadReportStep) -> None:
+    def on_child_report(self, link: Link, message: LoadReport | LoadReportStep) -> None:
         """The load of a child and those below it."""
         if isinstance(message, LoadReport):
             self.sum.report(link, message)
@@ -40,10 +46,10 @@
             link.close()  # it comes back, and tells all
 
     def _own_load(self) -> Loads:
-        self._reported = self._own()
+        self._reported = self._local_loads()
         return self._reported
 
-    def _wants_whole(self) -> bool:
+    def _needs_full_report(self) -> bool:
         """Whoever tells us the news takes no steps, as far as we know."""
         return not self._follower().takes_steps()
 
@@ -57,20 +63,22 @@
 
     # ---- down
 
-    def heard(self, message: LoadNews | LoadStep, before: Any) -> None:
+    def on_update(self, message: LoadNews | LoadStep, before: Any) -> None:
         """The sums, whole or a step; `before`: what a step has changed, as it was."""
         self._feed.broadcast(message)
         if isinstance(message, LoadNews):
-            self.others.take(message, self._reported)
+            self.peer_loads.take(message, self._reported)
             return
-        self.others.step(self._latest.current_loads(), before, self._reported)
-        if self._whole_timer is None and self._feed.has_earlier_editions():
-            self._whole_timer = asyncio.get_running_loop().call_later(self._whole_s, self._tell_whole)
+        self.peer_loads.step(self._latest.current_loads(), before, self._reported)
+        if self._full_loads_timer is None and self._feed.has_earlier_editions():
+            self._full_loads_timer = asyncio.get_running_loop().call_later(
+                self._full_loads_interval_s, self._broadcast_full_loads
+            )
 
-    def _tell_whole(self) -> None:
+    def _broadcast_full_loads(self) -> None:
         """To those of an earlier edition that hear the sums from us, as often as they always did."""
-        self._whole_timer = None
+        self._full_loads_timer = None
         news = self._latest.full_loads()
         if news is not None:
-            self._whole_s = max(REPORT_INTERVAL_S, ENTRY_BYTES * len(news.loads) / BYTES_S)
+            self._full_loads_interval_s = max(REPORT_INTERVAL_S, ENTRY_BYTES * len(news.loads) / BYTES_S)
             self._feed.broadcast_full_loads(news)
--- a/mastturnd/logs.py
+++ b/mastturnd/logs.py
@@ -10,22 +10,22 @@
 from mastturnd.roles import current_name
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-LINE = "time={time:HH:mm:ss.SSS} level={level} module={name} {message}"
+LINE_FORMAT = "time={time:HH:mm:ss.SSS} level={level} module={name} {message}"
 
 
-_written = ["INFO"]  # the level that lines are written from
+_current_level = ["INFO"]  # the level that lines are written from
 
 
 def is_debug() -> bool:
     """Whether lines of every step are asked for."""
-    return _written[0] == "DEBUG"
+    return _current_level[0] == "DEBUG"
 
 
-def write_from(level: str) -> None:
+def set_level(level: str) -> None:
     """Write lines of this level and above, and no others."""
-    _written[0] = level
+    _current_level[0] = level
     logger.remove()
-    logger.add(sys.stderr, format=LINE, level=level, backtrace=False, diagnose=False)
+    logger.add(sys.stderr, format=LINE_FORMAT, level=level, backtrace=False, diagnose=False)
 
 
 class LogLevel:
@@ -33,15 +33,15 @@
 
     def __init__(self, role: str) -> None:
         """The level of before holds while the settings name none."""
-        self._role, self._usual = role, _written[0]
+        self._role, self._default = role, _current_level[0]
 
-    def follow(self, named: Mapping[str, str]) -> bool:
+    def apply(self, levels_by_role: Mapping[str, str]) -> bool:
         """Take the level over that the settings name by role; whether it has changed.
 
         One that is no level is said in the log, and changes nothing.
         """
-        levels = {current_name(role): level for role, level in named.items()}
-        level = levels.get(self._role, self._usual).upper()
+        levels = {current_name(role): level for role, level in levels_by_role.items()}
+        level = levels.get(self._role, self._default).upper()
         if level not in LEVELS:
             logger.warning(
                 "event=bad_log_level role={} level={!r} remedy={!r}",
@@ -50,8 +50,8 @@
                 "name one of " + ", ".join(LEVELS),
             )
             return False
-        if level == _written[0]:
+        if level == _current_level[0]:
             return False
-        write_from(level)
+        set_level(level)
         logger.info("event=log_level level={}", level)
         return True
--- a/mastturnd/pace.py
+++ b/mastturnd/pace.py
@@ -4,20 +4,20 @@
 
 from collections import deque
 
-MOST, WINDOW_S = 8, 1.0  # reports in a second
+MAX_REPORTS, WINDOW_S = 8, 1.0  # reports in a second
 
 
-class Pace:
+class RateLimiter:
     """Counts the reports of one process."""
 
     def __init__(self) -> None:
-        self._given: deque[float] = deque()
+        self._allowed_at: deque[float] = deque()
 
     def allows(self, now: float) -> bool:
         """Whether one more may be given now (s on the steady clock); it counts if so."""
-        while self._given and now - self._given[0] >= WINDOW_S:
-            self._given.popleft()
-        if len(self._given) >= MOST:
+        while self._allowed_at and now - self._allowed_at[0] >= WINDOW_S:
+            self._allowed_at.popleft()
+        if len(self._allowed_at) >= MAX_REPORTS:
             return False
-        self._given.append(now)
+        self._allowed_at.append(now)
         return True
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -32,11 +32,13 @@
 from transport.tasks import run_forever
 from transport.wire import Link, MessageKinds
 
-ASK_S = 0.25  # the members are asked no sooner after the last time
-HEARD_S = 1.5  # a leader that was heard within this is there
-KEEP_S = 5.0  # the members are asked so often while nobody wants to know: whom to ask is in memory alone
+QUERY_INTERVAL_S = 0.25  # the members are asked no sooner after the last time
+MEMBER_TIMEOUT_S = 1.5  # a leader that was heard within this is there
+REFRESH_INTERVAL_S = (
+    5.0  # the members are asked so often while nobody wants to know: whom to ask is in memory alone
+)
 KINDS = MessageKinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
-REFERRED = Routes().include(OPERATOR_ROUTES)  # operators' calls find no primary here, and are led on
+REFERRAL_ROUTES = Routes().include(OPERATOR_ROUTES)  # operators' calls find no primary here, and are led on
 
 
 class ReferralNode:
@@ -47,12 +49,12 @@
         self.reader = ConfigurationReader()
         self._identity = f"referral-{secrets.token_hex(8)}"
         own = Endpoint(settings.ip, settings.control_port)
-        self._links = Links(KINDS, own, self._heard, lambda link: None, peers_share_port=False)
-        self._calls = HttpServer(REFERRED, self)
+        self._links = Links(KINDS, own, self._on_message, lambda link: None, peers_share_port=False)
+        self._calls = HttpServer(REFERRAL_ROUTES, self)
         self._view: View | None = None  # the latest that a member has told
-        self._heard_at: dict[str, float] = {}  # by member's identity: when it answered last
-        self._callers: set[str] = set()  # IPs of newcomers, where all seeds are as we are
-        self._asked_at = -1e9
+        self._answered_at: dict[str, float] = {}  # by member's identity: when it answered last
+        self._newcomer_ips: set[str] = set()  # IPs of newcomers, where all seeds are as we are
+        self._queried_at = -1e9
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -60,7 +62,7 @@
         await self._links.start()
         if self.settings.listen.ctl:
             await self._calls.start(parse_address(self.settings.listen.ctl))
-        self._task = asyncio.get_running_loop().create_task(run_forever(self._keep_in_touch))
+        self._task = asyncio.get_running_loop().create_task(run_forever(self._refresh_members))
 
     async def stop(self) -> None:
         """Close everything: nothing rests on us."""
@@ -82,23 +84,23 @@
     def leader(self) -> Member | None:
         """The primary, if it has answered a moment ago; else the members are asked."""
         view, now = self._view, asyncio.get_running_loop().time()
-        if view is not None and now - self._heard_at.get(view.leader().identity, -1e9) <= HEARD_S:
+        if view is not None and now - self._answered_at.get(view.leader().identity, -1e9) <= MEMBER_TIMEOUT_S:
             return view.leader()
-        self._ask(now)
+        self._query_members(now)
         return None
 
     def member_in_reach(self) -> Member | None:
         """A member that has answered a moment ago, one of our zone first; without one they are asked."""
         now = asyncio.get_running_loop().time()
         members = self._view.members if self._view is not None else ()
-        heard = [
+        reachable = [
             member
             for member in members
-            if member is not None and now - self._heard_at.get(member.identity, -1e9) <= HEARD_S
+            if member is not None and now - self._answered_at.get(member.identity, -1e9) <= MEMBER_TIMEOUT_S
         ]
-        if not heard:
-            self._ask(now)
-        return min(heard, key=lambda member: member.zone != self.settings.zone, default=None)
+        if not reachable:
+            self._query_members(now)
+        return min(reachable, key=lambda member: member.zone != self.settings.zone, default=None)
 
     async def submit(self, command: Command) -> Outcome:
         """No command is carried out here."""
@@ -110,20 +112,20 @@
 
     # ---- the members
 
-    async def _keep_in_touch(self) -> None:
+    async def _refresh_members(self) -> None:
         """Know the members before somebody asks: the seeds that could tell may be others by then."""
         while True:
             now = asyncio.get_running_loop().time()
-            if now - max(self._heard_at.values(), default=-1e9) >= KEEP_S:
-                self._ask(now)
-            await asyncio.sleep(HEARD_S)
+            if now - max(self._answered_at.values(), default=-1e9) >= REFRESH_INTERVAL_S:
+                self._query_members(now)
+            await asyncio.sleep(MEMBER_TIMEOUT_S)
 
-    def _ask(self, now: float) -> None:
-        if now - self._asked_at < ASK_S:
+    def _query_members(self, now: float) -> None:
+        if now - self._queried_at < QUERY_INTERVAL_S:
             return
-        self._asked_at = now
+        self._queried_at = now
         members = self._view.members if self._view is not None else ()
-        known = {member.ip for member in members if member is not None} | self._callers
+        known = {member.ip for member in members if member is not None} | self._newcomer_ips
         known |= set(self.settings.seed_ips)
         for ip in sorted(known - {self.settings.ip}):
             self._links.send(self._control_at(ip), Ask(self._identity, "", 0, False))
@@ -131,7 +133,7 @@
     def _control_at(self, ip: str) -> Endpoint:
         return Endpoint(ip, self.settings.control_port)
 
-    def _heard(self, link: Link, message: Any) -> None:
+    def _on_message(self, link: Link, message: Any) -> None:
         if isinstance(message, Attach):
             leader = self.leader()
             link.send(Moved((leader.ip,) if leader is not None else ()))
@@ -139,32 +141,32 @@
         if not isinstance(message, messages.Message):
             return
         try:
-            revived = decode_nested(message)
+            decoded = decode_nested(message)
         except (ValueError, KeyError, TypeError) as error:
             logger.warning("event=bad_message peer={} error={!r}", link.peer, str(error))
             link.close()
             return
         self._links.identify(link, self._control_at(link.peer))
-        match revived:
+        match decoded:
             case Answer(sender=sender, to=self._identity, view=view):
-                self._heard_at[sender] = asyncio.get_running_loop().time()
-                self._learn(view)
+                self._answered_at[sender] = asyncio.get_running_loop().time()
+                self._update_view(view)
             case Known(sender=sender, view=view):
-                self._heard_at[sender] = asyncio.get_running_loop().time()
-                self._learn(view)
+                self._answered_at[sender] = asyncio.get_running_loop().time()
+                self._update_view(view)
             case Join(sender=sender):
-                self._callers.add(link.peer)
+                self._newcomer_ips.add(link.peer)
                 if self._view is not None:
                     link.send(Known(self._identity, sender, self._view, 0))
 
-    def _learn(self, view: View | None) -> None:
+    def _update_view(self, view: View | None) -> None:
         if view is not None and (self._view is None or view.epoch > self._view.epoch):
             self._view = view
             named = {member.identity for member in view.members if member is not None}
-            self._heard_at = {i: at for i, at in self._heard_at.items() if i in named}
+            self._answered_at = {i: at for i, at in self._answered_at.items() if i in named}
 
 
-async def _lead_on(find: Callable[[], Member | None], request: Request) -> Response:
+async def _redirect(find: Callable[[], Member | None], request: Request) -> Response:
     """Where the call is answered; a member that answers it is waited for a little."""
     loop = asyncio.get_running_loop()
     until = loop.time() + DECISION_TIMEOUT_S
@@ -175,24 +177,24 @@
     return json_response(503, "nobody who answers this at the moment; ask again", Retry_After="0.2")
 
 
-async def _lead_to_leader(node: ReferralNode, request: Request) -> Response:
-    return await _lead_on(node.leader, request)
+async def _redirect_to_leader(node: ReferralNode, request: Request) -> Response:
+    return await _redirect(node.leader, request)
 
 
-async def _lead_to_member(node: ReferralNode, request: Request) -> Response:
+async def _redirect_to_member(node: ReferralNode, request: Request) -> Response:
     """Every member answers for tallies, also on a side of a cut where nobody leads."""
-    return await _lead_on(node.member_in_reach, request)
+    return await _redirect(node.member_in_reach, request)
 
 
-REFERRED.route_prefix("POST", TALLIES)(_lead_to_member)
-REFERRED.route_prefix("GET", TALLIES)(_lead_to_member)
-REFERRED.route("GET", "/api/status")(_lead_to_leader)
-REFERRED.route("GET", "/dashboard")(_lead_to_leader)
+REFERRAL_ROUTES.route_prefix("POST", TALLIES)(_redirect_to_member)
+REFERRAL_ROUTES.route_prefix("GET", TALLIES)(_redirect_to_member)
+REFERRAL_ROUTES.route("GET", "/api/status")(_redirect_to_leader)
+REFERRAL_ROUTES.route("GET", "/dashboard")(_redirect_to_leader)
 
 
-@REFERRED.route("GET", "/metrics")
+@REFERRAL_ROUTES.route("GET", "/metrics")
 async def _metrics(node: ReferralNode, request: Request) -> Response:
     from mastturnd import figures
 
-    found = await figures.text("mastturnd.referral_figures", node)
-    return Response(200, found, content_type=figures.CONTENT_TYPE)
+    body = await figures.render_text("mastturnd.referral_figures", node)
+    return Response(200, body, content_type=figures.CONTENT_TYPE)
--- a/mastturnd/reported.py
+++ b/mastturnd/reported.py
@@ -19,5 +19,5 @@
     def balancer(self) -> Balancer:
         """The data plane."""
 
-    def standing(self) -> dict[str, Any]:
+    def report_state(self) -> dict[str, Any]:
         """Where the news come from, and who is below."""
--- a/mastturnd/salvage.py
+++ b/mastturnd/salvage.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Salvaged:
+class SalvagedState:
     """The newest that a disk knows; `holds`: whether its process had to keep the configuration."""
 
     ver: int
@@ -31,10 +31,10 @@
     holders: tuple[str, ...]  # nodes that had to keep it in that epoch
 
 
-def read(folder: str) -> Salvaged:
+def read(folder: str) -> SalvagedState:
     """Return what a data directory holds; raises UsageError or CommandFailedError."""
-    place = Path(folder)
-    found = [name for name in FILES if (place / name).is_file()]
+    directory = Path(folder)
+    found = [name for name in FILES if (directory / name).is_file()]
     if not found:
         raise UsageError(
             f"{folder} holds none of {', '.join(FILES)}", "name the data_dir of a control process"
@@ -43,7 +43,7 @@
     with tempfile.TemporaryDirectory(prefix="salvage-") as copy:
         try:
             for name in found:
-                shutil.copyfile(place / name, Path(copy) / name)
+                shutil.copyfile(directory / name, Path(copy) / name)
             loaded = Store.open(Path(copy), OsFiles()).load()
             for part in ([loaded.state] if loaded.state is not None else []) + list(loaded.records):
                 apply_record(durable_state, decode_record(part))
@@ -57,4 +57,4 @@
     holders = tuple(view.member_at(slot).node for slot in view.holders) if view is not None else ()
     document = durable_state.document
     epoch = view.epoch if view is not None else 0
-    return Salvaged(document.ver, document.body, epoch, durable_state.is_holder(), holders)
+    return SalvagedState(document.ver, document.body, epoch, durable_state.is_holder(), holders)
--- a/mastturnd/tables.py
+++ b/mastturnd/tables.py
@@ -4,25 +4,25 @@
 
 from collections.abc import Iterable, Sequence
 
-GAP = "  "
+COLUMN_GAP = "  "
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
+def table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
     """Lines with every column as wide as its widest cell; an empty cell shows as `-`. Numbers stand right."""
-    cells = [[shown(value) for value in row] for row in rows]
-    widths = [max(len(row[i]) for row in [list(head), *cells]) for i in range(len(head))]
-    right = [bool(cells) and all(is_number(row[i]) for row in cells) for i in range(len(head))]
+    cells = [[format_cell(value) for value in row] for row in rows]
+    widths = [max(len(row[i]) for row in [list(headers), *cells]) for i in range(len(headers))]
+    right_aligned = [bool(cells) and all(is_number(row[i]) for row in cells) for i in range(len(headers))]
     lines = []
-    for row in [list(head), *cells]:
+    for row in [list(headers), *cells]:
         parts = [
             cell.rjust(width) if side else cell.ljust(width)
-            for cell, width, side in zip(row, widths, right, strict=True)
+            for cell, width, side in zip(row, widths, right_aligned, strict=True)
         ]
-        lines.append(GAP.join(parts).rstrip())
+        lines.append(COLUMN_GAP.join(parts).rstrip())
     return lines
 
 
-def shown(value: object) -> str:
+def format_cell(value: object) -> str:
     """One cell."""
     if isinstance(value, bool):
         return "yes" if value else "no"
--- a/mastturnd/tracing.py
+++ b/mastturnd/tracing.py
@@ -12,7 +12,7 @@
 _PAIR = re.compile(r"""(\w+)=('(?:[^'\\]|\\.)*'|"(?:[^"\\]|\\.)*"|\S*)""")
 _TIME = re.compile(r"(\d\d):(\d\d):(\d\d\.\d{3})")
 DAY_S, HALF_DAY_S = 86_400.0, 43_200.0
-LONGEST = 64 * 1024  # characters of one line; what is longer is none of ours
+MAX_LINE_CHARS = 64 * 1024  # characters of one line; what is longer is none of ours
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,13 +39,13 @@
     """The events of one process's log; lines that are none are left out. Midnight may pass in it."""
     day, last = 0.0, 0.0
     for line in lines:
-        if len(line) > LONGEST or not line.startswith("time="):
+        if len(line) > MAX_LINE_CHARS or not line.startswith("time="):
             continue
         fields = parse_pairs(line)
-        told = _TIME.fullmatch(fields.get("time", ""))
-        if told is None:
+        timestamp = _TIME.fullmatch(fields.get("time", ""))
+        if timestamp is None:
             continue
-        at = int(told[1]) * 3600 + int(told[2]) * 60 + float(told[3])
+        at = int(timestamp[1]) * 3600 + int(timestamp[2]) * 60 + float(timestamp[3])
         if at + day < last - HALF_DAY_S:
             day += DAY_S
         last = at + day
@@ -58,8 +58,8 @@
     for name in names:
         try:
             with Path(name).open(encoding="utf-8", errors="replace") as file:
-                mine = events(file, Path(name).stem)
-                found += [event for event in mine if event.fields.get("request") == request]
+                process_events = events(file, Path(name).stem)
+                found += [event for event in process_events if event.fields.get("request") == request]
         except OSError as error:
             raise UsageError(f"{name} can't be read ({error.strerror})", "name log files") from None
     return sorted(found, key=lambda event: event.at)
--- a/mastturnd/version.py
+++ b/mastturnd/version.py
@@ -21,7 +21,7 @@
 
 
 @functools.cache
-def program() -> str:
+def program_digest() -> str:
     """Eight hex digits over all modules, as they lie there when it is first asked for."""
     root, found = Path(__file__).parent.parent, hashlib.blake2b(digest_size=4)
     for package in PACKAGES:
--- a/tests/test_dissemination_loads.py
+++ b/tests/test_dissemination_loads.py
@@ -164,7 +164,7 @@
         await world.wait_until(lambda: sums_are_right(world), SUM_TIMEOUT_S)
         world.kill("core-1", "core-2", "core-3")
         for machine in world.edges():
-            machine.role._others.clear()
+            machine.role._peer_loads.clear()
         await world.wait(away_s)
         world.boot("core-1", "core-2", "core-3")
         await world.wait_until(lambda: world.primary(), 2.0, "a primary")
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -82,7 +82,7 @@
     "place", ["", "core-1", "core-1:", "core-1:x", f"{'a' * 70}.b:1", "\ud800:1", "a b\r\n:1"]
 )
 def test_a_process_at_an_address_that_is_none_gives_no_answer(place: str) -> None:
-    assert asking.call_once(place, "GET", "/api/status", silent_s=0.1) is None
+    assert asking.call_once(place, "GET", "/api/status", timeout_s=0.1) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -19,8 +19,8 @@
 from mastturnd import balancer_calls, explaining, logs
 from mastturnd.balancing import BalancerRole
 from mastturnd.exposition import by, counter, gauge, histogram, render
-from mastturnd.pace import MOST, Pace
-from mastturnd.tap import StepLog, listen
+from mastturnd.pace import MAX_REPORTS, RateLimiter
+from mastturnd.tap import StepLog, subscribe
 from tests.balancer_stage import FakeUpstream, decode, reject, running_balancer
 from tests.fabric_callers import configuration as document
 from tests.loopback import run, until
@@ -30,7 +30,9 @@
 
 @pytest.fixture(autouse=True)
 def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balancer_calls, "_PACES", {target: Pace() for target in balancer_calls._PACES})
+    monkeypatch.setattr(
+        balancer_calls, "_RATE_LIMITERS", {target: RateLimiter() for target in balancer_calls._RATE_LIMITERS}
+    )
 
 
 def settings() -> Settings:
@@ -189,7 +191,7 @@
 def test_a_stranger_who_asks_all_the_time_is_put_off_and_readiness_is_answered() -> None:
     async def test() -> None:
         async with balancer() as role:
-            statuses = [(await get(role, "/api/status"))[0] for _ in range(MOST + 3)]
+            statuses = [(await get(role, "/api/status"))[0] for _ in range(MAX_REPORTS + 3)]
             assert 200 in statuses and 429 in statuses
             assert (await get(role, "/metrics"))[0] == 200
             last = b"GET /api/readyz HTTP/1.1\r\nConnection: close\r\n\r\n"
@@ -199,9 +201,9 @@
 
 
 def test_the_pace_is_counted_over_a_second() -> None:
-    pace = Pace()
-    assert [pace.allows(10.0 + i / 100) for i in range(MOST + 1)] == [True] * MOST + [False]
-    assert not pace.allows(10.99) and pace.allows(11.0) and not pace.allows(11.005)
+    limiter = RateLimiter()
+    assert [limiter.allows(10.0 + i / 100) for i in range(MAX_REPORTS + 1)] == [True] * MAX_REPORTS + [False]
+    assert not limiter.allows(10.99) and limiter.allows(11.0) and not limiter.allows(11.005)
 
 
 def test_every_step_is_heard_and_nothing_is_left_behind() -> None:
@@ -212,7 +214,7 @@
         async with running_balancer(reader, runner) as play:
             parts = (play.balancer, play.balancer.tiers, play.balancer.upstreams)
             before = [dict(part.__dict__) for part in parts]
-            stop = listen(play.balancer, lambda event, fields: heard.append((event, fields)))
+            stop = subscribe(play.balancer, lambda event, fields: heard.append((event, fields)))
             reply = await play.ask("r7", headers=SPLIT)
             assert reply.status == 200 and reply.whole
             stop()
@@ -233,7 +235,7 @@
         async with running_balancer(FakeUpstream("d1", "decode", decode)) as play:
             first: list[str] = []
             second: list[str] = []
-            stops = [listen(play.balancer, lambda e, f, to=to: to.append(e)) for to in (first, second)]  # type: ignore[misc]
+            stops = [subscribe(play.balancer, lambda e, f, to=to: to.append(e)) for to in (first, second)]  # type: ignore[misc]
             await play.ask("r1")
             stops[0]()
             await play.ask("r2")
@@ -287,7 +289,7 @@
                 ]
 
             before, state = evidence(), play.balancer._rng.getstate()
-            told = explaining.standing(play.balancer, "edge-1")
+            told = explaining.describe_groups(play.balancer, "edge-1")
             assert evidence() == before and play.balancer._rng.getstate() == state
             rows = told["groups"][0]["upstreams"]
             assert sum(row["drawn"] for row in rows) == pytest.approx(1, abs=1e-3)
@@ -323,17 +325,17 @@
 ) -> None:
     written: list[str] = []
 
-    def write_from(level: str) -> None:
+    def set_level(level: str) -> None:
         written.append(level)
-        logs._written[0] = level
+        logs._current_level[0] = level
 
-    monkeypatch.setattr(logs, "write_from", write_from)
-    monkeypatch.setattr(logs, "_written", ["INFO"])
+    monkeypatch.setattr(logs, "set_level", set_level)
+    monkeypatch.setattr(logs, "_current_level", ["INFO"])
     level = logs.LogLevel("balancer")
-    assert not level.follow({}) and not level.follow({"control": "DEBUG"})
-    assert level.follow({"balancer": "debug"}) and logs.is_debug()
-    assert not level.follow({"balancer": "LOUD"}) and logs.is_debug()
-    assert level.follow({}) and not logs.is_debug()
+    assert not level.apply({}) and not level.apply({"control": "DEBUG"})
+    assert level.apply({"balancer": "debug"}) and logs.is_debug()
+    assert not level.apply({"balancer": "LOUD"}) and logs.is_debug()
+    assert level.apply({}) and not logs.is_debug()
     assert written == ["DEBUG", "INFO"]
 
 
@@ -341,11 +343,11 @@
     async def test() -> None:
         async with balancer() as role:
             assert "take_up" not in role.balancer.__dict__
-            monkeypatch.setattr(logs, "_written", ["DEBUG"])
+            monkeypatch.setattr(logs, "_current_level", ["DEBUG"])
             role.reconfigure(role.settings)
             assert "take_up" in role.balancer.__dict__
             role.reconfigure(role.settings)
-            monkeypatch.setattr(logs, "_written", ["INFO"])
+            monkeypatch.setattr(logs, "_current_level", ["INFO"])
             role.reconfigure(role.settings)
             assert "take_up" not in role.balancer.__dict__
 
--- a/tests/test_mastturnd_cli_commands.py
+++ b/tests/test_mastturnd_cli_commands.py
@@ -275,13 +275,13 @@
 
 
 def test_a_drain_goes_on_when_a_file_says_nothing_of_it(tmp_path: Path) -> None:
-    now = configuring.InForce(5, configuration(5, drained=["edge-1"]))
-    sent, raw, notes = configuring.prepared(configuration(7), "new.json", now, False)
+    now = configuring.CurrentConfiguration(5, configuration(5, drained=["edge-1"]))
+    sent, raw, notes = configuring.prepare_put(configuration(7), "new.json", now, False)
     assert json.loads(sent) == raw and raw["drained"] == ["edge-1"] and raw["ver"] == 7
     assert notes == ["edge-1 stay drained; `undrain` ends that"]
-    sent, raw, notes = configuring.prepared(configuration(7, drained=[]), "new.json", now, False)
+    sent, raw, notes = configuring.prepare_put(configuration(7, drained=[]), "new.json", now, False)
     assert raw["drained"] == [] and not notes  # it says that there is none
-    sent, raw, notes = configuring.prepared(configuration(2, drained=[]), "new.json", now, True)
+    sent, raw, notes = configuring.prepare_put(configuration(2, drained=[]), "new.json", now, True)
     assert raw["ver"] == 6 and notes == ["it gets version 6"]
 
 
@@ -298,7 +298,7 @@
 
 
 def test_an_answer_that_never_ends_or_is_no_http_is_none() -> None:
-    assert asking.call_once("127.0.0.1:1", "GET", "/", silent_s=0.2) is None
+    assert asking.call_once("127.0.0.1:1", "GET", "/", timeout_s=0.2) is None
     loop = Ctl(lambda m, p, b, h: (307, {"Location": f"http://{h['host']}{p}"}, b""))
     try:
         assert asking._call_following_redirects(loop.place, "GET", "/api/config", None, None) is None
@@ -320,10 +320,10 @@
 
 def test_the_chances_of_a_draw_are_those_of_the_rule() -> None:
     # One of two alike: half each. Twice as capable: drawn twice as often, and always the lower load.
-    assert explaining.chances([0.5, 0.5], [(1.0, -1.0), (1.0, -1.0)], 4) == [0.5, 0.5]
-    found = explaining.chances([2 / 3, 1 / 3], [(0.5, -2.0), (1.0, -1.0)], 4)
+    assert explaining.choice_probabilities([0.5, 0.5], [(1.0, -1.0), (1.0, -1.0)], 4) == [0.5, 0.5]
+    found = explaining.choice_probabilities([2 / 3, 1 / 3], [(0.5, -2.0), (1.0, -1.0)], 4)
     assert found[0] == pytest.approx(1 - (1 / 3) ** 4) and sum(found) == pytest.approx(1)
-    found = explaining.chances([0.2, 0.3, 0.5], [(3.0, -1.0), (2.0, -1.5), (1.0, -2.5)], 2)
+    found = explaining.choice_probabilities([0.2, 0.3, 0.5], [(3.0, -1.0), (2.0, -1.5), (1.0, -2.5)], 2)
     assert found == pytest.approx([0.04, 0.21, 0.75])
 
 
@@ -498,7 +498,7 @@
 def test_a_process_that_is_asked_too_often_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
     told: list[Answer] = [(429, {}, b"{}"), (200, {}, json.dumps(_balancer("edge-1")).encode())]
     server = Ctl(lambda m, p, b, h: told.pop(0))
-    monkeypatch.setattr(fleet_status, "AGAIN_S", 0.0)
+    monkeypatch.setattr(fleet_status, "RETRY_DELAY_S", 0.0)
     try:
         found = fleet_status.fetch_status(server.place)
     finally:
--- a/tests/test_mastturnd_cli_present.py
+++ b/tests/test_mastturnd_cli_present.py
@@ -92,7 +92,7 @@
     found = Clock()
     monkeypatch.setattr(present, "time", found)
     monkeypatch.setattr(asking, "time", found)
-    monkeypatch.setattr(fleet_status, "AGAIN_S", 0.0)
+    monkeypatch.setattr(fleet_status, "RETRY_DELAY_S", 0.0)
     monkeypatch.delenv(settings_file.VARIABLE, raising=False)
     return found
 
@@ -150,7 +150,7 @@
     fleets.append(fleet := Fleet(NAMES))
     assert mastturnd.main(["mastturnd", *command.split(), *fleet.flags]) == 2
     assert "no balancer 'edge-x' is present; name one of: edge-a, edge-b, edge-c" in capsys.readouterr().err
-    assert 8 * present.NAMED_SHARE <= clock.now - 100 <= 8 * present.NAMED_SHARE + present.AGAIN_S
+    assert 8 * present.WAIT_SHARE <= clock.now - 100 <= 8 * present.WAIT_SHARE + present.RETRY_DELAY_S
 
 
 def test_a_zone_that_is_too_small_is_told_after_a_part_of_the_time(
@@ -159,7 +159,7 @@
     fleets.append(fleet := Fleet(NAMES))
     assert mastturnd.main(["mastturnd", "drain", "edge-c", *fleet.flags]) == 1
     assert "that leaves 0 of 1 balancers of hall-b" in capsys.readouterr().err
-    assert clock.now - 100 <= 8 * present.NAMED_SHARE + present.AGAIN_S
+    assert clock.now - 100 <= 8 * present.WAIT_SHARE + present.RETRY_DELAY_S
     assert mastturnd.main(["mastturnd", "drain", "edge-c", "--force", *fleet.flags]) == 0
 
 
@@ -169,7 +169,7 @@
     fleets.append(fleet := Fleet(()))
     assert mastturnd.main(["mastturnd", "explain", "edge-a", *fleet.flags]) == 2
     assert "name one of: none" in capsys.readouterr().err
-    assert 8 <= clock.now - 100 <= 8 + present.AGAIN_S
+    assert 8 <= clock.now - 100 <= 8 + present.RETRY_DELAY_S
 
 
 def test_primaries_that_follow_one_another_without_end_are_waited_for_no_longer_than_was_asked(
@@ -178,7 +178,7 @@
     fleets.append(fleet := Fleet(*((epoch, "edge-c") for epoch in range(3, 99))))
     assert mastturnd.main(["mastturnd", "explain", "edge-a", *fleet.flags]) == 2
     assert "name one of: edge-c" in capsys.readouterr().err
-    assert 8 <= clock.now - 100 <= 8 + present.AGAIN_S
+    assert 8 <= clock.now - 100 <= 8 + present.RETRY_DELAY_S
 
 
 @pytest.mark.parametrize("command", ["explain edge-a", "drain edge-b"])
@@ -188,7 +188,7 @@
     fleets.append(fleet := Fleet("nobody leads"))
     assert mastturnd.main(["mastturnd", *command.split(), *fleet.flags]) == 1
     assert "nobody leads within 8 s" in capsys.readouterr().err
-    assert 8 <= clock.now - 100 <= 8 + present.AGAIN_S
+    assert 8 <= clock.now - 100 <= 8 + present.RETRY_DELAY_S
 
 
 def test_a_change_that_is_taken_is_done_though_nobody_names_the_balancer_after(
@@ -243,7 +243,7 @@
     fleets.append(fleet := Fleet(()))
     assert mastturnd.main(["mastturnd", "status", *fleet.flags]) == 3
     assert "! core-a: names no balancer: start one" in capsys.readouterr().out
-    assert clock.now - 100 <= 8 * present.NAMED_SHARE + present.AGAIN_S
+    assert clock.now - 100 <= 8 * present.WAIT_SHARE + present.RETRY_DELAY_S
     fleets.append(fleet := Fleet(NAMES))
     fleet.leads_ms = 400
     assert mastturnd.main(["mastturnd", "status", "--within_s=0", *fleet.flags]) == 3
--- a/tests/test_mastturnd_cli_reports.py
+++ b/tests/test_mastturnd_cli_reports.py
@@ -10,16 +10,16 @@
 
 import mastturnd.exposition  # noqa: F401 - on the fabric's clock no thread loads it
 from mastturnd import control_calls
-from mastturnd.pace import MOST, Pace
+from mastturnd.pace import MAX_REPORTS, RateLimiter
 from tests.fabric_callers import DataPlane, ask, call, configuration, upstream
 from tests.fabric_world import CTL_PORT, Machine, World, play
 
 
 @pytest.fixture(autouse=True)
 def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
-    control_calls.declare()
-    monkeypatch.setattr(control_calls, "_STATUS", Pace())
-    monkeypatch.setattr(control_calls, "_METRICS", Pace())
+    control_calls.register()
+    monkeypatch.setattr(control_calls, "_STATUS_LIMITER", RateLimiter())
+    monkeypatch.setattr(control_calls, "_METRICS_LIMITER", RateLimiter())
 
 
 async def get(world: World, name: str, target: str) -> tuple[int, Any]:
@@ -123,8 +123,8 @@
     async def scenario(world: World) -> None:
         await world.wait_served()
         leader = world.primary()
-        statuses = [(await get(world, leader, "/api/status"))[0] for _ in range(MOST + 4)]
-        assert statuses == [200] * MOST + [429] * 4
+        statuses = [(await get(world, leader, "/api/status"))[0] for _ in range(MAX_REPORTS + 4)]
+        assert statuses == [200] * MAX_REPORTS + [429] * 4
         assert (await get(world, leader, "/metrics"))[0] == 200  # a collector has a share of its own
         await put(world, 5, 0)
         await world.wait(1.0)
@@ -162,7 +162,7 @@
         await put(world, 6, 5, drained=["edge-2"])
         await world.wait_until(lambda: not allowed(world, "edge-2"), 2.0, "edge-2 takes no new clients")
         assert allowed(world, "edge-1") and allowed(world, "edge-3")
-        assert world.machines["edge-2"].role.standing()["drained"]
+        assert world.machines["edge-2"].role.report_state()["drained"]
 
         lost = world.primary()
         world.kill(lost)
--- a/tests/test_mastturnd_command.py
+++ b/tests/test_mastturnd_command.py
@@ -275,7 +275,7 @@
         await after("a bad one", {"balancer": "LOUD"}, True, 0.1)
         await after("none any more", None, True, 0.1)
 
-    monkeypatch.setattr(logs, "_written", ["INFO"])
+    monkeypatch.setattr(logs, "_current_level", ["INFO"])
     serve(story, monkeypatch, tmp_path)
     logger.remove()
     assert said == {
@@ -372,11 +372,11 @@
 
 def test_a_level_for_a_role_by_its_former_name_holds() -> None:
     level = logs.LogLevel("control")
-    before = logs._written[0]
+    before = logs._current_level[0]
     try:
-        assert level.follow({"barograph": "ERROR"})
+        assert level.apply({"barograph": "ERROR"})
     finally:
-        logs.write_from(before)
+        logs.set_level(before)
 
 
 def test_the_program_is_known_by_its_former_name_for_one_release() -> None:
--- a/tests/test_mastturnd_dashboard.py
+++ b/tests/test_mastturnd_dashboard.py
@@ -16,7 +16,7 @@
 from control.operators import OPERATOR_ROUTES
 from mastturn.standins.ports import free_port
 from mastturnd import control_calls, dashboard, fleet_status
-from mastturnd.pace import MOST, Pace
+from mastturnd.pace import MAX_REPORTS, RateLimiter
 from tests.fabric_callers import ask, call
 from tests.fabric_world import assert_approved
 from tests.loopback import run
@@ -41,7 +41,7 @@
 
 @pytest.fixture(autouse=True)
 def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control_calls, "_DASHBOARD", Pace())
+    monkeypatch.setattr(control_calls, "_DASHBOARD_LIMITER", RateLimiter())
 
 
 @pytest.fixture
@@ -63,7 +63,7 @@
 
 async def served(owner: Node, times: int = 1) -> list[Any]:
     """What so many askers at once get from the operators' door."""
-    control_calls.declare()
+    control_calls.register()
     port, server = free_port(), HttpServer(OPERATOR_ROUTES, owner)
     await server.start(("127.0.0.1", port))
     try:
@@ -95,8 +95,8 @@
 
 def test_all_who_ask_at_once_get_one_page_and_the_fleet_is_asked_once(told: dict[str, Any]) -> None:
     owner = Node(settings(seed_addrs=[told["place"]]))
-    answers = run_with(served(owner, MOST + 3))
-    assert sorted(a.status for a in answers) == [200] * MOST + [429] * 3
+    answers = run_with(served(owner, MAX_REPORTS + 3))
+    assert sorted(a.status for a in answers) == [200] * MAX_REPORTS + [429] * 3
     assert len({a.body for a in answers if a.status == 200}) == 1 and told["asked"] == 1
 
 
@@ -108,7 +108,7 @@
         return Response(200)
 
     monkeypatch.setattr(dashboard, "build_response", reply)
-    monkeypatch.setattr(dashboard, "FRESH_S", -1.0)
+    monkeypatch.setattr(dashboard, "CACHE_S", -1.0)
     page = dashboard.Dashboard()
 
     async def test() -> None:
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -19,7 +19,7 @@
 from balancer.request_counters import FIRST_EVENT_S, Refusal, RequestCounters
 from mastturnd import balancer_figures, control_calls, control_figures
 from mastturnd.exposition import render
-from mastturnd.pace import Pace
+from mastturnd.pace import RateLimiter
 from passpost.counters import Final
 from tests.balancer_stage import (
     BalancerHarness,
@@ -41,8 +41,8 @@
 
 def told(balancer: Balancer, age: float | None = 0.25) -> dict[str, float]:
     """Its figures by name and labels."""
-    standing = {"drained": False, "fresh": True, "ver": 5, "epoch": 3, "list_calls": 2, "news_age_s": age}
-    role: Any = SimpleNamespace(settings=balancer.settings, balancer=balancer, standing=lambda: standing)
+    state = {"drained": False, "fresh": True, "ver": 5, "epoch": 3, "list_calls": 2, "news_age_s": age}
+    role: Any = SimpleNamespace(settings=balancer.settings, balancer=balancer, report_state=lambda: state)
     return read(render(balancer_figures.metrics(role)).decode())
 
 
@@ -184,8 +184,8 @@
 def test_a_control_process_counts_its_take_overs_syncs_and_list_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    control_calls.declare()
-    monkeypatch.setattr(control_calls, "_METRICS", Pace())
+    control_calls.register()
+    monkeypatch.setattr(control_calls, "_METRICS_LIMITER", RateLimiter())
 
     def figures(world: World, name: str) -> dict[str, float]:
         return read(render(control_figures.metrics(world.machines[name].role)).decode())
@@ -227,7 +227,7 @@
     return find(name)
 figures.importlib.import_module = noted
 assert "prometheus_client" not in sys.modules
-print(asyncio.run(figures.text("report", 7)).decode())
+print(asyncio.run(figures.render_text("report", 7)).decode())
 """
 
 
@@ -243,10 +243,10 @@
 
     answers: list[bytes] = []
     transport: Any = SimpleNamespace(is_closing=lambda: False, write=answers.append, close=lambda: None)
-    ask: Callable[[Any, bytes, Any], bool] = balancer_calls.take
+    ask: Callable[[Any, bytes, Any], bool] = balancer_calls.handle_request
 
     async def test() -> None:
-        monkeypatch.setattr(balancer_calls, "_PACES", {"/metrics": Pace()})
+        monkeypatch.setattr(balancer_calls, "_RATE_LIMITERS", {"/metrics": RateLimiter()})
         assert ask(SimpleNamespace(), b"GET /metrics HTTP/1.1", transport)
         await asyncio.gather(*balancer_calls._tasks)
 
