--- a/mastturnd/__init__.py
+++ b/mastturnd/__init__.py
@@ -1,1 +1,1 @@
-"""The one program of the system: `python3 -m mastturnd ROLE`."""
+"""The program of the system: `python3 -m mastturnd ROLE`."""
--- a/mastturnd/__main__.py
+++ b/mastturnd/__main__.py
@@ -1,17 +1,17 @@
-"""`python3 -m mastturnd ROLE`: one program, and the role is a subcommand.
+"""Command line of the program: `python3 -m mastturnd ROLE`; the role is a subcommand.
 
-Settings come from the YAML file that `MASTTURN_CONFIG` names. SIGHUP reads it again, SIGTERM ends the
-process in order. What hosts a role (`mastturnd.hosting`) is loaded once clients can connect: to load it takes
-most of the time of a start.
+Settings are read from the YAML file named by `MASTTURN_CONFIG`. SIGHUP reloads them; SIGTERM shuts the
+process down gracefully. The module that hosts a role (`mastturnd.hosting`) is imported after the client
+socket is listening, because importing it takes most of the startup time.
 """
 
 from __future__ import annotations
 
 import signal
 
-if (
-    __name__ == "__main__"
-):  # unhandled it ends us, and to import the rest takes time; the file is read after that
+# An unhandled SIGHUP would end the process during the slow imports below. Ignoring it loses nothing: the
+# settings file is read after them.
+if __name__ == "__main__":
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import os
@@ -25,7 +25,7 @@
 from mastturnd.wrong import UsageError
 from passpost.listening import listen
 
-OPERATOR_COMMANDS = ("status", "config", "drain", "undrain", "trace", "explain")  # their commands
+OPERATOR_COMMANDS = ("status", "config", "drain", "undrain", "trace", "explain")
 USAGE = (
     "usage: python3 -m mastturnd [--log_level=LEVEL] ROLE, with ROLE one of: "
     + ", ".join(ROLES)
@@ -36,7 +36,7 @@
 
 
 def _require_settings(name: str, settings: Settings) -> None:
-    """Whether the settings hold what a role needs; raises SettingsError."""
+    """Raise SettingsError if a setting that the role requires is missing or unusable."""
     required = {
         BALANCER: [
             ("listen.http", settings.listen.http, "name the address for clients"),
@@ -58,9 +58,9 @@
 
 
 def _bind_client_socket(name: str, settings: Settings) -> socket.socket | None:
-    """The socket for clients: they wait there while the rest is loaded, in place of being refused.
+    """Return the listening client socket; clients queue on it during imports instead of being refused.
 
-    Raises OSError where the address can't be had.
+    Raises OSError if the address is not available.
     """
     if name != BALANCER or settings.listen.http is None:
         return None
@@ -68,9 +68,9 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the program; the exit code is 2 for a wrong call and 1 for settings that can't be used.
+    """Run the program; returns 2 for a usage error and 1 for unusable settings.
 
-    Operators' commands have codes of their own (docs/OPERATE.md).
+    Operators' commands have exit codes of their own (docs/OPERATE.md).
     """
     has_role = any(current_name(word) in ROLES for word in argv[1:])
     if any(word in OPERATOR_COMMANDS for word in argv[1:]) and not has_role:
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -1,8 +1,9 @@
-"""The platform's list while no control process is heard of: who asks for it, how often, and who is told.
+"""Reads the platform's upstream list while no control process is reachable.
 
-All balancers that are alone share a part of the platform's rate. Where that lets each of them read the list
-every few seconds they do, in schedule. Where they are too many, the first of each zone, by the order of the
-relays, reads it for its zone and tells the others; whoever hears nothing of it reads it in its own schedule.
+All balancers without a control process share a part of the platform's request rate. If that part lets each
+of them read the list every few seconds, they all do, in turn. Otherwise the first balancer of each zone, in
+relay order, reads the list for its zone and sends it to the others; a balancer that receives nothing from
+that reader reads the list itself at its own scheduled time.
 """
 
 from __future__ import annotations
@@ -25,27 +26,30 @@
 from transport.links import Links
 from transport.wire import compress_frame
 
-CONTROL_TIMEOUT_S = 1.8  # without news for so long we read the platform's list ourselves
-RATE_SHARE = 0.25  # of the platform's rate that all balancers may use when they are alone
-MIN_READ_INTERVAL_S = 1.5  # between two readings of one balancer
-MAX_FULL_CYCLE_S = 6.0  # a schedule of all that is no longer than this needs no readers for others
-MISSED_READS = 2.0  # so many of a reader's periods without its word, and we read ourselves
-DEFAULT_PAGE_SIZE = 50  # upstreams on a page of the platform's list, until we have read it ourselves
+CONTROL_TIMEOUT_S = 1.8  # without an update from a control process for this long, the list is read here
+RATE_SHARE = 0.25  # of the platform's rate that all balancers together may use without a control process
+MIN_READ_INTERVAL_S = 1.5  # between two reads of one balancer
+MAX_FULL_CYCLE_S = 6.0  # if all balancers can read once within this, no zone readers are needed
+MISSED_READS = 2.0  # after this many periods without a list from its reader, a balancer reads the list itself
+DEFAULT_PAGE_SIZE = 50  # assumed upstreams per page until the list has been read here
 
 
 @dataclass(frozen=True, slots=True)
 class ReadSchedule:
-    """When one balancer reads the list, in seconds; whom it tells, and whose word spares it."""
+    """When one balancer reads the list (in seconds), whom it sends it to, and which reader serves it."""
 
     period_s: float
     offset_s: float
     recipients: tuple[str, ...] = ()  # IPs
     reader_ip: str = ""  # the balancer that reads on behalf of this one
-    suppressed_s: float = 0.0  # own reads are suppressed for this long after each list from the reader
+    suppressed_s: float = 0.0  # own reads wait this long after each list from the reader
 
 
 def schedule_reads(me: Present, members: Sequence[Present], pages: int, pages_per_s: float) -> ReadSchedule:
-    """The schedule of one balancer while all are alone; `calls_s`: pages a second that all may ask for."""
+    """Return the read schedule of one balancer while no control process is reachable.
+
+    `pages_per_s`: page requests per second that all balancers together may send.
+    """
     count = max(len(members), 1)
     full_cycle_s = count * pages / pages_per_s
     index, own = next(((i, m) for i, m in enumerate(members) if m.node == me.node), (0, None))
@@ -53,9 +57,8 @@
         period = max(MIN_READ_INTERVAL_S, full_cycle_s)
         return ReadSchedule(period, period * index / count)
     zone_readers = heads_of(members)
-    read_s = max(
-        MIN_READ_INTERVAL_S, 2 * len(zone_readers) * pages / pages_per_s
-    )  # half of the rate is theirs
+    # Zone readers get half of the rate.
+    read_s = max(MIN_READ_INTERVAL_S, 2 * len(zone_readers) * pages / pages_per_s)
     reader = zone_readers[own.zone]
     if reader is own:
         zone = tuple(m.ip for m in members if m.zone == own.zone and m is not own)
@@ -67,7 +70,7 @@
 
 
 class FallbackListReader:
-    """One balancer's part in it."""
+    """Reads the platform's list for one balancer, or receives it from the reader of its zone."""
 
     def __init__(
         self,
@@ -79,9 +82,10 @@
         on_update: Callable[[UpstreamNews, UpstreamChange | None], None],
         port: int,
     ) -> None:
-        """`is_fresh`: whether a control process was heard of within so many seconds.
+        """`is_fresh`: whether a control process was heard from within the given seconds.
 
-        `told`: a list that is new here, and what has changed in it. `port`: where balancers hear each other.
+        `on_update`: called with a list that is new here and its difference from the previous list.
+        `port`: the port on which balancers listen for each other.
         """
         self._port = port
         self._me, self._platform, self._latest, self._links = me, platform, latest, links
@@ -89,20 +93,20 @@
         self._pages_per_s = math.inf
         self._cold_times = ColdTimes()
         self._next_read_at: float | None = None
-        self._reader_list_at = -1e9  # when our zone's reader was last heard
-        self.upstream_count = 0  # upstreams
+        self._reader_list_at = -1e9  # time of the last list from the reader of this zone
+        self.upstream_count = 0
 
     def set_rate(self, pages_per_s: float) -> None:
-        """So many pages a second of the platform's list may be asked for by all."""
+        """Set the page requests per second that the platform allows to all its clients."""
         self._pages_per_s = pages_per_s * RATE_SHARE
         self._platform.set_rate(self._pages_per_s)
 
     def seconds_until_due(self, now: float, limit_s: float) -> float:
-        """How long there is nothing to do."""
+        """Return the time until the next read, at most `limit_s`."""
         return limit_s if self._next_read_at is None else min(max(self._next_read_at - now, 0.0), limit_s)
 
     async def read_if_due(self, now: float) -> None:
-        """Read the list if we are alone and it is our schedule."""
+        """Read the list if no control process is reachable and a read is due."""
         if self._is_fresh(CONTROL_TIMEOUT_S) or self._latest.configuration is None:
             self._next_read_at = None
             return
@@ -139,19 +143,19 @@
             self._links.send_frame(Endpoint(ip, self._port), frame)
 
     def on_message(self, ip: str, message: UpstreamNews | UpstreamChange) -> None:
-        """A balancer's word on the list: that of our zone's reader counts while we are alone."""
+        """Handle a list from another balancer: only the zone's reader counts, and only without control."""
         if self._is_fresh(CONTROL_TIMEOUT_S) or ip != self._schedule().reader_ip:
             return
         if isinstance(message, UpstreamChange):
             try:
                 message = apply_change(self._latest.upstreams, message)
             except GapError:
-                return  # we have another: its next change comes whole, or we read it ourselves
+                return  # the base differs: the reader sends a full list next, or the list is read here
         self._reader_list_at = asyncio.get_running_loop().time()
         self._store_page(message.page)
 
     def _store_page(self, page: bytes) -> bool:
-        """A list as the platform gave it, under a stamp of our own; whether it was new here."""
+        """Store a list read from the platform under a number of its own; returns whether it was new here."""
         known = self._latest.upstreams
         if known is not None and known.page == page:
             return False
--- a/mastturnd/answers.py
+++ b/mastturnd/answers.py
@@ -1,4 +1,4 @@
-"""What processes answer to `/api/status`, held to a form: others' words, of any release or of a stranger."""
+"""Validates answers to `/api/status`, which may come from any release or from an unrelated program."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 def is_status(status: dict[str, Any]) -> bool:
-    """Whether an answer holds all that is shown of a process of its role."""
+    """Return whether an answer holds every field that is displayed for a process of its role."""
     role = status.get("role")
     name = current_name(role) if isinstance(role, str) else ""
     schema = STATUS_SCHEMAS.get(name)
     if schema is None or not _matches(status, schema):
         return False
     if name == CONTROL:
-        return _has_type(status.get("leads_ms"), OPTIONAL_NUMBER)  # earlier releases don't tell it
+        return _has_type(status.get("leads_ms"), OPTIONAL_NUMBER)  # earlier releases do not send it
     return all(_has_type(count, NUMBER) for count in status["ended"].values())
 
 
@@ -53,5 +53,5 @@
 
 
 def _has_type(value: object, types: tuple[type, ...]) -> bool:
-    """A yes or no is no number."""
+    """Return whether a value has one of the types; a bool does not count as a number."""
     return isinstance(value, types) and (not isinstance(value, bool) or bool in types)
--- a/mastturnd/asking.py
+++ b/mastturnd/asking.py
@@ -1,4 +1,4 @@
-"""An operator's calls: to any control process that answers, along redirects, again after a silence."""
+"""HTTP client of the operators' commands: tries each control process, follows redirects and retries."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from config.settings import parse_address
 from mastturnd.wrong import NoAnswerError, UsageError
 
-RESPONSE_TIMEOUT_S = 2.0  # of one process; then another is asked
-MAX_ERROR_CHARS = 500  # characters of an error
-MAX_BODY_BYTES = 16 * 1024 * 1024  # bytes of an answer
+RESPONSE_TIMEOUT_S = 2.0  # for one process, before the next is tried
+MAX_ERROR_CHARS = 500  # of an error message
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of a response
 MAX_REDIRECTS = 2
-RETRY_DELAY_S = 0.4  # until one process is asked again
-ROUND_DELAY_S, ROUND_DELAY_FACTOR, MAX_ROUND_DELAY_S = 0.1, 1.6, 1.0  # between two rounds
+RETRY_DELAY_S = 0.4  # before the same process is called again
+ROUND_DELAY_S, ROUND_DELAY_FACTOR, MAX_ROUND_DELAY_S = 0.1, 1.6, 1.0  # between two rounds over all processes
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One whole answer, and the `IP:PORT` that gave it."""
+    """A complete HTTP response and the `IP:PORT` that sent it."""
 
     status: int
     headers: Mapping[str, str]  # names in lower case
@@ -33,17 +33,20 @@
     endpoint: str
 
     def json(self) -> dict[str, Any]:
-        """The object that it holds; raises NoAnswerError."""
+        """Return the JSON object in the body; raises NoAnswerError."""
         try:
             parsed = json.loads(self.body)
         except (ValueError, RecursionError):
             parsed = None
         if not isinstance(parsed, dict):
-            raise NoAnswerError(f"{self.endpoint} answers with no JSON", "see that it is one of ours")
+            raise NoAnswerError(
+                f"{self.endpoint} does not answer with a JSON object",
+                "check that it is a process of this program",
+            )
         return parsed
 
     def error_text(self) -> str:
-        """What it says in a few words, on one line."""
+        """Return the error message, or the status, as a single line of limited length."""
         try:
             return " ".join(str(json.loads(self.body)["error"]).split())[:MAX_ERROR_CHARS]
         except (ValueError, KeyError, TypeError, RecursionError):
@@ -51,7 +54,7 @@
 
 
 def parse_endpoint(text: str) -> str:
-    """An `IP:PORT`, checked; raises UsageError."""
+    """Validate an `IP:PORT`; raises UsageError."""
     try:
         host, port = parse_address(text)
     except SettingsError as error:
@@ -68,7 +71,11 @@
     timeout_s: float = RESPONSE_TIMEOUT_S,
     max_bytes: int = MAX_BODY_BYTES,
 ) -> Answer | None:
-    """One call to one process; None without a whole answer of `most` bytes within the silence (s)."""
+    """Send one request to one process.
+
+    Returns None if no complete response of at most `max_bytes` arrives; `timeout_s` bounds each wait on the
+    socket.
+    """
     try:
         host, port = parse_address(endpoint)
         with contextlib.closing(http.client.HTTPConnection(host, port, timeout=timeout_s)) as connection:
@@ -76,7 +83,8 @@
             answer = connection.getresponse()
             content = answer.read(max_bytes + 1)
             is_complete = _is_complete(answer)
-    except (OSError, http.client.HTTPException, SettingsError, UnicodeError):  # the last: no host's name
+    # UnicodeError: invalid host name.
+    except (OSError, http.client.HTTPException, SettingsError, UnicodeError):
         return None
     if len(content) > max_bytes or not is_complete:
         return None
@@ -84,15 +92,16 @@
 
 
 def _is_complete(answer: http.client.HTTPResponse) -> bool:
-    """Whether all of an answer was read: http.client takes a connection's end for that of a head or a length.
+    """Return whether the whole body was read: http.client takes a closed connection as the end of a body.
 
-    Our processes give each answer a length or chunks; a cut in the latter raises while it is read.
+    Processes of this program always send a length or chunks; a truncated chunked body raises while it is
+    read.
     """
     return answer.chunked or answer.length == 0
 
 
 def call_until_answered(endpoint: str, target: str, within_s: float) -> Answer | None:
-    """One process's answer, asked again where it gives none or is asked too often; None after `within_s`."""
+    """Call one process, retrying while it does not answer or answers 429; None after `within_s`."""
     deadline = time.monotonic() + within_s
     while True:
         answer = call_once(endpoint, "GET", target, timeout_s=within_s)
@@ -106,7 +115,7 @@
 def _call_following_redirects(
     endpoint: str, method: str, target: str, body: bytes | None, headers: Mapping[str, str] | None
 ) -> Answer | None:
-    """One call, also to where it is sent on; None without a clear answer."""
+    """Send one request, following redirects; returns None without a conclusive answer."""
     for _ in range(MAX_REDIRECTS + 1):
         answer = call_once(endpoint, method, target, body, headers)
         if answer is None or answer.status >= 500 or answer.status in (408, 429):
@@ -129,7 +138,7 @@
     headers: Mapping[str, str] | None = None,
     within_s: float = 8.0,
 ) -> Answer:
-    """The clear answer of whoever gives one, asked in turn until `within_s`; raises NoAnswerError."""
+    """Call the control processes in turn for a conclusive answer; raises NoAnswerError after `within_s`."""
     deadline, delay_s = time.monotonic() + within_s, ROUND_DELAY_S
     for number in itertools.count(1):
         answer = _call_following_redirects(ctl[(number - 1) % len(ctl)], method, target, body, headers)
--- a/mastturnd/balancer_calls.py
+++ b/mastturnd/balancer_calls.py
@@ -1,6 +1,6 @@
-"""What a balancer tells whoever asks at the address of its readiness; loaded when somebody first asks.
+"""Read-only HTTP calls on the readiness address of a balancer; imported on the first request.
 
-All of it only reads. A question is a head of at most 4 kB, answered once, and the connection ends.
+A request head is limited to 4 kB. One request is answered per connection, which is then closed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def handle_request(role: ReportedRole, head: bytes, transport: asyncio.Transport) -> bool:
-    """Answer a question and end its connection; False if it is none of ours."""
+    """Answer a request and close its connection; returns False if the path is not served here."""
     request_line = head.split(b"\r\n", 1)[0].split(b" ")
     if len(request_line) != 3 or request_line[0] != b"GET":
         return False
@@ -43,7 +43,7 @@
 
 
 def _run_in_background(work: Coroutine[Any, Any, None], transport: asyncio.Transport) -> None:
-    """Have an answer written; a fault costs that question alone."""
+    """Write a response in a task; an exception fails only that request."""
 
     async def guarded() -> None:
         try:
--- a/mastturnd/balancer_figures.py
+++ b/mastturnd/balancer_figures.py
@@ -1,4 +1,4 @@
-"""What one balancer tells a collector of figures."""
+"""Metrics of a balancer."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from mastturnd.reported import ReportedRole
 from passpost.answer_end import Misuse
 
-Status = dict[str, Any]  # what `status` tells
+Status = dict[str, Any]  # as returned by `balancer_report.status`
 
 
 def metrics(role: ReportedRole) -> list[Metric]:
-    """The same as figures."""
+    """Return the status of a balancer as metrics."""
     report = status(role)
     return [
         *_state_metrics(report),
@@ -32,7 +32,7 @@
     return [
         gauge("station_ready", "1 while readiness is answered with 200.", report["ready"]),
         gauge("station_drained", "1 while the configuration drains this balancer.", report["drained"]),
-        gauge("station_news_fresh", "1 while the control state is heard of.", report["fresh"]),
+        gauge("station_news_fresh", "1 while updates of the control state arrive.", report["fresh"]),
         gauge("station_configuration_version", "Version in force here, 0 without one.", report["ver"]),
     ]
 
@@ -42,8 +42,14 @@
     refused, read = report["refused"], counters.tokens_read
     return [
         gauge("station_requests_in_flight", "Requests taken and not answered.", report["in_flight"]),
-        by("station_requests_total", "counter", "Requests that have ended, by how.", "end", ended),
-        by("station_refusals_total", "counter", "Requests that got no run, by why.", "reason", refused),
+        by("station_requests_total", "counter", "Requests that have ended, by outcome.", "end", ended),
+        by(
+            "station_refusals_total",
+            "counter",
+            "Requests refused before they ran, by reason.",
+            "reason",
+            refused,
+        ),
         histogram(
             "station_first_event_seconds",
             "From the whole request to the first event of its stream.",
@@ -54,20 +60,20 @@
         by(
             "station_calls_to_cold_total",
             "counter",
-            "Calls to upstreams that are slow yet after a start; again: after another upstream has failed.",
+            "Calls to upstreams still warming up after a start; again: after another upstream failed.",
             "try",
             {which.value: float(n) for which, n in counters.calls_to_cold.items()},
         ),
         by(
             "station_prompt_tokens_total",
             "counter",
-            "Prompt tokens sent to be read; again: of a request that was sent to be read before.",
+            "Prompt tokens sent to prefill; again: of a request that was sent to prefill before.",
             "read",
             {"first": read, "again": counters.tokens_reread},
         ),
         counter(
             "station_shared_tokens_again_total",
-            "Tokens of shared parts sent to be read while another upstream has them.",
+            "Tokens of shared prefixes sent to prefill while another upstream has them cached.",
             counters.shared_tokens_reread,
         ),
     ]
@@ -77,19 +83,19 @@
     return [
         by_labels(
             "station_upstream_answers_total",
-            "Answers of upstreams that have ended, by how they tell their end and by what ended them.",
+            "Upstream responses that have ended, by framing and by end.",
             ("framing", "end"),
             {(framing.value, end.value): n for (framing, end), n in answers.ends.items()},
         ),
         gauge(
             "station_upstreams_unframed",
-            "Upstreams seen since the start whose answers have neither length nor chunks.",
+            "Upstreams seen since the start whose responses have neither a length nor chunks.",
             len(answers.unframed),
         ),
         by(
             "station_upstream_misuses_total",
             "counter",
-            "What upstreams sent that belongs to no request that is out; its connection is given up.",
+            "Data from upstreams that belongs to no request in flight; the connection is closed.",
             "by",
             {misuse.value: answers.misuses[misuse] for misuse in Misuse},
         ),
@@ -98,11 +104,11 @@
 
 def _control_state_metrics(report: Status) -> list[Metric]:
     age = report["news_age_s"]
-    since = "Since the control state was last heard of."
+    since = "Time since the last update of the control state."
     return [
-        gauge("station_epoch", "The epoch of whoever leads, as last heard of.", report["epoch"]),
+        gauge("station_epoch", "Epoch of the last known primary.", report["epoch"]),
         *([gauge("station_news_age_seconds", since, age)] if age is not None else []),
-        counter("station_list_calls_total", "Pages of the platform's list asked for.", report["list_calls"]),
+        counter("station_list_calls_total", "Pages requested of the platform's list.", report["list_calls"]),
     ]
 
 
@@ -110,21 +116,33 @@
     parts = _counts_by_part(report)
     return [
         by("station_upstreams_up", "gauge", "Upstreams that are up.", "part", parts["up"]),
-        by("station_upstreams_silent", "gauge", "Upstreams that owe us a word.", "part", parts["silent"]),
+        by(
+            "station_upstreams_silent",
+            "gauge",
+            "Upstreams with an overdue response.",
+            "part",
+            parts["silent"],
+        ),
         by(
             "station_upstreams_distrusted",
             "gauge",
-            "Upstreams that get nothing new as too many requests failed there.",
+            "Upstreams ejected because too many requests failed there.",
             "part",
             parts["distrusted"],
         ),
-        by("station_upstream_calls", "gauge", "Our calls out.", "part", parts["calls"]),
-        by("station_upstream_tokens", "gauge", "Prompt tokens read for us.", "part", parts["tokens"]),
+        by("station_upstream_calls", "gauge", "Calls of this balancer in flight.", "part", parts["calls"]),
+        by(
+            "station_upstream_tokens",
+            "gauge",
+            "Prompt tokens pending for this balancer.",
+            "part",
+            parts["tokens"],
+        ),
     ]
 
 
 def _counts_by_part(report: Status) -> dict[str, dict[str, float]]:
-    """Counts of the upstreams by their part in a split request."""
+    """Count the upstreams by phase of a split request."""
     names = ("up", "silent", "distrusted", "calls", "tokens")
     parts: dict[str, dict[str, float]] = {name: {} for name in names}
     for entry in report["upstreams"]:
--- a/mastturnd/balancer_report.py
+++ b/mastturnd/balancer_report.py
@@ -1,4 +1,4 @@
-"""What one balancer knows and has done, read off it when somebody asks."""
+"""Builds the status report of a balancer when it is requested."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def status(role: ReportedRole) -> dict[str, Any]:
-    """All that an operator may want of one balancer."""
+    """Return the status of a balancer for operators."""
     settings, balancer = role.settings, role.balancer
     counts = balancer.counts()
     now = time.monotonic()
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -1,4 +1,4 @@
-"""The balancer's role: the data plane, and beside it whoever tells it the news."""
+"""The balancer role: the data plane, and its exchange of control state and load with the fleet."""
 
 from __future__ import annotations
 
@@ -54,15 +54,15 @@
 from transport.wire import EDITION, Link, MessageKinds
 
 KINDS = MessageKinds().include(messages.KINDS)
-HOLDINGS_REPORT_DELAY_S = 0.1  # what was seen read is reported no sooner after the report before
-CHILD_TIMEOUT_S = 2.5  # a balancer below us that says nothing for so long has gone
+HOLDINGS_REPORT_DELAY_S = 0.1  # minimum delay between two reports of cached prefixes
+CHILD_TIMEOUT_S = 2.5  # a child that sends nothing for this long is dropped
 
 
 class BalancerRole:
     """One balancer of the fleet."""
 
     def __init__(self, settings: Settings, listener: socket.socket | None = None) -> None:
-        """`listener`: the socket for clients, where it listens already."""
+        """`listener`: the client socket, if it is listening already."""
         self.settings = settings
         self.balancer = Balancer(settings, secrets.randbits(32), listener)
         self._latest = LatestUpdates()
@@ -76,7 +76,7 @@
         self.balancer.set_other_loads(self._peer_loads.of)
         self.balancer.watch_loads(self._loads.sum.schedule)
         self._holdings = Holdings()
-        self._unreported: list[Holding] = []  # seen here or below, and not reported yet
+        self._unreported: list[Holding] = []  # from here or from children, not yet reported
         self.balancer.watch_cached_prefixes(self._on_prefix_cached)
         me = Present(settings.node, settings.ip, settings.zone)
         self._follower = Follower(
@@ -105,12 +105,12 @@
         self._fallback_reader.set_rate(settings.cloud_api.rate_per_s)
         self._tasks: list[asyncio.Task[None]] = []
         self._balancer_count = BalancerCount()
-        self._drained = False  # the configuration has us take no new clients
-        self._step_log: Any = None  # while every step of a request is logged
+        self._drained = False  # by the configuration: new clients are not accepted
+        self._step_log: Any = None  # set while the steps of requests are logged
         self.balancer.request_handler = self._handle_request
 
     async def start(self) -> None:
-        """Listen, and hear the news from now on; raises OSError where an address can't be had."""
+        """Start listening and following updates; raises OSError if an address is not available."""
         await self._links.start()
         await self.balancer.start()
         self._log_steps()
@@ -120,21 +120,21 @@
         ]
 
     async def stop(self) -> None:
-        """Answer what is held, and end."""
+        """Finish the requests in flight, then shut down."""
         await self.balancer.drain()
         for task in self._tasks:
             task.cancel()
         self._links.stop()
 
     def reconfigure(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Apply changed settings."""
         self.settings = settings
         self._follower.set_seeds(settings.seed_ips)
         self._platform.set_address(parse_address(settings.cloud_api.addr))
         self._fallback_reader.set_rate(settings.cloud_api.rate_per_s)
         self._log_steps()
 
-    # ---- what operators ask; nothing of it is loaded until they do
+    # ---- operators' requests; their modules are imported on the first one
 
     def _handle_request(self, head: bytes, transport: asyncio.Transport) -> bool:
         from mastturnd import balancer_calls
@@ -142,7 +142,7 @@
         return balancer_calls.handle_request(self, head, transport)
 
     def _log_steps(self) -> None:
-        """Log every step of each request while the level is DEBUG."""
+        """Log every step of each request while the log level is DEBUG."""
         if (self._step_log is not None) == logs.is_debug():
             return
         if self._step_log is not None:
@@ -154,7 +154,7 @@
         self._step_log = StepLog(self.balancer)
 
     def report_state(self) -> dict[str, Any]:
-        """What this process knows and is told, for a report."""
+        """Return the control state of this process for a report."""
         latest = self._latest
         return {
             "drained": self._drained,
@@ -168,7 +168,7 @@
             "news_age_s": self._follower.age_s(),
         }
 
-    # ---- news
+    # ---- updates
 
     def _on_message(self, link: Link, message: Any) -> None:
         if self._follower.is_parent_link(link):
@@ -180,7 +180,7 @@
                     self._feed.attach(link, message)
                     link.send(HoldingNews(self._holdings.all()))
                 else:
-                    link.send(Moved(()))  # what we know may be old
+                    link.send(Moved(()))  # the state known here may be stale
             case Roll():
                 self._feed.on_roll(link, message)
             case Speaks():
@@ -203,14 +203,14 @@
         self._loads.sum.remove_child(link)
         self._doubts.sum.remove_child(link)
 
-    # ---- what upstreams have read
+    # ---- cached prefixes
 
     def _on_prefix_cached(self, subject: bytes, upstream: str) -> None:
-        """An upstream has read the shared parts of a subject for us."""
+        """Record that an upstream has cached the shared prefixes of a subject for this balancer."""
         self._report_later(self._holdings.add((Holding(subject, upstream),), first_hand=True))
 
     def _store_holdings(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
-        """Take others' news; what is new goes on to whoever hears it from us."""
+        """Store holdings reported by others and broadcast the new ones to the followers."""
         new = self._holdings.add(holdings)
         for holding in new:
             self.balancer.add_cached_prefix(holding.subject, holding.upstream)
@@ -229,13 +229,13 @@
         self._feed.broadcast(HoldingNews(unreported))
 
     def _on_attached(self) -> None:
-        """Whoever tells us the news from now on knows nothing of us yet."""
+        """Send the complete state to a new parent, which knows nothing of this balancer yet."""
         self._loads.sum.resend()
         self._doubts.sum.resend()
         self._follower.send(HoldingReport(self._holdings.first_hand()))
 
     def _on_update(self, message: Any, new: Any = None) -> None:
-        """A newer piece of news: on to whoever hears it from us, and in force here. `new`: see `Follower`."""
+        """Apply a newer update and broadcast it to the followers; `new`: see `Follower`."""
         match message:
             case UpstreamNews():
                 self._feed.broadcast_list(message, new)
@@ -293,10 +293,10 @@
             self._drained = drained
             logger.info("event={}", "drained" if drained else "undrained")
 
-    # ---- alone
+    # ---- without a control process
 
     async def _run_fallback(self) -> None:
-        """Without the control state the list is read here, or by another balancer of the zone for us."""
+        """Drop stale peer state, and read the list here while no control process is reachable."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(self._fallback_reader.seconds_until_due(loop.time(), STALE_AFTER_S / 2))
--- a/mastturnd/commands.py
+++ b/mastturnd/commands.py
@@ -1,6 +1,6 @@
-"""Operators' commands of the one program: `python3 -m mastturnd COMMAND`; loaded only for them.
+"""Operators' commands of the program: `python3 -m mastturnd COMMAND`; imported only for them.
 
-Exit codes: 0 done, or all is alike; 1 not done; 2 a wrong call; 3 something differs or is missing.
+Exit codes: 0 done, or no differences; 1 failed; 2 usage error; 3 something differs or is missing.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from mastturnd.wrong import DIFFERS, DONE, FAILED, USAGE_ERROR, CommandFailedError, NoAnswerError, UsageError
 
 USAGE = """usage: python3 -m mastturnd COMMAND [FLAGS]
-  status                     who leads, what each process has, who is present, what differs
-  config get                 the configuration in force, as it was sent
-  config put FILE            have a file taken on top of the configuration in force
-  config patch FILE          have named items changed; --dry_run says what it would change
-  config diff FILE           what a file would change
-  config check FILE          whether a file is a good configuration; nobody is asked
-  config history             the versions that were taken
-  config salvage FOLDER      the configuration on the disk of a control process that does not run
-  drain NODE, undrain NODE   a balancer takes no new clients, or takes them again
-  trace ID LOG...            one request's lines out of log files
-  explain NODE|IP:PORT       why a balancer chooses as it does
+  status                     show the primary, the state of each process, and what differs
+  config get                 print the configuration in force, byte for byte
+  config put FILE            replace the configuration in force by a file
+  config patch FILE          change named items; --dry_run shows what it would change
+  config diff FILE           show what a file would change
+  config check FILE          validate a file without contacting any process
+  config history             list the accepted versions
+  config salvage FOLDER      print the configuration on the disk of a stopped control process
+  drain NODE, undrain NODE   stop a balancer from accepting new clients, or undo that
+  trace ID LOG...            show the lines of one request from log files
+  explain NODE|IP:PORT       show how a balancer chooses upstreams
 flags: --ctl=IP:PORT,... --readyz_port=N --json --within_s=S --base=VER --next --dry_run --choices=N
        --force"""
 
@@ -43,27 +43,30 @@
 def _define_flags() -> flags.FlagValues:
     found = flags.FlagValues()  # type: ignore[no-untyped-call]
     flags.DEFINE_string(
-        "ctl", "", "Control processes, IP:PORT with commas between; the settings' seeds if none.", found
+        "ctl",
+        "",
+        "Control processes, IP:PORT separated by commas; default: the seeds of the settings.",
+        found,
     )
     flags.DEFINE_integer("readyz_port", 0, "Port of the balancers' readiness.", flag_values=found)
     flags.DEFINE_bool("json", False, "Print one JSON object.", flag_values=found)
     flags.DEFINE_float(
-        "within_s", 8.0, "How long a clear answer is waited for, in seconds.", flag_values=found
+        "within_s", 8.0, "How long to wait for a conclusive answer, in seconds.", flag_values=found
     )
     flags.DEFINE_integer(
-        "base", -1, "The version that a file builds on; the newest if none.", flag_values=found
+        "base", -1, "The version that a file is based on; default: the newest.", flag_values=found
     )
-    flags.DEFINE_bool("next", False, "Give the file the number after the newest.", flag_values=found)
-    flags.DEFINE_bool("dry_run", False, "Only say what a patch would change.", flag_values=found)
-    flags.DEFINE_integer("choices", 0, "Record so many choices as they are made.", flag_values=found)
-    flags.DEFINE_bool("force", False, "Drain although few balancers of the zone are left.", flag_values=found)
+    flags.DEFINE_bool("next", False, "Number the file one above the newest version.", flag_values=found)
+    flags.DEFINE_bool("dry_run", False, "Only show what a patch would change.", flag_values=found)
+    flags.DEFINE_integer("choices", 0, "Record this many choices as they are made.", flag_values=found)
+    flags.DEFINE_bool("force", False, "Drain even if few balancers of the zone remain.", flag_values=found)
     found.set_gnu_getopt(True)
     return found
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a command has found: for programs, for people, and its exit code."""
+    """Result of a command: JSON data, lines of text, and the exit code."""
 
     data: Any
     lines: list[str]
@@ -71,7 +74,7 @@
 
 
 class Commands:
-    """The commands, with the flags of one call."""
+    """The commands, with the flags of one invocation."""
 
     def __init__(self, given: flags.FlagValues) -> None:
         self._flag_values = given
@@ -79,7 +82,7 @@
         self._within_s = float(given.within_s)
 
     def _read_settings(self) -> Settings | None:
-        """The settings of this machine, if there are any: who else there is stands in them."""
+        """Return the settings of this machine; None if MASTTURN_CONFIG is not set."""
         if not os.environ.get(settings_file.VARIABLE):
             return None
         return settings_file.read()
@@ -104,15 +107,15 @@
         readyz = self._settings.listen.readyz
         return parse_address(readyz)[1] if readyz else self._settings.readyz_port or None
 
-    # ---- what is there
+    # ---- status
 
     def status(self) -> Report:
-        """The whole fleet."""
+        """Show the state of the whole fleet."""
         found = present.wait_for_fleet(self._control_endpoints(), self._readyz_port(), self._within_s)
         return Report(found, fleet_status.format_lines(found), DIFFERS if found["differs"] else DONE)
 
     def explain(self, where: str) -> Report:
-        """One balancer's ready sets, and its next choices."""
+        """Show the ready sets of one balancer and its next choices."""
         if ":" in where:
             endpoint = asking.parse_endpoint(where)
         else:
@@ -147,14 +150,14 @@
     # ---- the configuration
 
     def get(self) -> Report:
-        """The configuration in force."""
+        """Print the configuration in force."""
         current = configuring.fetch_current(self._control_endpoints(), self._within_s)
         if not current.ver:
             raise CommandFailedError("no configuration has been taken yet", "put one")
         return Report(current.raw(), [current.body.decode("utf-8", "replace")])
 
     def put(self, name: str) -> Report:
-        """Have a file taken."""
+        """Replace the configuration by a file."""
         body = configuring.read_file(name)
         configuring.parse_valid(body, name)
         ctl = self._control_endpoints()
@@ -166,7 +169,7 @@
         return Report({"ver": raw["ver"], "base": base, "notes": notes}, lines)
 
     def patch(self, name: str) -> Report:
-        """Have named items changed, or see what that would change."""
+        """Change named items of the configuration, or show what that would change."""
         body = configuring.read_file(name)
         current = configuring.fetch_current(self._control_endpoints(), self._within_s)
         base = int(self._flag_values.base) if self._flag_values.base >= 0 else current.ver
@@ -180,7 +183,7 @@
         return Report(data, [f"version {patch.ver} is taken on top of {base}", *lines])
 
     def diff(self, name: str) -> Report:
-        """What a file would change."""
+        """Show what a file would change."""
         raw = configuring.parse_valid(configuring.read_file(name), name)
         current = configuring.fetch_current(self._control_endpoints(), self._within_s)
         found = configuring.differences(current.raw(), raw)
@@ -190,14 +193,14 @@
         return Report({"ver": current.ver, "differs": found}, lines, DIFFERS if found else DONE)
 
     def check(self, name: str) -> Report:
-        """Whether a file is good."""
+        """Validate a file without contacting any process."""
         raw = configuring.parse_valid(configuring.read_file(name), name)
         counts = {part: len(raw.get(part) or []) for part in ("routes", "svcs")}
         text = f"{name} is good: version {raw['ver']}, {counts['routes']} routes, {counts['svcs']} services"
         return Report({"ver": raw["ver"], **counts}, [text])
 
     def history(self) -> Report:
-        """The versions that were taken."""
+        """List the accepted versions."""
         answer = asking.call_any(self._control_endpoints(), "GET", "/api/history", within_s=self._within_s)
         if answer.status != 200:
             raise CommandFailedError(
@@ -208,7 +211,7 @@
         return Report(found, table(["VERSION", "DIGEST OF WHAT WAS SENT"], rows))
 
     def salvage(self, folder: str) -> Report:
-        """What a disk holds; nobody is asked."""
+        """Print the configuration found in a data directory, without contacting any process."""
         found = salvage.read(folder)
         if not found.ver:
             raise CommandFailedError(
@@ -216,15 +219,18 @@
                 f"read the disk of a holder: {', '.join(found.holders) or 'not known here'}",
             )
         if not found.holds:
-            print("this process did not have to keep it: a newer one may be elsewhere", file=sys.stderr)
+            print(
+                "this process was not a holder of the configuration: another disk may have a newer version",
+                file=sys.stderr,
+            )
         data = {"ver": found.ver, "epoch": found.epoch, "holds": found.holds, "holders": found.holders}
         configuration = json.loads(found.body)
         return Report(data | {"configuration": configuration}, [found.body.decode("utf-8", "replace")])
 
-    # ---- balancers that take no new clients
+    # ---- drained balancers
 
     def drain(self, node: str) -> Report:
-        """A balancer takes no new clients from now on."""
+        """Stop a balancer from accepting new clients."""
         if not self._flag_values.force:
             self._check_remaining_balancers(node)
         return self._change_drain(node, True)
@@ -236,7 +242,7 @@
         )
 
         def remaining_in_zone(found: present.Balancers) -> tuple[int, int, str] | None:
-            """How many would take new clients, of how many, in which zone."""
+            """Return how many balancers of the zone would accept clients, of how many, and the zone."""
             zone = next((b["zone"] for b in found if b["node"] == node), None)
             if zone is None:
                 return None
@@ -254,13 +260,13 @@
             raise UsageError(f"no balancer {node!r} is present", f"name one of: {names}; or give --force")
         if 2 * remaining[0] < remaining[1]:
             raise CommandFailedError(
-                f"that leaves {remaining[0]} of {remaining[1]} balancers of {remaining[2]}; with under half left, "
-                "the whole zone gets clients",
+                f"that leaves {remaining[0]} of {remaining[1]} balancers of {remaining[2]}; "
+                "with under half left, the whole zone gets clients",
                 "undrain another first, or give --force",
             )
 
     def undrain(self, node: str) -> Report:
-        """It takes them again."""
+        """Let a balancer accept new clients again."""
         return self._change_drain(node, False)
 
     def _change_drain(self, node: str, drained: bool) -> Report:
@@ -282,7 +288,7 @@
         return Report(data, lines)
 
     def _wait_for_confirmation(self, node: str, drained: bool) -> dict[str, Any] | None:
-        """The balancer's own word that it has heard of it; None if it doesn't come, or can't be asked."""
+        """Return the balancer's status once it reports the change; None without such a report."""
         port = self._readyz_port()
         if port is None:
             return None
@@ -292,7 +298,7 @@
                 self._control_endpoints(), self._within_s, present.contains_node(node)
             )
         except NoAnswerError:
-            return None  # the change is taken all the same
+            return None  # the change is accepted nevertheless
         endpoint = next((f"{b['ip']}:{port}" for b in found if b["node"] == node), None)
         confirmation: list[dict[str, Any]] = []
 
@@ -309,12 +315,12 @@
     # ---- logs
 
     def trace(self, request: str, *logs: str) -> Report:
-        """One request's lines."""
+        """Show the log lines of one request."""
         found = tracing.trace(request, list(logs))
         if not found:
             raise CommandFailedError(
                 f"no line of {len(logs)} files names request {request}",
-                "lines on requests that go well are written at level DEBUG only: set log_levels",
+                "successful requests are logged at level DEBUG only: set log_levels",
             )
         hidden = ("time", "level", "module", "event", "request")
         rows = [
@@ -326,7 +332,7 @@
 
 
 def _resolve(commands: Commands, args: list[str]) -> Callable[[], Report]:
-    """The command that the words name; raises UsageError."""
+    """Return the command that the arguments name; raises UsageError."""
     node_commands = {"drain": commands.drain, "undrain": commands.undrain, "explain": commands.explain}
     path_commands = {
         "put": commands.put,
@@ -359,20 +365,19 @@
 
 
 def main(args: list[str]) -> int:
-    """Carry out a command; the result is its exit code. Whoever reads it may have enough early."""
+    """Run a command and return its exit code. A reader that closes the pipe early is not an error."""
     try:
         code = _execute(args)
         sys.stdout.flush()
     except BrokenPipeError:
-        os.dup2(
-            os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno()
-        )  # nothing is left to be flushed at the end
+        # So that the flush at exit does not fail.
+        os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return DONE
     return code
 
 
 def _execute(args: list[str]) -> int:
-    """A wrong call is told in one line."""
+    """Run a command; an error is printed as one line."""
     given = _define_flags()
     if "--help" in args:
         print(USAGE)
--- a/mastturnd/configuring.py
+++ b/mastturnd/configuring.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the configuration: read, put, compare, check; and the drains that are part of it."""
+"""Operators' commands on the configuration, including drains: read, put, patch, compare, validate."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from mastturnd.draining import FIELD, drained_nodes
 from mastturnd.wrong import CommandFailedError, RequestRefusedError, UsageError
 
-MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes; more is not taken
+MAX_FILE_BYTES = 4 * 1024 * 1024  # longer files are refused
 
 
 @dataclass(frozen=True, slots=True)
 class CurrentConfiguration:
-    """The newest configuration, as it was sent; version 0 while there is none."""
+    """The newest configuration as it was sent; version 0 while there is none."""
 
     ver: int
     body: bytes
 
     def raw(self) -> dict[str, Any]:
-        """Its JSON."""
+        """Return its JSON."""
         found: dict[str, Any] = json.loads(self.body) if self.body else {}
         return found
 
 
 def read_file(name: str) -> bytes:
-    """A file's bytes; raises UsageError."""
+    """Return the bytes of a file; raises UsageError."""
     try:
         with Path(name).open("rb") as file:
             body = file.read(MAX_FILE_BYTES + 1)
@@ -45,7 +45,7 @@
 
 
 def parse_valid(body: bytes, name: str) -> dict[str, Any]:
-    """The JSON of a good configuration; raises CommandFailedError that names the field and the remedy."""
+    """Return the JSON of a valid configuration; raises CommandFailedError with the field and the remedy."""
     try:
         check(body)
     except InvalidConfigurationError as error:
@@ -57,7 +57,7 @@
 
 
 def fetch_current(ctl: list[str], within_s: float) -> CurrentConfiguration:
-    """The newest configuration; raises NoAnswerError or RequestRefusedError."""
+    """Return the newest configuration; raises NoAnswerError or RequestRefusedError."""
     answer = asking.call_any(ctl, "GET", "/api/config", within_s=within_s)
     if answer.status == 404:
         return CurrentConfiguration(0, b"")
@@ -69,12 +69,12 @@
 
 
 def put(ctl: list[str], body: bytes, base: int, within_s: float) -> None:
-    """Have it taken on top of `base`, the same bytes again until the answer is clear."""
+    """Replace version `base` by a configuration; the same bytes are resent until the answer is conclusive."""
     _send(ctl, "PUT", body, base, within_s)
 
 
 def send_patch(ctl: list[str], body: bytes, base: int, within_s: float) -> None:
-    """Have named items of version `base` changed, as `put` does."""
+    """Change named items of version `base`; retries as `put` does."""
     _send(ctl, "PATCH", body, base, within_s)
 
 
@@ -93,7 +93,7 @@
 def prepare_patch(
     body: bytes, name: str, current: CurrentConfiguration, next_ver: bool
 ) -> tuple[bytes, Patch, dict[str, Any]]:
-    """A patch as it is to be sent, what it says, and what comes of it; raises CommandFailedError."""
+    """Return the patch to send, its parsed form and the result; raises CommandFailedError."""
     try:
         patch = parse_patch(body)
         if next_ver:
@@ -108,7 +108,7 @@
 def prepare_put(
     body: bytes, name: str, current: CurrentConfiguration, next_ver: bool
 ) -> tuple[bytes, dict[str, Any], list[str]]:
-    """What to send for a file, its JSON, and what was changed in it: a new number, and drains that go on."""
+    """Return the body to send, its JSON, and notes on changes: a new version, drains carried over."""
     raw = parse_valid(body, name)
     notes = []
     drained = drained_nodes(current.raw()) or ()
@@ -122,7 +122,7 @@
 
 
 def change_drain(ctl: list[str], node: str, drained: bool, within_s: float) -> tuple[int, bool]:
-    """Have a balancer drained or no longer; the version that says so, and whether that is a new one."""
+    """Drain or undrain a balancer; returns the version with the change, and whether it is new."""
     deadline = time.monotonic() + within_s
     while True:
         current = fetch_current(ctl, within_s)
@@ -139,16 +139,15 @@
         try:
             put(ctl, json.dumps(raw).encode(), current.ver, within_s)
         except RequestRefusedError as error:
-            if (
-                error.status != 412 or time.monotonic() >= deadline
-            ):  # somebody else was first: on top of theirs
+            # A concurrent change was first: retry on top of it.
+            if error.status != 412 or time.monotonic() >= deadline:
                 raise
             continue
         return current.ver + 1, True
 
 
 def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
-    """Whether a condition holds within so long; it is looked at three times a second."""
+    """Return whether a condition holds within the given seconds; polls every 0.3 s."""
     deadline = time.monotonic() + within_s
     while not condition():
         if time.monotonic() >= deadline:
@@ -157,11 +156,11 @@
     return True
 
 
-# ---- what differs
+# ---- differences
 
 
 def differences(old: dict[str, Any], new: dict[str, Any]) -> list[dict[str, Any]]:
-    """Each field that differs, by its path; routes and services are told apart by their names."""
+    """Return each differing field by its path; routes and services are matched by name."""
     found: list[dict[str, Any]] = []
     _compare("", _index_by_name(old), _index_by_name(new), found)
     return found
@@ -192,7 +191,7 @@
 
 
 def format_difference(difference: dict[str, Any]) -> str:
-    """One difference for people."""
+    """Format one difference as a line."""
     old, new = (json.dumps(difference[k]) if k in difference else "" for k in ("old", "new"))
     told = f"{old} -> {new}" if difference["change"] == "~" else old or new
     return f"{difference['change']} {difference['path']}: {told}"
--- a/mastturnd/control_calls.py
+++ b/mastturnd/control_calls.py
@@ -1,4 +1,4 @@
-"""What a control process tells whoever asks at `ctl`, beside the operators' calls; all of it only reads."""
+"""Read-only HTTP calls of a control process at `ctl`, in addition to the operators' calls."""
 
 from __future__ import annotations
 
@@ -17,16 +17,13 @@
     from control.node import ControlNode
     from mastturnd.dashboard import Dashboard
 
-_STATUS_LIMITER, _METRICS_LIMITER, _DASHBOARD_LIMITER = (
-    RateLimiter(),
-    RateLimiter(),
-    RateLimiter(),
-)  # so that a stranger takes nothing from a collector
-_pages: WeakKeyDictionary[ControlNode, Dashboard] = WeakKeyDictionary()  # made once somebody asks
+# Separate, so that other callers do not use up the collector's share.
+_STATUS_LIMITER, _METRICS_LIMITER, _DASHBOARD_LIMITER = (RateLimiter(), RateLimiter(), RateLimiter())
+_pages: WeakKeyDictionary[ControlNode, Dashboard] = WeakKeyDictionary()  # created on the first request
 
 
 def register() -> None:
-    """The calls are declared once this module is loaded; the program calls this to have it loaded."""
+    """Register the routes; importing this module has done so, and the caller needs only the import."""
 
 
 def _is_rate_limited(limiter: RateLimiter) -> bool:
@@ -39,7 +36,7 @@
 
 @OPERATOR_ROUTES.route("GET", "/api/status")
 async def get_status(control: ControlNode, request: Request) -> Response:
-    """This process's own word on who leads, what is kept here and who is present."""
+    """Answer with this process's view of the primary, its stored state and the balancers present."""
     if _is_rate_limited(_STATUS_LIMITER):
         return _too_many_requests()
     from mastturnd import control_report
@@ -49,7 +46,7 @@
 
 @OPERATOR_ROUTES.route("GET", "/metrics")
 async def get_metrics(control: ControlNode, request: Request) -> Response:
-    """The same as figures for a collector."""
+    """Answer with the same state as metrics."""
     if _is_rate_limited(_METRICS_LIMITER):
         return _too_many_requests()
     from mastturnd import figures
@@ -60,10 +57,10 @@
 
 @OPERATOR_ROUTES.route("GET", "/dashboard")
 async def get_dashboard(control: ControlNode, request: Request) -> Response:
-    """A page for a browser on the whole fleet, as this process finds it."""
+    """Answer with an HTML page on the whole fleet as this process sees it."""
     if _is_rate_limited(_DASHBOARD_LIMITER):
         return _too_many_requests()
-    if "mastturnd.dashboard" not in sys.modules:  # what asks others takes time and memory, once
+    if "mastturnd.dashboard" not in sys.modules:  # slow to import, so it is done in a thread
         await asyncio.to_thread(importlib.import_module, "mastturnd.dashboard")
     from mastturnd.dashboard import Dashboard as Page
 
--- a/mastturnd/control_report.py
+++ b/mastturnd/control_report.py
@@ -1,4 +1,4 @@
-"""What one control process knows, read off it when somebody asks."""
+"""Builds the status report of a control process when it is requested."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from control.node import ControlNode
 
 
-MAX_SILENT_MS = 1e9  # a longer silence is told as this
+MAX_SILENT_MS = 1e9  # a longer silence is reported as this
 
 
 def _membership_role(replica: Replica | None) -> str:
-    """What this process is in the view that it knows."""
+    """Return the role of this process in the latest view that it knows."""
     if replica is None or replica.durable_state.slot() is None:
         return "newcomer"
     if replica.primary is not None:
@@ -28,7 +28,7 @@
 
 
 def status(node: ControlNode) -> dict[str, Any]:
-    """All that an operator may want of one control process; times in milliseconds."""
+    """Return the status of a control process for operators; times in milliseconds."""
     replica, publisher, keeper = node.components()
     settings = node.settings
     report: dict[str, Any] = {
@@ -95,7 +95,7 @@
 
 
 def _tallies(node: ControlNode) -> dict[str, Any]:
-    """What this process keeps of tallies, and how far the other members have the same."""
+    """Return the state of the tallies here, and how the other members compare."""
     replica = node.tallies.replica
     adds = replica.adds
     return {
@@ -120,7 +120,7 @@
 
 
 def _upstreams(news: Any, loads: dict[str, tuple[int, int]]) -> list[dict[str, Any]]:
-    """The platform's list as the balancers were told it, with what all of them have out at each."""
+    """Return the upstream list as sent to the balancers, with the load of all balancers at each."""
     if news is None:
         return []
     try:
--- a/mastturnd/dashboard.py
+++ b/mastturnd/dashboard.py
@@ -1,7 +1,7 @@
-"""One page on the whole fleet for a browser, served by a control process; loaded when somebody first asks.
+"""HTML page on the whole fleet, served by a control process; imported on the first request.
 
-It holds all that it shows: no script, nothing from elsewhere. The processes are asked by a thread, at most
-once in FRESH_S, whoever asks for the page and however often.
+The page is self-contained: no scripts, no external resources. A thread queries the fleet at most once in
+CACHE_S, however many clients request the page.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from mastturnd.wrong import NoAnswerError
 from transport.calls import Response, json_response
 
-CACHE_S = 2.0  # a page is shown to all who ask within this
-REFRESH_INTERVAL_S = 5  # a browser asks again
-MAX_BALANCERS = 100  # that are asked for one page; of more only the names are shown
+CACHE_S = 2.0  # a rendered page is served for this long
+REFRESH_INTERVAL_S = 5  # a browser reloads the page
+MAX_BALANCERS = 100  # queried for one page; above this, only the names are shown
 CONTENT_SECURITY_POLICY = "default-src 'none'; style-src 'unsafe-inline'"
 HEADERS = {
     "Content-Security-Policy": CONTENT_SECURITY_POLICY,
@@ -39,14 +39,14 @@
 
 
 class Dashboard:
-    """The page of one control process: made for whoever is first, and shown to all who ask meanwhile."""
+    """The page of one control process, rendered once for concurrent requests and cached."""
 
     def __init__(self) -> None:
         self._pending: asyncio.Task[Response] | None = None
         self._response, self._rendered_at = json_response(503), float("-inf")
 
     async def page(self, settings: Settings) -> Response:
-        """The page, at most FRESH_S old."""
+        """Return the page, at most CACHE_S old."""
         loop = asyncio.get_running_loop()
         if loop.time() - self._rendered_at > CACHE_S:
             if self._pending is None:
@@ -64,7 +64,7 @@
 
 
 def build_response(settings: Settings) -> Response:
-    """Ask the whole fleet, and answer with the page; it takes a few seconds where some are silent."""
+    """Query the whole fleet and return the page; takes a few seconds if some processes do not answer."""
     own = settings.listen.ctl
     ctl = list(dict.fromkeys([*([own] if own else []), *settings.seed_addrs]))
     endpoints = [f"{host}:{port}" for host, port in map(parse_address, ctl)]
@@ -77,7 +77,7 @@
 
 
 def render_page(found: dict[str, Any], by: str, at: str) -> str:
-    """What `fleet_status.gather` has found, as HTML; all of it is others' words, so all of it is escaped."""
+    """Render the result of `fleet_status.gather` as HTML; all of it is untrusted and escaped."""
     parts = []
     for title, (head, rows) in zip(SECTION_TITLES, fleet_status.build_tables(found), strict=True):
         parts.append(f"<h2>{title}</h2>\n{_render_table(head, rows)}")
@@ -98,7 +98,7 @@
 
 
 def _render_table(head: tuple[str, ...], rows: list[list[Any]]) -> str:
-    """Without the last column where it only marks: the row is marked instead. Numbers stand right."""
+    """Render a table; a MARK column is left out and highlights the row instead. Numbers are right-aligned."""
     has_mark_column = head[-1] == "MARK"
     names = head[:-1] if has_mark_column else head
     cells = [[format_cell(value) for value in row[: len(names)]] for row in rows]
--- a/mastturnd/draining.py
+++ b/mastturnd/draining.py
@@ -1,7 +1,7 @@
-"""Which balancers take no new clients: `drained` of the configuration, a list of their names.
+"""Drained balancers: the field `drained` of the configuration, a list of node names.
 
-It is part of the configuration, so it is kept, agreed on and told like all of it: it outlives any process. A
-balancer of before skips a field that it does not know.
+As part of the configuration it is stored, replicated and distributed with it, so it outlives any process.
+Releases that do not know the field ignore it.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from typing import Any
 
 FIELD = "drained"
-MARK = b'"drained"'  # a body without it names nobody, and need not be read again
+MARK = b'"drained"'  # a body without it drains nobody and need not be parsed
 
 
 def drained_nodes(raw: dict[str, Any]) -> tuple[str, ...] | None:
-    """The drained balancers of a configuration's JSON; None where the field is no list of texts."""
+    """Return the drained balancers of a configuration's JSON; None if the field is not a list of strings."""
     found = raw.get(FIELD)
     if found is None:
         return ()
@@ -24,7 +24,7 @@
 
 
 def is_drained(body: bytes, node: str) -> bool:
-    """Whether a configuration (a body that was taken) tells this balancer to take no new clients."""
+    """Return whether an accepted configuration drains this balancer."""
     if MARK not in body:
         return False
     try:
--- a/mastturnd/explaining.py
+++ b/mastturnd/explaining.py
@@ -1,7 +1,7 @@
-"""Why a balancer chooses as it does: its ready sets as the rule sees them, and choices as they are made.
+"""Explains a balancer's choices: its ready sets as the selection rule sees them, and recorded choices.
 
-The rule (`umberworks.choice`) draws upstreams by capacity and keeps the lowest (in flight + 1) / capacity.
-What is shown is worked out on copies: nothing that the next choice is made from changes by it.
+The rule (`umberworks.choice`) draws upstreams in proportion to capacity and takes the one with the lowest
+(in flight + 1) / capacity. Figures are computed on copies, so explaining does not affect later choices.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from mastturnd.tap import subscribe
 from umberworks.choice import DRAWS, ServerSelector
 
-MAX_RECORDED_CHOICES = 20  # that are recorded for one question
-RECORD_TIMEOUT_S = 3.0  # it is answered after this, with what there is
-_recording: set[int] = set()  # ids of balancers
+MAX_RECORDED_CHOICES = 20  # per request
+RECORD_TIMEOUT_S = 3.0  # after this, the choices recorded so far are returned
+_recording: set[int] = set()  # id() of each balancer
 
 
 def describe_groups(balancer: Balancer, node: str) -> dict[str, Any]:
-    """Every ready set of this balancer now. Capacity is in calls a second for each call in flight."""
+    """Return every ready set of this balancer. Capacity is in calls per second for each call in flight."""
     now = time.monotonic()
     return {
         "node": node,
@@ -37,14 +37,14 @@
 
 
 def is_recording(balancer: Balancer) -> bool:
-    """Whether somebody has choices recorded."""
+    """Return whether choices are being recorded."""
     return id(balancer) in _recording
 
 
 async def record(balancer: Balancer, limit: int) -> list[dict[str, Any]]:
-    """The next choices, so many or those of RECORD_S: what was ready for each, and what was drawn."""
+    """Record up to `limit` choices within RECORD_TIMEOUT_S: the candidates of each, and which was drawn."""
     choices: list[dict[str, Any]] = []
-    drawn: list[dict[str, Any]] = []  # that no call has followed yet
+    drawn: list[dict[str, Any]] = []  # drawn, and no call sent yet
     complete = asyncio.Event()
 
     def on_event(event: str, fields: dict[str, Any]) -> None:
@@ -79,7 +79,7 @@
 
 
 def _candidate_rows(tiers: Tiers, group: Group, candidates: list[Peer], now: float) -> list[dict[str, Any]]:
-    """One row for each of `able`, with the chance that it is drawn once, and that it is chosen in the end."""
+    """Return one row per candidate, with the probability of each draw and of being chosen in the end."""
     selector = group.selector
     capacities = [_capacity(selector, peer, now) for peer in candidates]
     whole = sum(capacities)
@@ -110,16 +110,16 @@
 
 
 def _capacity(selector: ServerSelector, peer: Peer, now: float) -> float:
-    """The estimate that the rule would draw by now, in calls for each millisecond in flight."""
+    """Return the capacity estimate that the rule would use now, in calls per millisecond in flight."""
     server = copy.copy(peer.server)
     server.unanswered = copy.copy(server.unanswered)
     return selector._capacity(server, selector.median or 1.0, now * 1000)
 
 
 def choice_probabilities(drawn: list[float], loads: list[tuple[float, float]], draws: int) -> list[float]:
-    """How likely each is the lowest of so many draws, given the chance of one draw to meet each.
+    """Return the probability of each to be the lowest of `draws` draws, given its probability per draw.
 
-    Those that are alike in load and capacity share theirs by how often they are drawn.
+    Candidates with equal load and capacity share their probability in proportion to how often they are drawn.
     """
     order = sorted(range(len(drawn)), key=lambda i: loads[i])
     choices, remaining, at = [0.0] * len(drawn), 1.0, 0
--- a/mastturnd/explanation.py
+++ b/mastturnd/explanation.py
@@ -1,4 +1,4 @@
-"""What `explain` prints for people: ready sets, and the choices that were made, as tables."""
+"""Formats the answer of `explain` as tables: ready sets, and recorded choices."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def format_explanation(explanation: dict[str, Any]) -> list[str]:
-    """A balancer's ready sets, and its recorded choices, as lines for people."""
+    """Return a balancer's ready sets and recorded choices as lines of text."""
     head = [
         "UPSTREAM",
         "ZONE",
@@ -57,8 +57,8 @@
 
 
 def _restrictions(upstream: dict[str, Any]) -> str:
-    """Why an upstream gets less than its draws: nothing comes from it, it is avoided, or not trusted."""
+    """Return why an upstream is chosen less than its draws: it is silent, blocked or not trusted."""
     words = ["silent"] if upstream["silent"] else []
     words += [f"{upstream['blocked_ms']} ms"] if upstream["blocked_ms"] else []
-    words += [trust] if (trust := str(upstream.get("trust", ""))) else []  # not told by earlier releases
+    words += [trust] if (trust := str(upstream.get("trust", ""))) else []  # not sent by earlier releases
     return ", ".join(words)
--- a/mastturnd/exposition.py
+++ b/mastturnd/exposition.py
@@ -1,7 +1,7 @@
-"""Figures in the text form that metrics collectors read (exposition format 0.0.4).
+"""Metrics in the Prometheus text format (exposition format 0.0.4).
 
-They are written by prometheus-client, which takes 1.8 MB and 30 ms of processor time when it is first loaded:
-nothing loads this module until somebody asks for figures, and then `mastturnd.figures` has a thread do it.
+They are written by prometheus-client, which takes 1.8 MB and 30 ms of processor time to import. This module
+is therefore imported on the first request for metrics, in a thread started by `mastturnd.figures`.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 def gauge(name: str, text: str, value: float) -> Metric:
-    """A figure that goes up and down; the name ends with its unit."""
+    """Return a gauge; its name ends with its unit."""
     return GaugeMetricFamily(name, text, value=float(value))
 
 
 def counter(name: str, text: str, value: float) -> Metric:
-    """A figure that only rises, from 0 with the process; the name ends with `_total`."""
+    """Return a counter, which starts at 0 with the process; its name ends with `_total`."""
     return CounterMetricFamily(name, text, value=float(value))
 
 
 def by(name: str, kind: str, text: str, label: str, values: Mapping[str, float]) -> Metric:
-    """A figure for each value of one label; `kind` is `gauge` or `counter`."""
+    """Return a metric with one sample per value of a label; `kind` is `gauge` or `counter`."""
     families: dict[str, type[GaugeMetricFamily] | type[CounterMetricFamily]] = {
         "gauge": GaugeMetricFamily,
         "counter": CounterMetricFamily,
@@ -37,7 +37,7 @@
 
 
 def by_labels(name: str, text: str, labels: Sequence[str], values: Mapping[tuple[str, ...], float]) -> Metric:
-    """A counter for each combination of the values of several labels; the name ends with `_total`."""
+    """Return a counter with one sample per combination of label values; its name ends with `_total`."""
     family = CounterMetricFamily(name, text, labels=labels)
     for key, value in sorted(values.items()):
         family.add_metric(key, float(value))
@@ -45,7 +45,7 @@
 
 
 def histogram(name: str, text: str, bounds: Sequence[float], counts: Sequence[int], total: float) -> Metric:
-    """How many values lay up to each bound and above the one before; one count more for those above all."""
+    """Return a histogram from the counts between consecutive bounds, plus one count above the last bound."""
     buckets, cumulative = [], 0
     for bound, count in zip((*map(str, bounds), "+Inf"), counts, strict=True):
         cumulative += count
@@ -54,16 +54,16 @@
 
 
 def render(metrics: Iterable[Metric]) -> bytes:
-    """The text form; a metric without samples is left out."""
+    """Return the text format; metrics without samples are left out."""
     return bytes(exposition.generate_latest(_MetricCollector([m for m in metrics if m.samples])))
 
 
 class _MetricCollector:
-    """What the library asks for all figures."""
+    """Collector interface that the library's writer expects."""
 
     def __init__(self, metrics: Sequence[Metric]) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """All of them."""
+        """Return all metrics."""
         return iter(self._metrics)
--- a/mastturnd/fleet_status.py
+++ b/mastturnd/fleet_status.py
@@ -1,4 +1,4 @@
-"""The whole fleet as its processes tell it: asked one by one, side by side, with what differs marked."""
+"""Queries every process of the fleet in parallel and marks what differs between them."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 RESPONSE_TIMEOUT_S = 2.0
 MAX_CONCURRENT_CALLS = 16
-MAX_RETRIES, RETRY_DELAY_S = 3, 0.6  # where a process is asked too often
-MAX_STATUS_BYTES = 4 * 1024 * 1024  # bytes of one answer
-MAX_SILENT_MS = 1_000  # a member that the primary has not heard of for longer is marked
-NEW_PRIMARY_MS = 2_000  # balancers come back to a new primary within this
+MAX_RETRIES, RETRY_DELAY_S = 3, 0.6  # while a process answers 429
+MAX_STATUS_BYTES = 4 * 1024 * 1024  # of one response
+MAX_SILENT_MS = 1_000  # a member silent to the primary for longer is marked
+NEW_PRIMARY_MS = 2_000  # balancers attach to a new primary within this
 
 
 def gather(ctl: list[str], readyz_port: int | None, max_balancers: int | None = None) -> dict[str, Any]:
-    """Query every process and return the state of the fleet; raises NoAnswerError if no control process answers.
+    """Query every process and return the fleet's state; raises NoAnswerError if no control process answers.
 
     Balancers are listed as the primary names them, but not queried, if `readyz_port` is None or there are
     more than `max_balancers` of them.
@@ -72,29 +72,29 @@
 
 
 def is_settled(fleet: dict[str, Any]) -> bool:
-    """Whether somebody leads, and has for long enough to know who is present."""
+    """Return whether there is a primary that has led for long enough to know the balancers present."""
     return bool(fleet["balancers"]) and (fleet["leads_ms"] is None or fleet["leads_ms"] >= NEW_PRIMARY_MS)
 
 
 def _is_balancer(answer: dict[str, Any]) -> bool:
-    """Whether a process says that it is one, of whatever release."""
+    """Return whether a status is that of a balancer, of any release."""
     return current_name(answer["role"]) == BALANCER
 
 
 def _control_processes(answers: Iterable[dict[str, Any] | None]) -> dict[str, dict[str, Any]]:
-    """Those of control processes, by their addresses for operators."""
+    """Return the statuses of control processes by their operator address."""
     return {a["ctl"]: a for a in answers if a is not None and current_name(a["role"]) == CONTROL}
 
 
 def fetch_status(endpoint: str) -> dict[str, Any] | None:
-    """A process's own word; None if it gives none that can be read."""
+    """Return the status of a process; None if it sends no valid one."""
     answer = asking.call_once(
         endpoint, "GET", "/api/status", timeout_s=RESPONSE_TIMEOUT_S, max_bytes=MAX_STATUS_BYTES
     )
     for _ in range(MAX_RETRIES):
         if answer is None or answer.status != 429:
             break
-        time.sleep(RETRY_DELAY_S)  # others ask too
+        time.sleep(RETRY_DELAY_S)  # other clients share the rate limit
         answer = asking.call_once(
             endpoint, "GET", "/api/status", timeout_s=RESPONSE_TIMEOUT_S, max_bytes=MAX_STATUS_BYTES
         )
@@ -114,7 +114,7 @@
 
 
 def _differences(fleet: dict[str, Any]) -> list[str]:
-    """What an operator should look at, one line each."""
+    """Return what an operator should look at, one line each."""
     lines = []
     if not fleet["leader"]:
         lines.append("nobody leads, as far as anybody who answers knows")
@@ -162,7 +162,7 @@
 
 
 def summary(fleet: dict[str, Any]) -> str:
-    """Who leads, what is in force, and how many answer."""
+    """Return the primary, the configuration version and the count of processes that answer, as one line."""
     answering = [r for r in fleet["control"] if r["answer"]], [r for r in fleet["balancers"] if r["answer"]]
     counts = f"{len(answering[0])} of {len(fleet['control'])} control processes"
     if fleet["balancers_asked"]:
@@ -173,7 +173,7 @@
 
 
 def format_lines(fleet: dict[str, Any]) -> list[str]:
-    """The same for people."""
+    """Return the state of the fleet as lines of text."""
     control, balancers, parts = (table(head, rows) for head, rows in build_tables(fleet))
     note = [] if fleet["balancers_asked"] else [NOT_QUERIED]
     lines = [summary(fleet), "", *control, "", *balancers, *note, "", *parts]
@@ -212,7 +212,7 @@
 
 
 def build_tables(fleet: dict[str, Any]) -> list[Table]:
-    """Control processes, balancers, and upstreams by part; `!` marks who differs."""
+    """Return tables of control processes, balancers and upstreams; `!` marks processes that differ."""
     differing = {line.partition(":")[0] for line in fleet["differs"]}
     control = [
         [
--- a/mastturnd/hosting.py
+++ b/mastturnd/hosting.py
@@ -1,4 +1,4 @@
-"""Hosts a role of the program: its event loop, signals, the log, and settings that change."""
+"""Hosts a role of the program: event loop, signals, logging and reloading of settings."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from mastturnd import logs
 from mastturnd.roles import BALANCER
 
-SETTINGS_POLL_S = 2.0  # the settings file may change without a signal
+SETTINGS_POLL_S = 2.0  # the settings file is also polled, as it may change without a signal
 
 
 class Role(Protocol):
-    """What every role of the program does."""
+    """Interface of every role of the program."""
 
     async def start(self) -> None:
-        """Take up work."""
+        """Start serving."""
 
     async def stop(self) -> None:
-        """End in order."""
+        """Shut down gracefully."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Apply changed settings."""
 
 
 def make_role(name: str, settings: Settings, listener: socket.socket | None) -> Role:
-    """The role of that name; nothing of another is imported. `listener`: at which clients wait already."""
+    """Create the named role without importing another; `listener`: the client socket already bound."""
     if name == BALANCER:
         from mastturnd.balancing import BalancerRole
 
@@ -51,7 +51,7 @@
 
 
 async def serve(name: str, settings: Settings, listener: socket.socket | None = None) -> None:
-    """Run a role until the process is told to end."""
+    """Run a role until the process receives SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop_requested, reload_requested = asyncio.Event(), asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
@@ -90,7 +90,7 @@
 
 
 def run(name: str, settings: Settings, log_level: str, listener: socket.socket | None) -> None:
-    """Run a role on a loop of its own; raises FleetError, or OSError where an address can't be had."""
+    """Run a role on its own event loop; raises FleetError, or OSError if an address is not available."""
     logs.set_level(log_level)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(name, settings, listener))
--- a/mastturnd/judged.py
+++ b/mastturnd/judged.py
@@ -1,17 +1,17 @@
-"""Which upstreams the balancers doubt, out of what each of them tells of its own."""
+"""Summarizes which upstreams the balancers report as silent, distrusted or on probation."""
 
 from __future__ import annotations
 
 from typing import Any
 
 CONDITIONS = ("distrusted", "wary", "silent")
-Counts = dict[str, int]  # balancers by word, and the most failures that one of them knows of
+Counts = dict[str, int]  # count of balancers by condition, and the highest failure count of one of them
 
 
 def gather(balancers: list[dict[str, Any]]) -> dict[str, Counts]:
-    """By upstream: how many balancers call it silent, distrust it or are wary of it, and failures they know.
+    """Return, by upstream, how many balancers report each condition, and the highest failure count.
 
-    Others' words: what is not of the form that this release tells is passed over.
+    Entries that do not have the form of this release are skipped: they may come from any program.
     """
     summary: dict[str, Counts] = {}
     for row in balancers:
@@ -33,7 +33,7 @@
 
 
 def format_lines(summary: dict[str, Counts]) -> list[str]:
-    """The same for people, a line for each upstream."""
+    """Return one line of text for each upstream."""
     lines = []
     for name, counts in summary.items():
         conditions = ", ".join(
--- a/mastturnd/load_exchange.py
+++ b/mastturnd/load_exchange.py
@@ -1,4 +1,4 @@
-"""What a balancer says of its load and hears of the others', and what it passes on to those below it."""
+"""Exchanges load sums: a balancer's own load, its peers' loads, and what it relays to its followers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LoadExchange:
-    """One balancer's part in the sums of load: as steps, or whole with those of an earlier edition."""
+    """One balancer's part in the load sums: sent as steps, or complete to peers of an earlier edition."""
 
     def __init__(
         self,
@@ -25,32 +25,31 @@
         feed: Feed,
         follower: Callable[[], Follower],
     ) -> None:
-        """`own`: our own load; `follower`: whoever tells us the news is spoken to by it."""
+        """`local_loads`: the load of this balancer; `follower`: the follower that reports to its parent."""
         self._local_loads, self._latest, self._feed, self._follower = local_loads, latest, feed, follower
         self.peer_loads = PeerLoads()
         self.sum = LoadSum(self._own_load, self._report, self._step, self._needs_full_report)
         self._reported: Loads = {}
-        self._number = 0  # of the last step that we have reported
-        self._full_loads_timer: asyncio.TimerHandle | None = (
-            None  # to tell those of an earlier edition below us
-        )
+        self._number = 0  # of the last step reported
+        # Pending broadcast to followers of an earlier edition.
+        self._full_loads_timer: asyncio.TimerHandle | None = None
         self._full_loads_interval_s = REPORT_INTERVAL_S
 
-    # ---- up
+    # ---- reports to the parent
 
     def on_child_report(self, link: Link, message: LoadReport | LoadReportStep) -> None:
-        """The load of a child and those below it."""
+        """Handle the load of a child and the balancers below it."""
         if isinstance(message, LoadReport):
             self.sum.report(link, message)
         elif not self.sum.report_step(link, message):
-            link.close()  # it comes back, and tells all
+            link.close()  # it reconnects and sends a full report
 
     def _own_load(self) -> Loads:
         self._reported = self._local_loads()
         return self._reported
 
     def _needs_full_report(self) -> bool:
-        """Whoever tells us the news takes no steps, as far as we know."""
+        """Return whether the parent is not known to accept steps."""
         return not self._follower().takes_steps()
 
     def _report(self, loads: tuple[UpstreamLoad, ...]) -> None:
@@ -61,10 +60,10 @@
             base, self._number = 0 if whole else self._number, self._number + 1
             self._follower().send(LoadReportStep(self._number, base, *figures))
 
-    # ---- down
+    # ---- updates to the followers
 
     def on_update(self, message: LoadNews | LoadStep, before: Any) -> None:
-        """The sums, whole or a step; `before`: what a step has changed, as it was."""
+        """Apply new sums, complete or as a step; `before`: the previous values of what a step has changed."""
         self._feed.broadcast(message)
         if isinstance(message, LoadNews):
             self.peer_loads.take(message, self._reported)
@@ -76,7 +75,7 @@
             )
 
     def _broadcast_full_loads(self) -> None:
-        """To those of an earlier edition that hear the sums from us, as often as they always did."""
+        """Send complete sums to followers of an earlier edition, at the interval they expect."""
         self._full_loads_timer = None
         news = self._latest.full_loads()
         if news is not None:
--- a/mastturnd/logs.py
+++ b/mastturnd/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one line of key=value pairs an event, on standard error; the level may change while running."""
+"""Logging: one line of key=value pairs per event on standard error; the level may change at run time."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 LINE_FORMAT = "time={time:HH:mm:ss.SSS} level={level} module={name} {message}"
 
 
-_current_level = ["INFO"]  # the level that lines are written from
+_current_level = ["INFO"]  # lowest level that is written; a list, so that functions can assign it
 
 
 def is_debug() -> bool:
-    """Whether lines of every step are asked for."""
+    """Return whether the level is DEBUG."""
     return _current_level[0] == "DEBUG"
 
 
 def set_level(level: str) -> None:
-    """Write lines of this level and above, and no others."""
+    """Write lines of this level and above only."""
     _current_level[0] = level
     logger.remove()
     logger.add(sys.stderr, format=LINE_FORMAT, level=level, backtrace=False, diagnose=False)
 
 
 class LogLevel:
-    """The level of one role: what the settings file says of it, or what the command line said."""
+    """The log level of one role: from the settings file, else from the command line."""
 
     def __init__(self, role: str) -> None:
-        """The level of before holds while the settings name none."""
+        """The current level becomes the default, used while the settings name none."""
         self._role, self._default = role, _current_level[0]
 
     def apply(self, levels_by_role: Mapping[str, str]) -> bool:
-        """Take the level over that the settings name by role; whether it has changed.
+        """Apply the level that the settings name for this role; returns whether it has changed.
 
-        One that is no level is said in the log, and changes nothing.
+        An invalid level is logged and changes nothing.
         """
         levels = {current_name(role): level for role, level in levels_by_role.items()}
         level = levels.get(self._role, self._default).upper()
--- a/mastturnd/present.py
+++ b/mastturnd/present.py
@@ -1,7 +1,7 @@
-"""Who is present, as the primary says it: asked again while what it says may still change by itself.
+"""Waits for the primary's list of present balancers while that list may still change by itself.
 
-Its word trails the balancers' own: after a start or a take-over one that serves is named a moment later, and
-while one primary follows another nobody names anybody.
+The list lags behind the balancers: after a start or a change of primary, a serving balancer appears a moment
+later, and without a primary no balancer is listed.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from mastturnd import fleet_status
 from mastturnd.wrong import NoAnswerError
 
-WAIT_SHARE = 1 / 3  # of the whole time: one primary's word that doesn't suit is asked for again for so long
-RETRY_DELAY_S = 0.4  # a process answers eight times a second, to all who ask
+WAIT_SHARE = 1 / 3  # share of the time for which one primary's insufficient list is polled
+RETRY_DELAY_S = 0.4  # a process answers eight status requests a second in total
 Balancers = list[dict[str, Any]]  # each with `node`, `ip` and `zone`
 
 
 def wait_for_balancers(
     ctl: list[str], within_s: float, is_sufficient: Callable[[Balancers], bool]
 ) -> Balancers:
-    """Those that the primary names, once they suit; else those of its last word, after a part of `within_s`.
+    """Return the balancers that the primary lists, as soon as they are sufficient; else its last list.
 
-    A new primary has that part anew, and one that names nobody at all has the whole: a fleet without any is
-    rarer than one that looks for its primary. Raises NoAnswerError where nobody leads, or nobody answers,
-    within the whole of it (s).
+    The wait for one primary ends after WAIT_SHARE of `within_s`, and starts again with each new primary. A
+    primary that lists no balancer gets all of `within_s`: a fleet without balancers is rarer than one between
+    two primaries. Raises NoAnswerError if there is no primary, or no answer, within `within_s` seconds.
     """
     started = since = time.monotonic()
     epoch = -1
@@ -45,16 +45,16 @@
                 return named
         elif now - started >= within_s:
             raise error or NoAnswerError(
-                f"nobody leads within {within_s:g} s, so who is present can't be known",
+                f"nobody leads within {within_s:g} s, so the present balancers are not known",
                 "see that a majority of the control processes runs",
             )
         time.sleep(RETRY_DELAY_S)
 
 
 def wait_for_fleet(ctl: list[str], readyz_port: int | None, within_s: float) -> dict[str, Any]:
-    """All that `fleet_status.gather` finds, once who leads knows who is present.
+    """Return the result of `fleet_status.gather` once the primary knows which balancers are present.
 
-    After a part of `within_s` (s) the last look counts; raises NoAnswerError where nobody answers then.
+    After WAIT_SHARE of `within_s` (seconds) the last result counts; raises NoAnswerError if there is none.
     """
     until = time.monotonic() + within_s * WAIT_SHARE
     while True:
@@ -70,5 +70,5 @@
 
 
 def contains_node(node: str) -> Callable[[Balancers], bool]:
-    """Whether a balancer is among them."""
+    """Return a predicate: whether a balancer is in a list."""
     return lambda found: any(b["node"] == node for b in found)
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -1,7 +1,7 @@
-"""The control role on a machine without a disk: it keeps nothing, and leads callers on to who leads.
+"""The control role on a machine without a disk: stores nothing and redirects callers to the primary.
 
-A deploy file may place the role on a class of machines of which only some have disks. One without a disk can
-be no member, as it could keep no promise. It asks the members who leads when somebody wants to know.
+A deploy file may place the role on a class of machines of which only some have disks. A process without a
+disk can't be a member, as it could not keep a promise; it queries the members for the primary on demand.
 """
 
 from __future__ import annotations
@@ -32,17 +32,16 @@
 from transport.tasks import run_forever
 from transport.wire import Link, MessageKinds
 
-QUERY_INTERVAL_S = 0.25  # the members are asked no sooner after the last time
-MEMBER_TIMEOUT_S = 1.5  # a leader that was heard within this is there
-REFRESH_INTERVAL_S = (
-    5.0  # the members are asked so often while nobody wants to know: whom to ask is in memory alone
-)
+QUERY_INTERVAL_S = 0.25  # minimum interval between two queries of the members
+MEMBER_TIMEOUT_S = 1.5  # a member that answered within this counts as reachable
+REFRESH_INTERVAL_S = 5.0  # the members are queried at least this often, as their addresses are in memory only
 KINDS = MessageKinds().include(messages.KINDS).include(news.KINDS).include(tallies.KINDS)
-REFERRAL_ROUTES = Routes().include(OPERATOR_ROUTES)  # operators' calls find no primary here, and are led on
+# Operators' calls are redirected: this process is never the primary.
+REFERRAL_ROUTES = Routes().include(OPERATOR_ROUTES)
 
 
 class ReferralNode:
-    """Answers at `ctl`, and balancers and newcomers that have it for a seed, with where to go."""
+    """Redirects operators' calls at `ctl`, and balancers and newcomers that use it as a seed."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -51,38 +50,38 @@
         own = Endpoint(settings.ip, settings.control_port)
         self._links = Links(KINDS, own, self._on_message, lambda link: None, peers_share_port=False)
         self._calls = HttpServer(REFERRAL_ROUTES, self)
-        self._view: View | None = None  # the latest that a member has told
-        self._answered_at: dict[str, float] = {}  # by member's identity: when it answered last
-        self._newcomer_ips: set[str] = set()  # IPs of newcomers, where all seeds are as we are
+        self._view: View | None = None  # the latest received from a member
+        self._answered_at: dict[str, float] = {}  # time of the last answer by member identity
+        self._newcomer_ips: set[str] = set()  # IPs of newcomers, needed if all seeds are without a disk
         self._queried_at = -1e9
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen; raises OSError where an address can't be had."""
+        """Start listening; raises OSError if an address is not available."""
         await self._links.start()
         if self.settings.listen.ctl:
             await self._calls.start(parse_address(self.settings.listen.ctl))
         self._task = asyncio.get_running_loop().create_task(run_forever(self._refresh_members))
 
     async def stop(self) -> None:
-        """Close everything: nothing rests on us."""
+        """Close all connections; there is no state to save."""
         if self._task is not None:
             self._task.cancel()
         self._calls.stop()
         self._links.stop()
 
     def reconfigure(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Apply changed settings."""
         self.settings = settings
 
-    # ---- what operators' calls need
+    # ---- interface of the operators' calls
 
     def is_leader(self) -> bool:
-        """Whether we are the primary: never."""
+        """Return whether this process is the primary: never."""
         return False
 
     def leader(self) -> Member | None:
-        """The primary, if it has answered a moment ago; else the members are asked."""
+        """Return the primary if it has answered recently; else None, and the members are queried."""
         view, now = self._view, asyncio.get_running_loop().time()
         if view is not None and now - self._answered_at.get(view.leader().identity, -1e9) <= MEMBER_TIMEOUT_S:
             return view.leader()
@@ -90,7 +89,7 @@
         return None
 
     def member_in_reach(self) -> Member | None:
-        """A member that has answered a moment ago, one of our zone first; without one they are asked."""
+        """Return a member that answered recently, preferably of this zone; else query the members."""
         now = asyncio.get_running_loop().time()
         members = self._view.members if self._view is not None else ()
         reachable = [
@@ -103,17 +102,17 @@
         return min(reachable, key=lambda member: member.zone != self.settings.zone, default=None)
 
     async def submit(self, command: Command) -> Outcome:
-        """No command is carried out here."""
+        """Commands are not executed here."""
         raise NotImplementedError("a process without a disk leads nothing")
 
     def next_token(self) -> int:
-        """A number for a command that is not carried out here."""
+        """Return a command number; no command is executed here."""
         return 0
 
     # ---- the members
 
     async def _refresh_members(self) -> None:
-        """Know the members before somebody asks: the seeds that could tell may be others by then."""
+        """Keep the members known: by the time of a request, the seeds that know them may have changed."""
         while True:
             now = asyncio.get_running_loop().time()
             if now - max(self._answered_at.values(), default=-1e9) >= REFRESH_INTERVAL_S:
@@ -167,14 +166,16 @@
 
 
 async def _redirect(find: Callable[[], Member | None], request: Request) -> Response:
-    """Where the call is answered; a member that answers it is waited for a little."""
+    """Redirect a call to the member that answers it, waiting briefly until one is known."""
     loop = asyncio.get_running_loop()
     until = loop.time() + DECISION_TIMEOUT_S
     while loop.time() < until:
         if (member := find()) is not None:
-            return json_response(307, "another answers this", Location=f"http://{member.ctl}{request.path}")
+            return json_response(
+                307, "another process answers this", Location=f"http://{member.ctl}{request.path}"
+            )
         await asyncio.sleep(POLL_INTERVAL_S)
-    return json_response(503, "nobody who answers this at the moment; ask again", Retry_After="0.2")
+    return json_response(503, "no process answers this at the moment; retry", Retry_After="0.2")
 
 
 async def _redirect_to_leader(node: ReferralNode, request: Request) -> Response:
@@ -182,7 +183,7 @@
 
 
 async def _redirect_to_member(node: ReferralNode, request: Request) -> Response:
-    """Every member answers for tallies, also on a side of a cut where nobody leads."""
+    """Redirect to any member: all answer for tallies, also on a side of a partition without a primary."""
     return await _redirect(node.member_in_reach, request)
 
 
--- a/mastturnd/referral_figures.py
+++ b/mastturnd/referral_figures.py
@@ -1,4 +1,4 @@
-"""What a control process without a disk tells a collector of figures."""
+"""Metrics of a control process without a disk."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def metrics(node: ReferralNode) -> list[Metric]:
-    """The figures of one such process."""
+    """Return the metrics of such a process."""
     return [
-        gauge("station_led", "1 while a primary is heard of.", node.leader() is not None),
+        gauge("station_led", "1 while a primary is known to be alive.", node.leader() is not None),
         gauge("process_resident_memory_bytes", "Memory in use.", memory_kb() * 1024),
         counter("process_cpu_seconds_total", "Processor time.", processor_s()),
     ]
--- a/mastturnd/reported.py
+++ b/mastturnd/reported.py
@@ -1,4 +1,4 @@
-"""What reports read off a balancer's role."""
+"""Interface through which reports read a balancer's role."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class ReportedRole(Protocol):
-    """A balancer's role, as its reports see it; they change nothing."""
+    """A balancer's role as reports see it; they only read."""
 
     @property
     def settings(self) -> Settings:
-        """Of this process."""
+        """The settings of this process."""
 
     @property
     def balancer(self) -> Balancer:
         """The data plane."""
 
     def report_state(self) -> dict[str, Any]:
-        """Where the news come from, and who is below."""
+        """Return the control state and the link to the parent and followers."""
--- a/mastturnd/role_flags.py
+++ b/mastturnd/role_flags.py
@@ -1,4 +1,4 @@
-"""The flags of a role's command line; loaded only where there are any, as a process starts often."""
+"""Command-line flags of a role; imported only if there are any, to keep the start fast."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def parse(argv: list[str]) -> tuple[list[str], str]:
-    """The words beside the flags, and the level of the log; raises UsageError."""
+    """Return the positional arguments and the log level; raises UsageError."""
     try:
         rest: list[str] = FLAGS(argv)[1:]
     except flags.Error as error:
--- a/mastturnd/roles.py
+++ b/mastturnd/roles.py
@@ -1,4 +1,4 @@
-"""Names of the program's roles, and those that earlier releases used for them."""
+"""Names of the program's roles, and their former names."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def current_name(name: str) -> str:
-    """The name of a role today, whatever release named it."""
+    """Return the current name of a role, whichever release named it."""
     return FORMER_NAMES.get(name, name)
--- a/mastturnd/salvage.py
+++ b/mastturnd/salvage.py
@@ -1,6 +1,6 @@
-"""What the disk of a control process holds, read without the process: for when a majority will not come back.
+"""Reads the data directory of a stopped control process, for recovery after the loss of a majority.
 
-The folder is copied first and only the copy is read, so nothing on the disk changes.
+The directory is copied first and only the copy is read, so that the disk stays unchanged.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SalvagedState:
-    """The newest that a disk knows; `holds`: whether its process had to keep the configuration."""
+    """The newest state on a disk; `holds`: whether its process was a holder of the configuration."""
 
     ver: int
     body: bytes
     epoch: int
     holds: bool
-    holders: tuple[str, ...]  # nodes that had to keep it in that epoch
+    holders: tuple[str, ...]  # nodes that hold the configuration in that epoch
 
 
 def read(folder: str) -> SalvagedState:
--- a/mastturnd/tables.py
+++ b/mastturnd/tables.py
@@ -1,4 +1,4 @@
-"""Tables in plain text: the same columns in a terminal, a file and a pipe; nothing is cut off."""
+"""Plain-text tables, the same in a terminal, a file and a pipe; nothing is truncated."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
-    """Lines with every column as wide as its widest cell; an empty cell shows as `-`. Numbers stand right."""
+    """Return lines with aligned columns; an empty cell is shown as `-`, numbers are right-aligned."""
     cells = [[format_cell(value) for value in row] for row in rows]
     widths = [max(len(row[i]) for row in [list(headers), *cells]) for i in range(len(headers))]
     right_aligned = [bool(cells) and all(is_number(row[i]) for row in cells) for i in range(len(headers))]
@@ -23,12 +23,12 @@
 
 
 def format_cell(value: object) -> str:
-    """One cell."""
+    """Return the text of a cell."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     return "-" if value is None or value == "" else str(value)
 
 
 def is_number(cell: str) -> bool:
-    """Whether a cell stands right: a number, or empty."""
+    """Return whether a cell is right-aligned: a number, or empty."""
     return cell == "-" or cell.rstrip("!%").replace(".", "", 1).isdigit()
--- a/mastturnd/tap.py
+++ b/mastturnd/tap.py
@@ -1,6 +1,7 @@
-"""Hears every step of each request of one balancer, while it is laid on; without it nothing is paid for it.
+"""Emits an event for every step of each request of one balancer, while a listener is subscribed.
 
-It takes the place of a few methods of that one balancer's parts, and gives them back when it is removed.
+It replaces a few methods on that balancer's parts and restores them afterwards, so that there is no cost
+without a listener.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def subscribe(balancer: Balancer, listener: EventListener) -> Callable[[], None]:
-    """From now on `hear` is told the name of each event and its fields, in order; the result ends that."""
+    """Call `listener` with the name and fields of each event; returns a function that unsubscribes."""
     tap: Tap | None = balancer.__dict__.get(_KEY)
     if tap is None:
         tap = balancer.__dict__[_KEY] = Tap(balancer)
@@ -40,12 +41,12 @@
 
 
 class Tap:
-    """What is laid on one balancer; `hearers` are told of each event."""
+    """The method wrappers of one balancer, which notify `listeners`."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.listeners: list[EventListener] = []
-        self._open_requests: dict[int, str] = {}  # requests that are open
-        self._current = ""  # the request that is being taken up
+        self._open_requests: dict[int, str] = {}  # request id by number
+        self._current = ""  # id of the request being taken up
         self._wrapped: list[tuple[Any, str]] = []
         tiers = balancer.tiers
         self._wrap(balancer, "take_up", self._wrap_take_up(balancer.take_up))
@@ -54,7 +55,7 @@
         self._wrap(balancer.upstreams, "send", self._wrap_send(balancer.upstreams.send))
 
     def remove(self) -> None:
-        """All is as it was."""
+        """Restore the original methods."""
         while self._wrapped:
             owner, name = self._wrapped.pop()
             del owner.__dict__[name]
@@ -76,7 +77,7 @@
                 number: int = original(call, remaining, *rest)
             finally:
                 name, self._current = self._current, ""
-            if name:  # it has not ended on the way
+            if name:  # the request did not end during the call
                 self._open_requests[number] = name
             return number
 
@@ -139,13 +140,13 @@
 
 
 class StepLog:
-    """Writes each step as a line of the log, at level DEBUG."""
+    """Logs each step at level DEBUG."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._stop = subscribe(balancer, self._emit)
 
     def remove(self) -> None:
-        """No more lines."""
+        """Stop logging."""
         self._stop()
 
     def _emit(self, event: str, fields: dict[str, Any]) -> None:
--- a/mastturnd/tracing.py
+++ b/mastturnd/tracing.py
@@ -1,4 +1,4 @@
-"""One request's lines out of the log files of several processes, in the order in which they were written."""
+"""Collects the log lines of one request from the files of several processes, in order of time."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 _PAIR = re.compile(r"""(\w+)=('(?:[^'\\]|\\.)*'|"(?:[^"\\]|\\.)*"|\S*)""")
 _TIME = re.compile(r"(\d\d):(\d\d):(\d\d\.\d{3})")
 DAY_S, HALF_DAY_S = 86_400.0, 43_200.0
-MAX_LINE_CHARS = 64 * 1024  # characters of one line; what is longer is none of ours
+MAX_LINE_CHARS = 64 * 1024  # characters; longer lines are not log lines of this program
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One line of a log; `at` in seconds from the first midnight of its file."""
+    """One log line; `at` is in seconds from the first midnight of its file."""
 
     at: float
     time: str
@@ -26,17 +26,17 @@
 
     @property
     def name(self) -> str:
-        """Which event it is."""
+        """The name of the event."""
         return self.fields.get("event", "")
 
 
 def parse_pairs(line: str) -> dict[str, str]:
-    """The key=value pairs of a line; quotes round a value are taken off."""
+    """Return the key=value pairs of a line, without surrounding quotes."""
     return {key: value[1:-1] if value[:1] in ("'", '"') else value for key, value in _PAIR.findall(line)}
 
 
 def events(lines: Iterable[str], process: str) -> Iterator[Event]:
-    """The events of one process's log; lines that are none are left out. Midnight may pass in it."""
+    """Yield the events of one process's log; other lines are skipped. The log may pass midnight."""
     day, last = 0.0, 0.0
     for line in lines:
         if len(line) > MAX_LINE_CHARS or not line.startswith("time="):
@@ -53,7 +53,7 @@
 
 
 def trace(request: str, names: list[str]) -> list[Event]:
-    """The events that name a request; a process is called as its file. Raises UsageError."""
+    """Return the events of a request; a process is named after its file. Raises UsageError."""
     found: list[Event] = []
     for name in names:
         try:
--- a/mastturnd/version.py
+++ b/mastturnd/version.py
@@ -1,4 +1,4 @@
-"""Which program this is: a digest of its sources, so that an operator sees where processes differ."""
+"""Identifies the running program by a digest of its sources, so that differing processes can be found."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @functools.cache
 def program_digest() -> str:
-    """Eight hex digits over all modules, as they lie there when it is first asked for."""
+    """Return eight hex digits over all source files, as found when first called."""
     root, found = Path(__file__).parent.parent, hashlib.blake2b(digest_size=4)
     for package in PACKAGES:
         for path in sorted((root / package).glob("*.py")):
@@ -31,7 +31,7 @@
 
 
 def memory_kb() -> int:
-    """What this process has in memory now, in kB; 0 where the system does not say."""
+    """Return the resident memory of this process in kB; 0 if the system does not report it."""
     try:
         pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
     except (OSError, ValueError, IndexError):
@@ -40,6 +40,6 @@
 
 
 def processor_s() -> float:
-    """Processor time that this process has used, in seconds."""
+    """Return the processor time that this process has used, in seconds."""
     times = os.times()
     return round(times.user + times.system, 3)
--- a/mastturnd/wrong.py
+++ b/mastturnd/wrong.py
@@ -1,4 +1,4 @@
-"""What an operator's command can end with other than done, as typed errors; each names the remedy."""
+"""Errors of the operators' commands, each with a remedy and an exit code."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class UsageError(FleetError):
-    """The command can't be understood, or names what is not there."""
+    """The command line is invalid or names something that does not exist."""
 
     code = USAGE_ERROR
 
 
 class CommandFailedError(FleetError):
-    """It was understood, and is not done."""
+    """The command is valid but could not be completed."""
 
     code = FAILED
 
 
 class NoAnswerError(CommandFailedError):
-    """Nobody who could tell gives an answer."""
+    """No process gave a conclusive answer."""
 
 
 class RequestRefusedError(CommandFailedError):
-    """The control state says no."""
+    """A control process refused the request."""
 
     def __init__(self, wrong: str, remedy: str, status: int) -> None:
         super().__init__(wrong, remedy)
--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -1,4 +1,7 @@
-"""What a balancer tells at the address of its readiness, its steps in the log, and what strangers get."""
+"""The calls on a balancer's readiness address, the logged steps of a request, and rate limits.
+
+Guards against calls that change a choice, leave method wrappers behind, or block readiness.
+"""
 
 from __future__ import annotations
 
@@ -29,14 +32,14 @@
 
 
 @pytest.fixture(autouse=True)
-def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
+def _reset_rate_limiters(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         balancer_calls, "_RATE_LIMITERS", {target: RateLimiter() for target in balancer_calls._RATE_LIMITERS}
     )
 
 
 def settings() -> Settings:
-    # An address of our own: nobody else's connections take its ports.
+    # A separate loopback address, so that no other connection uses its ports.
     ip = f"127.{random.randrange(1, 250)}.{random.randrange(250)}.{random.randrange(1, 250)}"
     return parse(
         json.dumps(
@@ -56,7 +59,7 @@
 
 
 @asynccontextmanager
-async def balancer() -> AsyncIterator[BalancerRole]:
+async def started_balancer() -> AsyncIterator[BalancerRole]:
     role = BalancerRole(settings())
     await role.start()
     try:
@@ -73,8 +76,8 @@
     return host, int(port)
 
 
-async def say(role: BalancerRole, raw: bytes) -> bytes:
-    """All that comes back until the connection ends."""
+async def send_raw(role: BalancerRole, raw: bytes) -> bytes:
+    """Send bytes and return everything received until the connection ends."""
     reader, writer = await asyncio.open_connection(*address(role))
     writer.write(raw)
     try:
@@ -86,13 +89,13 @@
 
 
 async def get(role: BalancerRole, target: str) -> tuple[int, Any]:
-    raw = await say(role, f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    raw = await send_raw(role, f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     head, _, body = raw.partition(b"\r\n\r\n")
     is_json = b"application/json" in head
     return int(head.split(b" ")[1]), json.loads(body) if is_json else body.decode()
 
 
-def equip(role: BalancerRole, **changes: Any) -> None:
+def apply_state(role: BalancerRole, **changes: Any) -> None:
     entry = {"id": "u-1", "svc": "pool", "addr": "127.0.0.1:9", "phase": "decode", "state": "up"}
     for news in (
         ConfigurationNews(5, document(5, **changes)),
@@ -104,10 +107,10 @@
 
 def test_a_balancer_tells_what_it_serves() -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             status, told = await get(role, "/api/status")
             assert status == 200 and (told["ready"], told["ver"], told["upstreams"]) == (False, 0, [])
-            equip(role)
+            apply_state(role)
             status, told = await get(role, "/api/status")
             assert (told["role"], told["node"], told["ready"], told["drained"]) == (
                 "balancer",
@@ -131,15 +134,15 @@
 
 def test_a_drained_balancer_says_no_at_readiness_and_serves_on() -> None:
     async def test() -> None:
-        async with balancer() as role:
-            equip(role, drained=["edge-1"])
+        async with started_balancer() as role:
+            apply_state(role, drained=["edge-1"])
             last = b"GET /api/readyz HTTP/1.1\r\nConnection: close\r\n\r\n"
-            assert (await say(role, last)).startswith(b"HTTP/1.1 503 ")
+            assert (await send_raw(role, last)).startswith(b"HTTP/1.1 503 ")
             assert (await get(role, "/api/status"))[1]["drained"]
             news = ConfigurationNews(6, document(6))
             role._latest.store(news)
             role._on_update(news)
-            assert (await say(role, last)).startswith(b"HTTP/1.1 200 ")
+            assert (await send_raw(role, last)).startswith(b"HTTP/1.1 200 ")
 
     run(test())
 
@@ -157,7 +160,7 @@
 )
 def test_whatever_is_no_question_of_ours_is_answered_as_before(raw: bytes) -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             reader, writer = await asyncio.open_connection(*address(role))
             writer.write(raw)
             assert (await reader.readline()).startswith(b"HTTP/1.1 404 ")
@@ -170,7 +173,7 @@
 @pytest.mark.parametrize("query", ["next=21", "next=-1", "next=x", "next=9999999999", "next=%00", "next=1e1"])
 def test_a_bad_question_of_choices_gets_400(query: str) -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             status, told = await get(role, f"/api/explain?{query}")
             assert status == 400 and told["error"].endswith("give one")
 
@@ -179,10 +182,10 @@
 
 def test_a_question_that_never_ends_is_not_held() -> None:
     async def test() -> None:
-        async with balancer() as role:
-            assert await say(role, b"GET /api/status HTTP/1.1\r\nX: " + b"y" * 9000) in (b"", b"reset")
-            # What comes behind a question is not read: it is answered once.
-            raw = await say(role, b"GET /api/status HTTP/1.1\r\n\r\n" * 3)
+        async with started_balancer() as role:
+            assert await send_raw(role, b"GET /api/status HTTP/1.1\r\nX: " + b"y" * 9000) in (b"", b"reset")
+            # Data after the first request is not read: one request is answered per connection.
+            raw = await send_raw(role, b"GET /api/status HTTP/1.1\r\n\r\n" * 3)
             assert raw.count(b"HTTP/1.1 ") == 1
 
     run(test())
@@ -190,12 +193,12 @@
 
 def test_a_stranger_who_asks_all_the_time_is_put_off_and_readiness_is_answered() -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             statuses = [(await get(role, "/api/status"))[0] for _ in range(MAX_REPORTS + 3)]
             assert 200 in statuses and 429 in statuses
             assert (await get(role, "/metrics"))[0] == 200
             last = b"GET /api/readyz HTTP/1.1\r\nConnection: close\r\n\r\n"
-            assert (await say(role, last)).startswith(b"HTTP/1.1 503 ")  # it has no configuration
+            assert (await send_raw(role, last)).startswith(b"HTTP/1.1 503 ")  # it has no configuration
 
     run(test())
 
@@ -226,7 +229,7 @@
     assert events == ["taken", "sent", "answered", "sent", "answered", "finished"]
     assert {fields["request"] for event, fields in heard if event != "drawn"} == {"r7"}
     steps = [(f["step"], f["upstream"], f["outcome"], f["status"]) for e, f in heard if e == "answered"]
-    # The one reader turned it away, so the other reads by itself.
+    # The only prefill upstream refused the request, so the decode upstream runs prefill itself.
     assert steps == [("read", "p1", "turned away", 503), ("run", "d1", "served", 200)]
 
 
@@ -341,7 +344,7 @@
 
 def test_a_running_balancer_logs_steps_while_its_level_is_debug(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             assert "take_up" not in role.balancer.__dict__
             monkeypatch.setattr(logs, "_current_level", ["DEBUG"])
             role.reconfigure(role.settings)
--- a/tests/test_mastturnd_cli_commands.py
+++ b/tests/test_mastturnd_cli_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: what they print, with which exit code, and what a wrong call is told."""
+"""Operators' commands: output, exit codes and error messages."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 Answer = tuple[int, dict[str, str], bytes]
 
 
-class Ctl:
-    """A control process by a script: (method, path, body, headers) -> its answer."""
+class FakeControlServer:
+    """A scripted control process: (method, path, body, headers) -> its answer."""
 
     def __init__(self, script: Callable[[str, str, bytes, dict[str, str]], Answer]) -> None:
         self.calls: list[tuple[str, str, bytes, dict[str, str]]] = []
@@ -70,15 +70,15 @@
     monkeypatch.delenv(settings_file.VARIABLE, raising=False)
 
 
-class Shop:
-    """A control state of one process, with a configuration."""
+class FakeControlState:
+    """The control state of one process, with a configuration."""
 
     def __init__(self, ver: int = 5, **changes: Any) -> None:
         self.body = configuration(ver, **changes)
-        self.unclear = 0  # so many calls are answered with 503 first
+        self.unclear = 0  # number of calls answered with 503 first
         self.taken: list[bytes] = []
-        self.races = 0  # so many times somebody else is first
-        self.ctl = Ctl(self.answer)
+        self.races = 0  # number of concurrent changes that come first
+        self.ctl = FakeControlServer(self.answer)
 
     @property
     def ver(self) -> int:
@@ -107,8 +107,8 @@
 
 
 @pytest.fixture
-def shop() -> Iterator[Shop]:
-    found = Shop()
+def state_server() -> Iterator[FakeControlState]:
+    found = FakeControlState()
     yield found
     found.ctl.close()
 
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "expected"),
     [
         (["status", "now"], "say `status` alone"),
         (["config"], "say `config get|history`"),
@@ -139,12 +139,12 @@
     ],
 )
 def test_a_wrong_call_is_one_line_with_the_remedy_and_2(
-    words: list[str], said: str, capsys: pytest.CaptureFixture[str]
+    words: list[str], expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(*words) == 2
     told = capsys.readouterr()
     assert told.out == "" and told.err.count("\n") == 1
-    assert said in told.err
+    assert expected in told.err
 
 
 def test_help_is_no_error(capsys: pytest.CaptureFixture[str]) -> None:
@@ -178,61 +178,65 @@
     assert run("status", "--ctl=127.0.0.1:1") == 1
 
 
-def test_the_configuration_comes_as_it_was_sent(shop: Shop, capsys: pytest.CaptureFixture[str]) -> None:
-    assert run("config", "get", f"--ctl={shop.ctl.place}") == 0
-    assert capsys.readouterr().out == shop.body.decode() + "\n"
-    assert run("config", "get", f"--ctl={shop.ctl.place}", "--json") == 0
-    assert json.loads(capsys.readouterr().out) == json.loads(shop.body)
-    assert run("config", "history", f"--ctl={shop.ctl.place}") == 0
+def test_the_configuration_comes_as_it_was_sent(
+    state_server: FakeControlState, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert run("config", "get", f"--ctl={state_server.ctl.place}") == 0
+    assert capsys.readouterr().out == state_server.body.decode() + "\n"
+    assert run("config", "get", f"--ctl={state_server.ctl.place}", "--json") == 0
+    assert json.loads(capsys.readouterr().out) == json.loads(state_server.body)
+    assert run("config", "history", f"--ctl={state_server.ctl.place}") == 0
     assert capsys.readouterr().out == "VERSION  DIGEST OF WHAT WAS SENT\n      5  ab\n"
 
 
 def test_a_file_is_put_as_it_is_and_again_until_the_answer_is_clear(
-    shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7))
-    shop.unclear = 2
-    assert run("config", "put", str(path), f"--ctl={shop.ctl.place}") == 0
+    state_server.unclear = 2
+    assert run("config", "put", str(path), f"--ctl={state_server.ctl.place}") == 0
     assert capsys.readouterr().out == "version 7 is taken on top of 5\n"
-    assert shop.taken == [configuration(7)]
+    assert state_server.taken == [configuration(7)]
 
 
-def test_a_redirect_is_followed_with_the_whole_call(shop: Shop, tmp_path: Path) -> None:
+def test_a_redirect_is_followed_with_the_whole_call(state_server: FakeControlState, tmp_path: Path) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7))
-    other = Ctl(lambda m, p, b, h: (307, {"Location": f"http://{shop.ctl.place}{p}"}, b"{}"))
+    other = FakeControlServer(
+        lambda m, p, b, h: (307, {"Location": f"http://{state_server.ctl.place}{p}"}, b"{}")
+    )
     try:
         assert run("config", "put", str(path), f"--ctl={other.place}") == 0
     finally:
         other.close()
-    assert shop.taken == [configuration(7)]
-    assert shop.ctl.calls[-1][3]["if-match"] == "5"
+    assert state_server.taken == [configuration(7)]
+    assert state_server.ctl.calls[-1][3]["if-match"] == "5"
 
 
 def test_a_file_that_builds_on_an_older_version_is_refused_with_the_remedy(
-    shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7))
-    assert run("config", "put", str(path), f"--ctl={shop.ctl.place}", "--base=3") == 1
+    assert run("config", "put", str(path), f"--ctl={state_server.ctl.place}", "--base=3") == 1
     assert "version 5 is in place; look at `config diff`" in capsys.readouterr().err
-    assert not shop.taken
+    assert not state_server.taken
 
 
 def test_a_patch_is_shown_first_and_then_taken(
-    shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path, ctl = tmp_path / "patch.json", f"--ctl={shop.ctl.place}"
-    entry = json.loads(shop.body)["routes"][0] | {"tries": 2}
+    path, ctl = tmp_path / "patch.json", f"--ctl={state_server.ctl.place}"
+    entry = json.loads(state_server.body)["routes"][0] | {"tries": 2}
     path.write_text(json.dumps({"ver": 1, "upsert": {"routes": [entry | {"tries": 7}]}}))
     assert run("config", "patch", str(path), ctl, "--next", "--dry_run") == 3
     told = capsys.readouterr().out
     assert f"+ routes.{entry['name']}.tries: 7" in told and "~ ver: 5 -> 6" in told
-    assert not shop.taken
+    assert not state_server.taken
     assert run("config", "patch", str(path), ctl, "--next") == 0
     assert "version 6 is taken on top of 5" in capsys.readouterr().out
-    assert json.loads(shop.body)["routes"][0]["tries"] == 7 and shop.ver == 6
+    assert json.loads(state_server.body)["routes"][0]["tries"] == 7 and state_server.ver == 6
     assert run("config", "patch", str(path), ctl, "--base=3", "--next") == 1
     path.write_text(json.dumps({"ver": 9, "remove": {"routes": ["nobody"]}}))
     capsys.readouterr()
@@ -240,37 +244,41 @@
     assert capsys.readouterr().err.startswith(f'{path}: there is no "nobody" in routes to remove; name one')
 
 
-def test_a_bad_file_never_leaves(shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_bad_file_never_leaves(
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7, svcs=[]))
     for command in ("check", "put", "diff"):
-        assert run("config", command, str(path), f"--ctl={shop.ctl.place}") == 1
+        assert run("config", command, str(path), f"--ctl={state_server.ctl.place}") == 1
         told = capsys.readouterr().err
         assert told.startswith(f"{path}: ") and "pool" in told and told.count("\n") == 1
     path.write_bytes(configuration(7, drained="edge-1"))
     assert run("config", "check", str(path)) == 1
     assert 'write it as "drained": ["edge-1"]' in capsys.readouterr().err
-    assert not shop.ctl.calls
+    assert not state_server.ctl.calls
 
 
-def test_what_a_file_would_change(shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_what_a_file_would_change(
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "new.json"
-    path.write_bytes(shop.body)
-    assert run("config", "diff", str(path), f"--ctl={shop.ctl.place}") == 0
+    path.write_bytes(state_server.body)
+    assert run("config", "diff", str(path), f"--ctl={state_server.ctl.place}") == 0
     assert "is what is in force, version 5" in capsys.readouterr().out
     more = json.loads(configuration(6))
     more["routes"][0]["tries"] = 3
     more["routes"][0]["deadline_ms"] = 9000
     more["svcs"].append({"name": "spare"})
     path.write_text(json.dumps(more))
-    assert run("config", "diff", str(path), f"--ctl={shop.ctl.place}") == 3
+    assert run("config", "diff", str(path), f"--ctl={state_server.ctl.place}") == 3
     assert capsys.readouterr().out.splitlines() == [
         "~ ver: 5 -> 6",
         "~ routes.r.deadline_ms: 8000 -> 9000",
         "+ routes.r.tries: 3",
         '+ svcs.spare: {"name": "spare"}',
     ]
-    assert run("config", "diff", str(path), f"--ctl={shop.ctl.place}", "--json") == 3
+    assert run("config", "diff", str(path), f"--ctl={state_server.ctl.place}", "--json") == 3
     assert len(json.loads(capsys.readouterr().out)["differs"]) == 4
 
 
@@ -280,26 +288,26 @@
     assert json.loads(sent) == raw and raw["drained"] == ["edge-1"] and raw["ver"] == 7
     assert notes == ["edge-1 stay drained; `undrain` ends that"]
     sent, raw, notes = configuring.prepare_put(configuration(7, drained=[]), "new.json", now, False)
-    assert raw["drained"] == [] and not notes  # it says that there is none
+    assert raw["drained"] == [] and not notes  # an explicit empty list
     sent, raw, notes = configuring.prepare_put(configuration(2, drained=[]), "new.json", now, True)
     assert raw["ver"] == 6 and notes == ["it gets version 6"]
 
 
-def test_a_drain_is_a_version_of_its_own_on_top_of_whoever_was_first(shop: Shop) -> None:
-    shop.races = 1
-    assert configuring.change_drain([shop.ctl.place], "edge-2", True, 5.0) == (7, True)
-    assert json.loads(shop.body)["drained"] == ["edge-2"]
-    assert configuring.change_drain([shop.ctl.place], "edge-2", True, 5.0) == (7, False)
-    assert configuring.change_drain([shop.ctl.place], "edge-1", True, 5.0) == (8, True)
-    assert json.loads(shop.body)["drained"] == ["edge-1", "edge-2"]
-    assert configuring.change_drain([shop.ctl.place], "edge-2", False, 5.0) == (9, True)
-    assert configuring.change_drain([shop.ctl.place], "edge-1", False, 5.0) == (10, True)
-    assert json.loads(shop.body) == json.loads(configuration(10))
+def test_a_drain_is_a_version_of_its_own_on_top_of_whoever_was_first(state_server: FakeControlState) -> None:
+    state_server.races = 1
+    assert configuring.change_drain([state_server.ctl.place], "edge-2", True, 5.0) == (7, True)
+    assert json.loads(state_server.body)["drained"] == ["edge-2"]
+    assert configuring.change_drain([state_server.ctl.place], "edge-2", True, 5.0) == (7, False)
+    assert configuring.change_drain([state_server.ctl.place], "edge-1", True, 5.0) == (8, True)
+    assert json.loads(state_server.body)["drained"] == ["edge-1", "edge-2"]
+    assert configuring.change_drain([state_server.ctl.place], "edge-2", False, 5.0) == (9, True)
+    assert configuring.change_drain([state_server.ctl.place], "edge-1", False, 5.0) == (10, True)
+    assert json.loads(state_server.body) == json.loads(configuration(10))
 
 
 def test_an_answer_that_never_ends_or_is_no_http_is_none() -> None:
     assert asking.call_once("127.0.0.1:1", "GET", "/", timeout_s=0.2) is None
-    loop = Ctl(lambda m, p, b, h: (307, {"Location": f"http://{h['host']}{p}"}, b""))
+    loop = FakeControlServer(lambda m, p, b, h: (307, {"Location": f"http://{h['host']}{p}"}, b""))
     try:
         assert asking._call_following_redirects(loop.place, "GET", "/api/config", None, None) is None
         assert len(loop.calls) == asking.MAX_REDIRECTS + 1
@@ -319,7 +327,7 @@
 
 
 def test_the_chances_of_a_draw_are_those_of_the_rule() -> None:
-    # One of two alike: half each. Twice as capable: drawn twice as often, and always the lower load.
+    # Two equal candidates: half each. Twice the capacity: drawn twice as often, and always the lower load.
     assert explaining.choice_probabilities([0.5, 0.5], [(1.0, -1.0), (1.0, -1.0)], 4) == [0.5, 0.5]
     found = explaining.choice_probabilities([2 / 3, 1 / 3], [(0.5, -2.0), (1.0, -1.0)], 4)
     assert found[0] == pytest.approx(1 - (1 / 3) ** 4) and sum(found) == pytest.approx(1)
@@ -497,7 +505,7 @@
 
 def test_a_process_that_is_asked_too_often_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
     told: list[Answer] = [(429, {}, b"{}"), (200, {}, json.dumps(_balancer("edge-1")).encode())]
-    server = Ctl(lambda m, p, b, h: told.pop(0))
+    server = FakeControlServer(lambda m, p, b, h: told.pop(0))
     monkeypatch.setattr(fleet_status, "RETRY_DELAY_S", 0.0)
     try:
         found = fleet_status.fetch_status(server.place)
@@ -506,7 +514,7 @@
     assert found is not None and found["node"] == "edge-1"
 
 
-# ---- a disk alone
+# ---- salvage from a disk
 
 
 def _disk(folder: Path, holders: tuple[int, ...]) -> None:
@@ -550,7 +558,7 @@
     assert capsys.readouterr().err.endswith("; try the disk of another\n")
 
 
-# ---- nothing of it is loaded by a role
+# ---- a role does not import the commands
 
 
 @pytest.mark.parametrize("module", ["mastturnd.balancing", "control.node"])
--- a/tests/test_mastturnd_cli_fleet.py
+++ b/tests/test_mastturnd_cli_fleet.py
@@ -1,4 +1,4 @@
-"""The small whole fleet for newcomers, real processes on loopback: it starts, serves and leaves nothing."""
+"""The small demonstration fleet of real processes on loopback: start, service and clean shutdown."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from mastturn.smallfleet.play import Play, left
 
 ROOT = Path(__file__).parent.parent
-PATIENCE_S = 60.0  # a hanging fleet fails in the end; no test depends on the figure
+PATIENCE_S = 60.0  # upper bound for a hanging fleet; no test depends on the value
 
 
 def test_the_whole_fleet_serves_answers_operators_and_ends(tmp_path: Path) -> None:
-    """Operators' commands run while it serves, and it ends once they have."""
+    """Operators' commands run while the fleet serves; it shuts down once they have finished."""
     said: list[str] = []
 
     def operate(*words: str) -> subprocess.CompletedProcess[str]:
@@ -40,7 +40,7 @@
         calls = (("status",), ("explain", "edge-a"), ("config", "get"))
         try:
             found = await asyncio.gather(*(asyncio.to_thread(operate, *words) for words in calls))
-            for _ in range(20):  # one that is ready is named a moment later; who is late is marked
+            for _ in range(20):  # a ready balancer is listed a moment later, and marked until then
                 if found[0].returncode != 3 and "3 of 3 balancers" in found[0].stdout:
                     break
                 found[0] = await asyncio.to_thread(operate, "status")
--- a/tests/test_mastturnd_cli_present.py
+++ b/tests/test_mastturnd_cli_present.py
@@ -1,4 +1,7 @@
-"""Commands that name a balancer, while the primary doesn't name it yet or nobody leads for a moment."""
+"""Commands that name a balancer while the primary does not list it yet or there is no primary.
+
+Guards against commands that fail on a list that is about to change, and against waits longer than asked for.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,13 @@
 from mastturnd import asking, fleet_status, present
 from mastturnd.answers import is_status
 from tests.fabric_callers import configuration
-from tests.test_mastturnd_cli_commands import Answer, Ctl, _balancer
+from tests.test_mastturnd_cli_commands import Answer, FakeControlServer, _balancer
 
 NAMES = ("edge-a", "edge-b", "edge-c")
 
 
 class Clock:
-    """Time that goes on only where somebody waits: no test sleeps."""
+    """A fake clock that advances only in sleep()."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -32,18 +35,20 @@
 
 
 class Fleet:
-    """One control process, whose word on who is present is told by a script, and its balancers."""
+    """One control process whose list of balancers is scripted, and its balancers."""
 
     def __init__(self, *words: Any) -> None:
-        self.words = list(words)  # a tuple of names, "nobody leads", or a status; the last one stays
+        self.words = list(
+            words
+        )  # a tuple of names, "nobody leads", or an HTTP status; the last one is repeated
         self.drained: set[str] = set()
         self.body = configuration(5)
-        self.busy = 0  # so many questions of why are answered with 429 first
-        self.asked = 0  # who is present
-        self.epoch = 3  # until a word begins with another
-        self.leads_ms: int | None = None  # a later word's is so much more
-        self.ctl = Ctl(self._control)
-        self.readiness = Ctl(self._balancer)
+        self.busy = 0  # number of explain calls answered with 429 first
+        self.asked = 0  # status calls so far
+        self.epoch = 3  # until a scripted answer begins with another
+        self.leads_ms: int | None = None  # grows with each answer
+        self.ctl = FakeControlServer(self._control)
+        self.readiness = FakeControlServer(self._balancer)
         self.ip, port = self.readiness.place.split(":")
         self.flags = [f"--ctl={self.ctl.place}", f"--readyz_port={port}"]
 
--- a/tests/test_mastturnd_cli_reports.py
+++ b/tests/test_mastturnd_cli_reports.py
@@ -1,4 +1,4 @@
-"""What processes tell of themselves, in a whole fleet on the fabric; drains; a core that is brought back."""
+"""Status reports and metrics of a simulated fleet; drains; recovery of a lost core (docs/RECOVER.md)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-import mastturnd.exposition  # noqa: F401 - on the fabric's clock no thread loads it
+import mastturnd.exposition  # noqa: F401 - no thread can import it under the simulated clock
 from mastturnd import control_calls
 from mastturnd.pace import MAX_REPORTS, RateLimiter
 from tests.fabric_callers import DataPlane, ask, call, configuration, upstream
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
+def _reset_rate_limiters(monkeypatch: pytest.MonkeyPatch) -> None:
     control_calls.register()
     monkeypatch.setattr(control_calls, "_STATUS_LIMITER", RateLimiter())
     monkeypatch.setattr(control_calls, "_METRICS_LIMITER", RateLimiter())
@@ -75,7 +75,7 @@
         await world.wait_served()
         await put(world, 5, 0)
         seen: list[int] = []
-        for _ in range(50):  # all but the first of the zone move below it meanwhile
+        for _ in range(50):  # meanwhile all but the first of the zone attach to that one
             _, told = await get(world, world.primary(), "/api/status")
             seen.append(len(told["present"]))
             await world.wait(0.13)
@@ -125,7 +125,7 @@
         leader = world.primary()
         statuses = [(await get(world, leader, "/api/status"))[0] for _ in range(MAX_REPORTS + 4)]
         assert statuses == [200] * MAX_REPORTS + [429] * 4
-        assert (await get(world, leader, "/metrics"))[0] == 200  # a collector has a share of its own
+        assert (await get(world, leader, "/metrics"))[0] == 200  # metrics have a rate limit of their own
         await put(world, 5, 0)
         await world.wait(1.0)
         assert (await get(world, leader, "/api/status"))[0] == 200
@@ -217,7 +217,7 @@
         _, told = await get(world, left, "/api/status")
         assert (told["standing"], told["ver"], told["led"]) == ("holder", 5, False)
         assert all(allowed(world, m.name) and m.plane.ver == 5 for m in world.edges())
-        # Empty machines in place of the lost ones have no vote, so they can't help it.
+        # Empty replacements of the lost machines have no vote, so there is still no quorum.
         for machine in world.cores():
             if machine.name != left:
                 machine.disk.wipe()
@@ -236,7 +236,7 @@
         await put(world, 5, 0)
         await world.wait_until(lambda: all(m.plane.ver == 5 for m in world.edges()), 2.0)
         lost = world.primary()
-        world.kill(lost)  # so that the old core has come to a later epoch than the new one begins with
+        world.kill(lost)  # so that the old core reaches a later epoch than the first one of the new core
         await world.wait_until(lambda: world.primary() not in ("", lost), 3.0)
         world.boot(lost)
         await world.wait(2.0)
@@ -250,7 +250,7 @@
         await put(world, 5, 0)
         await world.wait(3.0)
         _, told = await get(world, world.primary(), "/api/status")
-        # What they knew was of epoch 2: they say so, and the new core leads in a later one.
+        # The balancers report their epoch 2, so that the new core leads in a later one.
         assert told["ver"] == 5 and told["epoch"] > 2
         assert all(allowed(world, m.name) and m.plane.ver == 5 for m in world.edges())
         assert all(m.role._follower.is_fresh() for m in world.edges())
--- a/tests/test_mastturnd_command.py
+++ b/tests/test_mastturnd_command.py
@@ -1,4 +1,4 @@
-"""The program's command line, its settings while it runs, and one real process from start to end."""
+"""The program's command line, reloading of settings, and one real process from start to end."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _fresh() -> Iterator[None]:
+def _reset_global_state() -> Iterator[None]:
     yield
     flags.FLAGS.unparse_flags()
     logger.remove()
@@ -60,7 +60,7 @@
     return raw | changes
 
 
-def write(tmp_path: Path, raw: dict[str, Any]) -> Path:
+def write_settings(tmp_path: Path, raw: dict[str, Any]) -> Path:
     path = tmp_path / "boot.yaml"
     path.write_text(yaml.safe_dump(raw))
     return path
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("role", "changes", "said"),
+    ("role", "changes", "expected"),
     [
         ("control", {"data_dir": None}, "there is no data_dir; name the folder of this machine's disk"),
         ("control", {"data_dir": "/nowhere/at/all"}, "data_dir is '/nowhere/at/all', which is no folder"),
@@ -119,22 +119,24 @@
 def test_settings_that_a_role_cant_use_are_one_line_and_1(
     role: str,
     changes: dict[str, Any],
-    said: str,
+    expected: str,
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
     tmp_path: Path,
 ) -> None:
-    monkeypatch.setenv(settings_file.VARIABLE, str(write(tmp_path, settings_of(tmp_path, **changes))))
+    monkeypatch.setenv(
+        settings_file.VARIABLE, str(write_settings(tmp_path, settings_of(tmp_path, **changes)))
+    )
     assert mastturnd.main(["mastturnd", role]) == 1
     told = capsys.readouterr().err
-    assert told.startswith(said) and told.count("\n") == 1
+    assert told.startswith(expected) and told.count("\n") == 1
 
 
 def test_an_address_that_is_taken_is_one_line_and_1(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     raw = settings_of(tmp_path)
-    monkeypatch.setenv(settings_file.VARIABLE, str(write(tmp_path, raw)))
+    monkeypatch.setenv(settings_file.VARIABLE, str(write_settings(tmp_path, raw)))
     with socket.create_server(("127.0.0.1", raw["port_range"][0])):
         assert mastturnd.main(["mastturnd", "control"]) == 1
     told = [line for line in capsys.readouterr().err.splitlines() if "level=" not in line]
@@ -146,7 +148,7 @@
 ) -> None:
     port = free_port()
     listen = {"http": f"127.0.0.1:{port}", "readyz": f"127.0.0.1:{free_port()}"}
-    path = write(tmp_path, settings_of(tmp_path, listen=listen))
+    path = write_settings(tmp_path, settings_of(tmp_path, listen=listen))
     monkeypatch.setenv(settings_file.VARIABLE, str(path))
     waiting: list[socket.socket] = []
 
@@ -177,8 +179,8 @@
     assert done.stdout == "[]\n"
 
 
-class Recorder:
-    """A role that only notes what it is told."""
+class RecordingRole:
+    """A role that records its calls."""
 
     def __init__(self) -> None:
         self.settings: list[Settings] = []
@@ -195,29 +197,31 @@
         self.settings.append(settings)
 
 
-Story = Callable[[Loop, Path, Recorder], Awaitable[None]]
+Scenario = Callable[[Loop, Path, RecordingRole], Awaitable[None]]
 
 
-def serve(story: Story, monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> tuple[Recorder, list[str]]:
-    """A story around a process that serves, on the fabric's clock; what its role was told, and its log."""
-    path = write(tmp_path, settings_of(tmp_path))
+def serve(
+    scenario: Scenario, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> tuple[RecordingRole, list[str]]:
+    """Run a scenario around a serving process on the simulated clock; returns the role and the log."""
+    path = write_settings(tmp_path, settings_of(tmp_path))
     monkeypatch.setenv(settings_file.VARIABLE, str(path))
-    role, lines = Recorder(), list[str]()
+    role, lines = RecordingRole(), list[str]()
     monkeypatch.setattr(hosting, "make_role", lambda name, settings, listener: role)
     logger.remove()
     logger.add(lambda line: lines.append(str(line)), format="{message}")
     loop = Loop()
 
-    async def scene() -> None:
+    async def main_task() -> None:
         serving = loop.create_task(hosting.serve("balancer", settings_file.read()))
         await asyncio.sleep(0.1)
-        await story(loop, path, role)
+        await scenario(loop, path, role)
         loop.signals[signal.SIGTERM]()
         async with asyncio.timeout(1):
             await serving
 
     try:
-        loop.run_until_complete(scene())
+        loop.run_until_complete(main_task())
     finally:
         loop.close()
         gc.unfreeze()
@@ -228,22 +232,22 @@
 def test_the_settings_are_read_again_on_sighup_and_without_a_signal(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    async def story(loop: Loop, path: Path, role: Recorder) -> None:
+    async def scenario(loop: Loop, path: Path, role: RecordingRole) -> None:
         raw = yaml.safe_load(path.read_text())
-        write(tmp_path, raw | {"seed_addrs": ["127.0.0.1:9"]})  # no signal
+        write_settings(tmp_path, raw | {"seed_addrs": ["127.0.0.1:9"]})  # no signal
         await asyncio.sleep(2.5)
         assert len(role.settings) == 1
-        path.write_text("{ half a file")  # the last good ones stay
+        path.write_text("{ half a file")  # the last valid settings stay in force
         await asyncio.sleep(5.0)
         assert len(role.settings) == 1
-        write(tmp_path, raw | {"seed_addrs": ["127.0.0.1:8"]})
+        write_settings(tmp_path, raw | {"seed_addrs": ["127.0.0.1:8"]})
         loop.signals[signal.SIGHUP]()
         await asyncio.sleep(0.1)
         assert len(role.settings) == 2
         loop.signals[signal.SIGHUP]()  # nothing has changed
         await asyncio.sleep(0.1)
 
-    role, _ = serve(story, monkeypatch, tmp_path)
+    role, _ = serve(scenario, monkeypatch, tmp_path)
     assert [s.seed_addrs for s in role.settings] == [["127.0.0.1:9"], ["127.0.0.1:8"]]
     assert role.calls == ["start", "reconfigure", "reconfigure", "stop"]
 
@@ -251,14 +255,14 @@
 def test_the_level_of_the_log_follows_the_settings_by_role_while_it_runs(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """From SIGHUP or the next look at the file on; another role's level or a bad one changes nothing."""
-    said: dict[str, list[str]] = {}
+    """From SIGHUP or the next poll of the file on; another role's level or an invalid one changes nothing."""
+    expected: dict[str, list[str]] = {}
 
-    async def story(loop: Loop, path: Path, role: Recorder) -> None:
+    async def scenario(loop: Loop, path: Path, role: RecordingRole) -> None:
         raw = yaml.safe_load(path.read_text())
 
         async def after(name: str, levels: dict[str, str] | None, signals: bool, wait_s: float) -> None:
-            write(tmp_path, raw if levels is None else raw | {"log_levels": levels})
+            write_settings(tmp_path, raw if levels is None else raw | {"log_levels": levels})
             if signals:
                 loop.signals[signal.SIGHUP]()
             await asyncio.sleep(wait_s)
@@ -267,7 +271,7 @@
             logger.info("event=news")
             logger.error("event=fault")
             lines = capsys.readouterr().err.splitlines()
-            said[name] = [line.partition("event=")[2] for line in lines]
+            expected[name] = [line.partition("event=")[2] for line in lines]
 
         await after("of another role", {"control": "DEBUG"}, True, 0.1)
         await after("by a signal", {"balancer": "DEBUG"}, True, 0.1)
@@ -276,9 +280,9 @@
         await after("none any more", None, True, 0.1)
 
     monkeypatch.setattr(logs, "_current_level", ["INFO"])
-    serve(story, monkeypatch, tmp_path)
+    serve(scenario, monkeypatch, tmp_path)
     logger.remove()
-    assert said == {
+    assert expected == {
         "of another role": [],  # the test's own sink is the only one until the level first changes
         "by a signal": ["step", "news", "fault"],
         "without a signal": ["fault"],
@@ -288,11 +292,11 @@
 
 
 def test_a_file_that_stays_unreadable_is_logged_once(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    async def story(loop: Loop, path: Path, role: Recorder) -> None:
+    async def scenario(loop: Loop, path: Path, role: RecordingRole) -> None:
         path.write_text("{ half a file")
         await asyncio.sleep(20.0)
 
-    _, lines = serve(story, monkeypatch, tmp_path)
+    _, lines = serve(scenario, monkeypatch, tmp_path)
     assert sum("event=settings_unread" in line for line in lines) == 1
 
 
@@ -305,8 +309,8 @@
     return found
 
 
-def start(tmp_path: Path, raw: dict[str, Any]) -> subprocess.Popen[str]:
-    environment = os.environ | {settings_file.VARIABLE: str(write(tmp_path, raw))}
+def start_process(tmp_path: Path, raw: dict[str, Any]) -> subprocess.Popen[str]:
+    environment = os.environ | {settings_file.VARIABLE: str(write_settings(tmp_path, raw))}
     return subprocess.Popen(
         [sys.executable, "-m", "mastturnd", "control"],
         cwd=ROOT,
@@ -316,8 +320,8 @@
     )
 
 
-def until_up(process: subprocess.Popen[str]) -> list[str]:
-    """What a process logs until it has started."""
+def wait_started(process: subprocess.Popen[str]) -> list[str]:
+    """Return the log lines of a process until it has started."""
     assert process.stderr is not None
     lines = []
     for line in process.stderr:
@@ -328,22 +332,22 @@
 
 
 def test_a_real_control_process_keeps_what_it_took_over_a_kill(tmp_path: Path) -> None:
-    """uvloop, sockets and a disk, as they are: the one test of this kind that starts a process."""
+    """With real uvloop, sockets and disk: the only test of this kind that starts a process."""
     disk = tmp_path / "disk"
     disk.mkdir()
     raw = settings_of(tmp_path, data_dir=str(disk))
     ctl = int(raw["listen"]["ctl"].rpartition(":")[2])
 
-    first = start(tmp_path, raw)
+    first = start_process(tmp_path, raw)
     try:
-        until_up(first)
+        wait_started(first)
         assert request(ctl, "PUT", configuration(5), If_Match="0")[0] == 200
     finally:
         first.kill()
         first.communicate()
-    second = start(tmp_path, raw | {"bootstrap": False})
+    second = start_process(tmp_path, raw | {"bootstrap": False})
     try:
-        said = until_up(second)
+        expected = wait_started(second)
         assert request(ctl, "GET") == (200, configuration(5))
         assert json.loads(request(ctl, "PUT", configuration(4), If_Match="5")[1])["error"].startswith(
             "version 4"
@@ -354,7 +358,7 @@
         if second.poll() is None:
             second.kill()
     assert second.returncode == 0
-    lines = said + told.splitlines()
+    lines = expected + told.splitlines()
     assert all(line.startswith("time=") and " event=" in line for line in lines), told
     assert "event=stopped" in lines[-1]
 
--- a/tests/test_mastturnd_cut_answers.py
+++ b/tests/test_mastturnd_cut_answers.py
@@ -1,4 +1,4 @@
-"""An operator's call whose answer is cut short has no answer: nothing cut is ever shown as whole."""
+"""A truncated response counts as no answer: an operator's command must not show a part as the whole."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @contextmanager
 def answering(data: bytes, resets: bool) -> Iterator[str]:
-    """A process that answers one call with these bytes and ends its connection."""
+    """A process that answers one call with the given bytes and ends the connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
         def answer() -> None:
--- a/tests/test_mastturnd_dashboard.py
+++ b/tests/test_mastturnd_dashboard.py
@@ -1,4 +1,4 @@
-"""The page for a browser: the exchange over a real connection, and what strangers and hostile answers get."""
+"""The dashboard page: the exchange over a real connection, rate limits, and untrusted status answers."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from tests.fabric_callers import ask, call
 from tests.fabric_world import assert_approved
 from tests.loopback import run
-from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, Ctl, _balancer, _control
+from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, FakeControlServer, _balancer, _control
 from transport.calls import HttpServer, Response
 
 
 class Node:
-    """What the call needs of a control process."""
+    """The part of a control process that the call uses."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -40,20 +40,20 @@
 
 
 @pytest.fixture(autouse=True)
-def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
+def _reset_rate_limiters(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control_calls, "_DASHBOARD_LIMITER", RateLimiter())
 
 
 @pytest.fixture
 def told() -> Iterator[dict[str, Any]]:
-    """A control process on a port of its own, which says this when it is asked for its status."""
+    """A control process on its own port that answers its status with this dictionary."""
     said: dict[str, Any] = {"asked": 0}
 
     def answer(method: str, path: str, body: bytes, headers: dict[str, str]) -> Any:
         said["asked"] += 1
         return 200, {}, json.dumps(said["status"]).encode()
 
-    ctl = Ctl(answer)
+    ctl = FakeControlServer(answer)
     members = [{"slot": 0, "node": "core-1", "ctl": ctl.place, "zone": "a", "silent_ms": 20}]
     said["status"] = _control("core-1", "primary", members=members, ctl=ctl.place, upstreams=UPSTREAMS)
     said["place"] = ctl.place
@@ -62,7 +62,7 @@
 
 
 async def served(owner: Node, times: int = 1) -> list[Any]:
-    """What so many askers at once get from the operators' door."""
+    """Return the responses to concurrent requests for the page."""
     control_calls.register()
     port, server = free_port(), HttpServer(OPERATOR_ROUTES, owner)
     await server.start(("127.0.0.1", port))
--- a/tests/test_mastturnd_figures.py
+++ b/tests/test_mastturnd_figures.py
@@ -1,4 +1,4 @@
-"""The figures of both roles: what each counts, and what it costs before and when somebody asks."""
+"""Metrics of both roles: what each counts, and that the writer is imported on the first request only."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def told(balancer: Balancer, age: float | None = 0.25) -> dict[str, float]:
-    """Its figures by name and labels."""
+    """Return a balancer's metrics by name and labels."""
     state = {"drained": False, "fresh": True, "ver": 5, "epoch": 3, "list_calls": 2, "news_age_s": age}
     role: Any = SimpleNamespace(settings=balancer.settings, balancer=balancer, report_state=lambda: state)
     return read(render(balancer_figures.metrics(role)).decode())
@@ -74,7 +74,7 @@
 
 def test_a_prompt_that_a_second_upstream_reads_counts_as_read_again() -> None:
     async def test() -> None:
-        # Whichever reader is first resets; the other then reads all of it once more.
+        # The first prefill upstream resets; the other then processes the whole prompt again.
         stages = [FakeUpstream("p1", "prefill", reset, prefill), FakeUpstream("d1", "decode", decode)]
         async with running_balancer(*stages) as play:
             assert (await play.ask(headers=SPLIT)).whole
@@ -101,7 +101,7 @@
             assert told(play.balancer)["station_prompt_tokens_total/first"] == 900 + 500
             has = next(
                 s for s in stages[:2] if s.got
-            )  # it leaves: it gets no more, and its memory is there yet
+            )  # it drains: it gets no new requests, but still has its cache
             has.entry = replace(has.entry, state="draining")
             play.list(*stages)
             assert (await play.ask("r3", headers=shared)).whole
--- a/tests/test_shared_machines.py
+++ b/tests/test_shared_machines.py
@@ -1,4 +1,4 @@
-"""Control processes that share their machines with balancers, and those on machines without a disk."""
+"""Control processes on machines shared with balancers, and control processes without a disk."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 ZONES = 3
 
 
-def share(world: World, machines: int = MACHINES) -> None:
-    """Machines that run both roles, dealt out to the zones, and two more balancers."""
+def add_shared_machines(world: World, machines: int = MACHINES) -> None:
+    """Add machines that run both roles, spread over the zones, and two more balancers."""
     for i in range(machines + 2):
         ip, zone = f"10.{i % ZONES + 1}.0.{i // ZONES + 1}", f"hall-{'abc'[i % ZONES]}"
         if i < machines:
@@ -25,13 +25,13 @@
 
 
 def machine_of(world: World, name: str) -> list[str]:
-    """All processes of the machine on which one runs."""
+    """Return all processes on the machine of the given one."""
     ip = world.machines[name].ip
     return [m.name for m in world.machines.values() if m.ip == ip]
 
 
 def test_a_fleet_whose_machines_run_both_roles_serves() -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         await start_fleet(world)
         assert (await world.operator().put(configuration(6), 5)).status == 200
         await wait_in_force(world, 6)
@@ -40,12 +40,12 @@
         world.platform.entries = [upstream("i-1"), upstream("i-2"), upstream("i-3")]
         await world.wait_until(lambda: all(len(m.plane.ids) == 3 for m in world.edges()), 3.0, "the list")
 
-    play(scene, cores=0, faults=2, before=share)
+    play(scenario, cores=0, faults=2, before=add_shared_machines)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_two_such_machines_may_be_lost_with_the_leader_among_them(seed: int) -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         await start_fleet(world)
         first = world.primary()
         second = next(m.name for m in world.cores() if m.name != first)
@@ -55,11 +55,11 @@
         assert (await world.operator("operator", *running).put(configuration(6), 5)).status == 200
         await wait_in_force(world, 6, 4.0)
 
-    play(scene, cores=0, faults=2, seed=seed, before=share)
+    play(scenario, cores=0, faults=2, seed=seed, before=add_shared_machines)
 
 
 def test_a_machine_that_is_stopped_hands_both_of_its_roles_on() -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         await start_fleet(world)
         for name in [m.name for m in world.cores()][:4]:
             for one in machine_of(world, name):
@@ -70,11 +70,11 @@
         assert (await world.operator().put(configuration(6), 5)).status == 200
         await wait_in_force(world, 6)
 
-    play(scene, cores=0, faults=2, before=share)
+    play(scenario, cores=0, faults=2, before=add_shared_machines)
 
 
 def with_diskless(world: World) -> None:
-    """Three members, and two that run the control role without a disk, one of them a seed."""
+    """Three members, and two control processes without a disk, one of them a seed."""
     world.diskless |= {"core-8", "core-9"}
     world.core("core-8", "10.8.0.1", "hall-a")
     world.core("core-9", "10.9.0.1", "hall-b")
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("asked", ["core-8", "core-9"])
 def test_a_control_process_without_a_disk_leads_its_callers_on(asked: str) -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         world.platform.entries = [upstream("i-1")]
         await world.wait_served()
         operator = world.operator("operator", asked)
@@ -97,16 +97,16 @@
         answer = await ask(asked_at(world, asked), call("GET", "/api/status"))
         assert answer is not None and answer.status == 307
 
-    play(scene, edges=2, before=with_diskless)
+    play(scenario, edges=2, before=with_diskless)
 
 
 def asked_at(world: World, name: str) -> tuple[str, int]:
-    """Where a control process is called."""
+    """Return the operator address of a control process."""
     return world.machines[name].ip, CTL_PORT
 
 
 def test_one_without_a_disk_says_503_while_nobody_leads_and_never_takes_anything() -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         await start_fleet(world)
         world.power_off("core-1", "core-2", "core-3")
         await world.wait(2.0)
@@ -117,28 +117,28 @@
         ended = await asyncio.wait_for(world.operator("operator", "core-8").get(), 5.0)
         assert ended.body == configuration(5)
 
-    play(scene, edges=1, before=with_diskless)
+    play(scenario, edges=1, before=with_diskless)
 
 
 def test_newcomers_and_balancers_that_only_know_one_without_a_disk_find_the_fleet() -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         await start_fleet(world)
         world.seeds = [world.machines["core-8"].ctl]
-        await world.operator("operator", "core-8").get()  # it has been asked, so it knows
+        await world.operator("operator", "core-8").get()  # a query makes it learn the members
         late = world.edge("edge-late", "10.1.1.99", "hall-a")
         world.boot("edge-late")
         await world.wait_until(lambda: late.role and late.plane.ver == 5, 5.0, "the late one has the news")
 
-    play(scene, edges=2, before=with_diskless)
+    play(scenario, edges=2, before=with_diskless)
 
 
 def only_diskless_seeds(world: World) -> None:
-    """What machines that start from now on are told."""
+    """Set the seeds of machines that start from now on."""
     world.seeds = [world.machines["core-8"].ctl, world.machines["core-9"].ctl]
 
 
-def turn_seeds_over(world: World) -> None:
-    """The settings of all name other seeds."""
+def replace_seeds(world: World) -> None:
+    """Change the seeds in the settings of all processes."""
     only_diskless_seeds(world)
     for machine in world.machines.values():
         machine.settings = world.settings(machine.name, machine.ip, machine.zone, machine.is_core)
@@ -147,12 +147,15 @@
 
 
 def test_balancers_come_back_to_a_core_that_was_killed_although_all_seeds_keep_nothing() -> None:
-    """A hunt's finding (scale-2 of fc-kitchen-line, seed 716184633799): out of touch for four seconds."""
+    """Guards against diskless seeds that restart while the core is down and then know no member.
 
-    async def scene(world: World) -> None:
+    Found by a random search (scale-2 of fc-kitchen-line, seed 716184633799): balancers out of touch for 4 s.
+    """
+
+    async def scenario(world: World) -> None:
         await start_fleet(world)
-        turn_seeds_over(world)
-        world.kill("core-8", "core-9")  # whom they knew is forgotten
+        replace_seeds(world)
+        world.kill("core-8", "core-9")  # their knowledge of the members is lost
         world.boot("core-8", "core-9")
         await world.wait(0.1)
         world.kill("core-1", "core-2", "core-3")
@@ -161,13 +164,13 @@
         await world.wait_until(lambda: bool(world.primary()), 3.0, "somebody leads again")
         await world.wait_until(lambda: all(m.role._follower.is_fresh() for m in world.edges()), 1.5, "news")
 
-    play(scene, edges=4, before=with_diskless)
+    play(scenario, edges=4, before=with_diskless)
 
 
 def test_a_fleet_that_has_lost_power_finds_its_core_although_all_seeds_keep_nothing() -> None:
-    async def scene(world: World) -> None:
+    async def scenario(world: World) -> None:
         await start_fleet(world)
-        turn_seeds_over(world)
+        replace_seeds(world)
         world.power_off(*world.machines)
         await world.wait(1.0)
         world.boot(*world.machines)
@@ -175,4 +178,4 @@
         await world.wait_served(4.0)
         await wait_in_force(world, 5, 1.0)
 
-    play(scene, edges=4, before=with_diskless)
+    play(scenario, edges=4, before=with_diskless)
