--- a/balancer/answer_log.py
+++ b/balancer/answer_log.py
@@ -8,8 +8,8 @@
 from loguru import logger
 
 from balancer.wire import UpstreamRequest
-from passpost.answer_end import AnswerEnd, Misuse
-from passpost.attempt import Outgoing
+from passpost.answer_end import Misuse, ResponseEnd
+from passpost.attempt import OutgoingRequest
 from passpost.http1 import EndKind, Framing
 
 MAX_UNFRAMED = 4_096  # upstreams remembered as logged for answers without framing
@@ -28,7 +28,7 @@
         self.misuses[misuse] += 1
         logger.info("event=connection_misused upstream={} by={}", upstream, misuse.value)
 
-    def on_ended(self, upstream: str, request: Outgoing, end: AnswerEnd) -> None:
+    def on_ended(self, upstream: str, request: OutgoingRequest, end: ResponseEnd) -> None:
         """Count the end of an answer, or of the wait for one; the balancer's own calls are not counted."""
         if not isinstance(request, UpstreamRequest):
             return
--- a/balancer/wire.py
+++ b/balancer/wire.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from passpost.attempt import Outgoing
-from passpost.http1 import Address, Answer, Headers
+from passpost.attempt import OutgoingRequest
+from passpost.http1 import Address, Headers, Response
 from umberworks.interface import Outcome
 
 SEAL, REQUEST_ID, NOT_RUN = b"mastturn-server-seal", b"mastturn-request-id", b"mastturn-not-run"
@@ -30,12 +30,12 @@
     return content_type is not None and content_type.lower().startswith(_EVENT_STREAM)
 
 
-def is_not_run(answer: Answer) -> bool:
+def is_not_run(answer: Response) -> bool:
     """Return whether the upstream reports that it did not run the request."""
     return answer.status == 421 or header(answer.headers, NOT_RUN) is not None
 
 
-def outcome(answer: Answer) -> Outcome:
+def outcome(answer: Response) -> Outcome:
     """Return the outcome that an upstream's answer stands for."""
     if 200 <= answer.status < 300:
         return Outcome.SERVED
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamRequest(Outgoing):
+class UpstreamRequest(OutgoingRequest):
     """A client's request for one upstream; `deadline`: when its client stops waiting, monotonic clock."""
 
     deadline: float = 0.0
@@ -51,18 +51,18 @@
     extra: bytes = b""  # headers of this stage
     needs_fresh_connection: bool = False  # it must run only once, or an earlier call broke off
 
-    def write(self, remaining: float) -> bytes:
+    def encode(self, remaining: float) -> bytes:
         """Return the bytes to send, with the milliseconds that are left now."""
         left = max(self.deadline - time.monotonic(), 0.0) * 1000
         return b"%bMastturn-Deadline-Ms: %d\r\n%b\r\n%b" % (self.head, left, self.extra, self.body)
 
     @property
-    def needs_unused(self) -> bool:
-        """Whether to avoid used connections: an upstream that closes one may never read the request."""
+    def needs_unused_connection(self) -> bool:
+        """Whether to use a new connection: a request that crosses an upstream's close is lost unnoticed."""
         return self.needs_fresh_connection
 
     @property
-    def is_due(self) -> IsDue:
+    def response_matcher(self) -> IsDue:
         """The check of an answer's request id; see `belongs_to_request`."""
         return lambda status, headers: belongs_to_request(status, headers, self.request_id)
 
@@ -88,15 +88,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BalancerCall(Outgoing):
+class BalancerCall(OutgoingRequest):
     """A call of the balancer itself; neither it nor its answer carries a request id."""
 
-    def write(self, remaining: float) -> bytes:
+    def encode(self, remaining: float) -> bytes:
         """Return the bytes to send."""
         return self.head
 
     @property
-    def is_due(self) -> IsDue:
+    def response_matcher(self) -> IsDue:
         """The check of an answer: one with a request id belongs to an earlier request."""
         return lambda status, headers: not header(headers, REQUEST_ID)
 
--- a/control/platform.py
+++ b/control/platform.py
@@ -11,7 +11,7 @@
 from config.settings import Address
 from control import cold_times
 from dissemination.lists import encode_list
-from passpost.discovery import Line
+from passpost.discovery import DiscoveryConnection
 
 CALL_TIMEOUT_S = 1.0  # for one page
 MAX_PAGES = 256
@@ -32,7 +32,7 @@
     def __init__(self, address: Address, calls_s: float = 50.0) -> None:
         """`calls_s`: pages that may be requested per second."""
         self._address = address
-        self._connection = Line(address)
+        self._connection = DiscoveryConnection(address)
         self.pages = 1  # of the last complete list; each is a call
         self.calls = 0  # total
         self._call_times: deque[float] = deque()
@@ -49,8 +49,8 @@
     def set_address(self, address: Address) -> None:
         """Set the address of the platform."""
         if address != self._address:
-            self._connection.hang_up()
-            self._address, self._connection = address, Line(address)
+            self._connection.close()
+            self._address, self._connection = address, DiscoveryConnection(address)
 
     async def read(self) -> list[dict[str, Any]]:
         """Return all entries of the list; raises PlatformError."""
@@ -112,22 +112,22 @@
         self.calls += 1
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
-                answer = await self._connection.get(target)
+                response = await self._connection.get(target)
         except Exception as error:  # any failure means that this page can't be read
-            self._connection.hang_up()
+            self._connection.close()
             raise PlatformError(f"{type(error).__name__}: {error}") from None
-        if answer.status != 200:
-            raise PlatformError(f"status {answer.status}")
+        if response.status != 200:
+            raise PlatformError(f"status {response.status}")
         cached = self._page_cache.get(target)
-        if cached is not None and cached[0] == answer.body:
+        if cached is not None and cached[0] == response.body:
             return cached[1]
         try:
-            page = json.loads(answer.body)
+            page = json.loads(response.body)
         except (ValueError, RecursionError):
             raise PlatformError("no JSON in the response") from None
         if not isinstance(page, dict) or not isinstance(page.get("upstreams"), list):
             raise PlatformError("no list of upstreams in the response")
-        self._page_cache[target] = answer.body, page
+        self._page_cache[target] = response.body, page
         return page
 
 
--- a/mastturnd/tap.py
+++ b/mastturnd/tap.py
@@ -15,7 +15,7 @@
 from balancer.ingress import RoutedCall
 from balancer.peer import Peer
 from balancer.tiers import Group
-from passpost.attempt import Outgoing
+from passpost.attempt import OutgoingRequest
 from umberworks.interface import Outcome
 
 EventListener = Callable[[str, dict[str, Any]], None]
@@ -70,7 +70,7 @@
 
     def _wrap_take_up(self, original: Any) -> Any:
         def take_up(call: RoutedCall, remaining: float, *rest: Any) -> int:
-            self._current = call.txn.decode("latin-1")
+            self._current = call.request_id.decode("latin-1")
             fields = {"request": self._current, "route": call.route.name, "tokens": call.prompt.tokens}
             self._emit("taken", fields | {"left_ms": round(remaining * 1000)})
             try:
@@ -105,7 +105,7 @@
 
     def _wrap_send(self, original: Any) -> Any:
         def send(
-            server: str, request: Outgoing, timeout: float, done: Any, *rest: Any, **options: Any
+            server: str, request: OutgoingRequest, timeout: float, done: Any, *rest: Any, **options: Any
         ) -> Any:
             name = getattr(request, "request_id", b"").decode("latin-1")
             if not name:
--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -21,12 +21,12 @@
 # ---- routes
 
 
-def table(*routes: Route) -> RouteTable:
+def make_table(*routes: Route) -> RouteTable:
     return RouteTable(Configuration(3, routes, (Service("pool"), Service("other"))))
 
 
 def test_the_longest_prefix_of_the_host_is_the_route() -> None:
-    known = table(
+    known = make_table(
         route(), route(name="longer", path_prefix="/run/far/"), route(name="host", host="b.example")
     )
     for host, path, name in (
@@ -45,13 +45,13 @@
 
 
 def test_a_split_route_draws_its_service_by_weight() -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     split = route(svc=None, split=(Split("pool", 90), Split("other", 10), Split("never", 0)))
-    drawn = Counter(draw_service(split, chance) for _ in range(4000))
+    drawn = Counter(draw_service(split, rng) for _ in range(4000))
     assert set(drawn) == {"pool", "other"}
     assert 0.08 < drawn["other"] / 4000 < 0.12
-    assert draw_service(route(svc=None, split=(Split("pool", 0), Split("other", 5))), chance) == "other"
-    assert draw_service(route(), chance) == "pool"
+    assert draw_service(route(svc=None, split=(Split("pool", 0), Split("other", 5))), rng) == "other"
+    assert draw_service(route(), rng) == "pool"
 
 
 # ---- prompts
@@ -83,7 +83,7 @@
 def read(
     *more: tuple[bytes, bytes], method: bytes = b"POST", target: bytes = b"/run/1?q=2", version: str = "1.1"
 ) -> RoutedCall:
-    return read_head(method, target, version, [*HEAD, *more], table(route()), ClientLimits())
+    return read_head(method, target, version, [*HEAD, *more], make_table(route()), ClientLimits())
 
 
 def test_a_good_head_keeps_what_is_end_to_end_and_drops_what_is_ours_to_say() -> None:
@@ -99,15 +99,20 @@
         (b"X-Kept", b"2"),
         (b"Mastturn-Model", b"m"),
     )
-    assert [n for n, _ in call.passed_on] == [b"Host", b"Mastturn-Request-Id", b"X-Kept", b"Mastturn-Model"]
-    assert (call.remaining, call.after, call.target) == (0.5, b"12", b"/run/1?q=2")
+    assert [n for n, _ in call.forwarded_headers] == [
+        b"Host",
+        b"Mastturn-Request-Id",
+        b"X-Kept",
+        b"Mastturn-Model",
+    ]
+    assert (call.remaining_s, call.after, call.target) == (0.5, b"12", b"/run/1?q=2")
 
 
 def test_the_deadline_is_the_lesser_of_the_clients_and_the_routes() -> None:
-    assert read().remaining == 8.0
-    assert read((b"Mastturn-Deadline-Ms", b"90000")).remaining == 8.0
-    assert read((b"Mastturn-Deadline-Ms", b"1500.5")).remaining == 1.5005
-    assert read((b"Mastturn-Deadline-Ms", b"-1")).remaining == 8.0
+    assert read().remaining_s == 8.0
+    assert read((b"Mastturn-Deadline-Ms", b"90000")).remaining_s == 8.0
+    assert read((b"Mastturn-Deadline-Ms", b"1500.5")).remaining_s == 1.5005
+    assert read((b"Mastturn-Deadline-Ms", b"-1")).remaining_s == 8.0
 
 
 @pytest.mark.parametrize(
@@ -138,7 +143,7 @@
         (400, [*HEAD[:2], (b"Content-Length", b"+1")]),
     ):
         with pytest.raises(BadRequestError) as caught:
-            read_head(b"POST", b"/run/1", "1.1", head, table(route()), ClientLimits())
+            read_head(b"POST", b"/run/1", "1.1", head, make_table(route()), ClientLimits())
         assert caught.value.status == status
 
 
@@ -191,53 +196,53 @@
 # ---- budget
 
 
-def budget(slack: float, now: float = 0.0, balancers: int = 1) -> RetryBudget:
-    made = RetryBudget(0.2, 10.0, slack, now)
-    made.count_balancers(balancers)
-    return made
+def make_budget(slack: float, now: float = 0.0, balancers: int = 1) -> RetryBudget:
+    budget = RetryBudget(0.2, 10.0, slack, now)
+    budget.count_balancers(balancers)
+    return budget
 
 
 def test_the_budget_is_a_share_of_the_requests_and_a_part_of_the_slack() -> None:
-    made, now = budget(0.0), 20.0
+    budget, now = make_budget(0.0), 20.0
     for _ in range(100):
-        made.arrived(now)
+        budget.arrived(now)
     spent = 0
-    while made.allows(1, now):
-        made.spend(now)
+    while budget.allows(1, now):
+        budget.spend(now)
         spent += 1
     assert spent == int(SAFETY * 0.2 * 100)
-    assert not made.allows(1, now + 9.9)
-    made.refund()
-    assert made.allows(1, now + 0.1) and not made.allows(2, now + 0.1)
+    assert not budget.allows(1, now + 9.9)
+    budget.refund()
+    assert budget.allows(1, now + 0.1) and not budget.allows(2, now + 0.1)
 
 
 def test_the_slack_is_parted_among_the_balancers_and_small_before_they_are_known() -> None:
-    assert budget(54.0, now=-20.0, balancers=1).allows(43, 0.0)
-    assert budget(54.0, now=-20.0, balancers=7).allows(6, 0.0)
-    assert not budget(54.0, now=-20.0, balancers=7).allows(7, 0.0)
+    assert make_budget(54.0, now=-20.0, balancers=1).allows(43, 0.0)
+    assert make_budget(54.0, now=-20.0, balancers=7).allows(6, 0.0)
+    assert not make_budget(54.0, now=-20.0, balancers=7).allows(7, 0.0)
     unknown = RetryBudget(0.2, 10.0, 54.0, -20.0)
     assert unknown.allows(1, 0.0) and not unknown.allows(2, 0.0)
 
 
 def test_the_first_window_of_a_process_has_less_as_the_one_before_may_have_spent() -> None:
-    assert not budget(54.0, now=0.0).allows(22, 1.0)
-    assert budget(54.0, now=0.0).allows(22, 11.0)
+    assert not make_budget(54.0, now=0.0).allows(22, 1.0)
+    assert make_budget(54.0, now=0.0).allows(22, 11.0)
 
 
 def test_no_window_holds_more_extra_arrivals_than_the_rule_allows() -> None:
     for seed in range(20):
-        chance = random.Random(seed)
-        balancers = [budget(54.0, balancers=5) for _ in range(5)]
+        rng = random.Random(seed)
+        balancers = [make_budget(54.0, balancers=5) for _ in range(5)]
         requests, extras, now = list[float](), list[float](), 0.0
         while now < 60:
-            now += chance.expovariate(40 if 20 < now < 25 else 8)
-            one = chance.choice(balancers)
+            now += rng.expovariate(40 if 20 < now < 25 else 8)
+            one = rng.choice(balancers)
             one.arrived(now)
             requests.append(now)
-            for _ in range(chance.randrange(4)):
+            for _ in range(rng.randrange(4)):
                 if one.allows(1, now):
                     one.spend(now)
-                    extras.append(now + chance.random() * LATE_S / 2)
+                    extras.append(now + rng.random() * LATE_S / 2)
         extras.sort()
         for i, start in enumerate(extras):
             end = start + 10
@@ -259,4 +264,4 @@
     """With a grace period of 1.5 s, a balancer went on accepting for 3.2 s."""
     chosen = options.client_options(ClientLimits(), grace_s)
     assert chosen.accept_after_stop_s == pytest.approx(accepts_s)
-    assert chosen.last_call_s == pytest.approx(last_call_s)
+    assert chosen.closing_phase_s == pytest.approx(last_call_s)
--- a/tests/test_balancer_whole_answers.py
+++ b/tests/test_balancer_whole_answers.py
@@ -16,7 +16,7 @@
     route,
     running_balancer,
 )
-from tests.loopback import Got, Writer, run
+from tests.loopback import ReceivedRequest, Writer, run
 
 LONG = "0123456789abcdef" * 8_192  # twice of what is held of a body with a known length
 PLAIN = configuration(1, route(route_type="safe", tries=2))
@@ -25,7 +25,7 @@
 def slow(body: str, pieces: int = 4, pause_s: float = 0.15, last: bool = True) -> Handler:
     """Send chunks with pauses, so that the length is unknown when forwarding begins."""
 
-    async def handler(upstream: FakeUpstream, got: Got, writer: Writer) -> None:
+    async def handler(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
         writer.write(head(got, "Transfer-Encoding: chunked\r\n\r\n").encode())
         size = -(-len(body) // pieces)
         for i in range(0, len(body), size):
