--- a/tests/test_mastturnd_cli_balancer.py
+++ b/tests/test_mastturnd_cli_balancer.py
@@ -1,4 +1,7 @@
-"""What a balancer tells at the address of its readiness, its steps in the log, and what strangers get."""
+"""The calls on a balancer's readiness address, the logged steps of a request, and rate limits.
+
+Guards against calls that change a choice, leave method wrappers behind, or block readiness.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,8 @@
 from mastturnd import balancer_calls, explaining, logs
 from mastturnd.balancing import BalancerRole
 from mastturnd.exposition import by, counter, gauge, histogram, render
-from mastturnd.pace import MOST, Pace
-from mastturnd.tap import StepLog, listen
+from mastturnd.pace import MAX_REPORTS, RateLimiter
+from mastturnd.tap import StepLog, subscribe
 from tests.balancer_stage import FakeUpstream, decode, reject, running_balancer
 from tests.fabric_callers import configuration as document
 from tests.loopback import run, until
@@ -29,12 +32,14 @@
 
 
 @pytest.fixture(autouse=True)
-def _fresh(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(balancer_calls, "_PACES", {target: Pace() for target in balancer_calls._PACES})
+def _reset_rate_limiters(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        balancer_calls, "_RATE_LIMITERS", {target: RateLimiter() for target in balancer_calls._RATE_LIMITERS}
+    )
 
 
 def settings() -> Settings:
-    # An address of our own: nobody else's connections take its ports.
+    # A separate loopback address, so that no other connection uses its ports.
     ip = f"127.{random.randrange(1, 250)}.{random.randrange(250)}.{random.randrange(1, 250)}"
     return parse(
         json.dumps(
@@ -54,7 +59,7 @@
 
 
 @asynccontextmanager
-async def balancer() -> AsyncIterator[BalancerRole]:
+async def started_balancer() -> AsyncIterator[BalancerRole]:
     role = BalancerRole(settings())
     await role.start()
     try:
@@ -71,8 +76,8 @@
     return host, int(port)
 
 
-async def say(role: BalancerRole, raw: bytes) -> bytes:
-    """All that comes back until the connection ends."""
+async def send_raw(role: BalancerRole, raw: bytes) -> bytes:
+    """Send bytes and return everything received until the connection ends."""
     reader, writer = await asyncio.open_connection(*address(role))
     writer.write(raw)
     try:
@@ -84,28 +89,28 @@
 
 
 async def get(role: BalancerRole, target: str) -> tuple[int, Any]:
-    raw = await say(role, f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+    raw = await send_raw(role, f"GET {target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     head, _, body = raw.partition(b"\r\n\r\n")
     is_json = b"application/json" in head
     return int(head.split(b" ")[1]), json.loads(body) if is_json else body.decode()
 
 
-def equip(role: BalancerRole, **changes: Any) -> None:
+def apply_state(role: BalancerRole, **changes: Any) -> None:
     entry = {"id": "u-1", "svc": "pool", "addr": "127.0.0.1:9", "phase": "decode", "state": "up"}
     for news in (
         ConfigurationNews(5, document(5, **changes)),
         UpstreamNews(1, 1, json.dumps({"upstreams": [entry]}).encode()),
     ):
         assert role._latest.store(news)
-        role._told(news)
+        role._on_update(news)
 
 
 def test_a_balancer_tells_what_it_serves() -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             status, told = await get(role, "/api/status")
             assert status == 200 and (told["ready"], told["ver"], told["upstreams"]) == (False, 0, [])
-            equip(role)
+            apply_state(role)
             status, told = await get(role, "/api/status")
             assert (told["role"], told["node"], told["ready"], told["drained"]) == (
                 "balancer",
@@ -129,15 +134,15 @@
 
 def test_a_drained_balancer_says_no_at_readiness_and_serves_on() -> None:
     async def test() -> None:
-        async with balancer() as role:
-            equip(role, drained=["edge-1"])
+        async with started_balancer() as role:
+            apply_state(role, drained=["edge-1"])
             last = b"GET /api/readyz HTTP/1.1\r\nConnection: close\r\n\r\n"
-            assert (await say(role, last)).startswith(b"HTTP/1.1 503 ")
+            assert (await send_raw(role, last)).startswith(b"HTTP/1.1 503 ")
             assert (await get(role, "/api/status"))[1]["drained"]
             news = ConfigurationNews(6, document(6))
             role._latest.store(news)
-            role._told(news)
-            assert (await say(role, last)).startswith(b"HTTP/1.1 200 ")
+            role._on_update(news)
+            assert (await send_raw(role, last)).startswith(b"HTTP/1.1 200 ")
 
     run(test())
 
@@ -155,7 +160,7 @@
 )
 def test_whatever_is_no_question_of_ours_is_answered_as_before(raw: bytes) -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             reader, writer = await asyncio.open_connection(*address(role))
             writer.write(raw)
             assert (await reader.readline()).startswith(b"HTTP/1.1 404 ")
@@ -168,7 +173,7 @@
 @pytest.mark.parametrize("query", ["next=21", "next=-1", "next=x", "next=9999999999", "next=%00", "next=1e1"])
 def test_a_bad_question_of_choices_gets_400(query: str) -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             status, told = await get(role, f"/api/explain?{query}")
             assert status == 400 and told["error"].endswith("give one")
 
@@ -177,10 +182,10 @@
 
 def test_a_question_that_never_ends_is_not_held() -> None:
     async def test() -> None:
-        async with balancer() as role:
-            assert await say(role, b"GET /api/status HTTP/1.1\r\nX: " + b"y" * 9000) in (b"", b"reset")
-            # What comes behind a question is not read: it is answered once.
-            raw = await say(role, b"GET /api/status HTTP/1.1\r\n\r\n" * 3)
+        async with started_balancer() as role:
+            assert await send_raw(role, b"GET /api/status HTTP/1.1\r\nX: " + b"y" * 9000) in (b"", b"reset")
+            # Data after the first request is not read: one request is answered per connection.
+            raw = await send_raw(role, b"GET /api/status HTTP/1.1\r\n\r\n" * 3)
             assert raw.count(b"HTTP/1.1 ") == 1
 
     run(test())
@@ -188,20 +193,20 @@
 
 def test_a_stranger_who_asks_all_the_time_is_put_off_and_readiness_is_answered() -> None:
     async def test() -> None:
-        async with balancer() as role:
-            statuses = [(await get(role, "/api/status"))[0] for _ in range(MOST + 3)]
+        async with started_balancer() as role:
+            statuses = [(await get(role, "/api/status"))[0] for _ in range(MAX_REPORTS + 3)]
             assert 200 in statuses and 429 in statuses
             assert (await get(role, "/metrics"))[0] == 200
             last = b"GET /api/readyz HTTP/1.1\r\nConnection: close\r\n\r\n"
-            assert (await say(role, last)).startswith(b"HTTP/1.1 503 ")  # it has no configuration
+            assert (await send_raw(role, last)).startswith(b"HTTP/1.1 503 ")  # it has no configuration
 
     run(test())
 
 
 def test_the_pace_is_counted_over_a_second() -> None:
-    pace = Pace()
-    assert [pace.allows(10.0 + i / 100) for i in range(MOST + 1)] == [True] * MOST + [False]
-    assert not pace.allows(10.99) and pace.allows(11.0) and not pace.allows(11.005)
+    limiter = RateLimiter()
+    assert [limiter.allows(10.0 + i / 100) for i in range(MAX_REPORTS + 1)] == [True] * MAX_REPORTS + [False]
+    assert not limiter.allows(10.99) and limiter.allows(11.0) and not limiter.allows(11.005)
 
 
 def test_every_step_is_heard_and_nothing_is_left_behind() -> None:
@@ -212,7 +217,7 @@
         async with running_balancer(reader, runner) as play:
             parts = (play.balancer, play.balancer.tiers, play.balancer.upstreams)
             before = [dict(part.__dict__) for part in parts]
-            stop = listen(play.balancer, lambda event, fields: heard.append((event, fields)))
+            stop = subscribe(play.balancer, lambda event, fields: heard.append((event, fields)))
             reply = await play.ask("r7", headers=SPLIT)
             assert reply.status == 200 and reply.whole
             stop()
@@ -224,7 +229,7 @@
     assert events == ["taken", "sent", "answered", "sent", "answered", "finished"]
     assert {fields["request"] for event, fields in heard if event != "drawn"} == {"r7"}
     steps = [(f["step"], f["upstream"], f["outcome"], f["status"]) for e, f in heard if e == "answered"]
-    # The one reader turned it away, so the other reads by itself.
+    # The only prefill upstream refused the request, so the decode upstream runs prefill itself.
     assert steps == [("read", "p1", "turned away", 503), ("run", "d1", "served", 200)]
 
 
@@ -233,7 +238,7 @@
         async with running_balancer(FakeUpstream("d1", "decode", decode)) as play:
             first: list[str] = []
             second: list[str] = []
-            stops = [listen(play.balancer, lambda e, f, to=to: to.append(e)) for to in (first, second)]  # type: ignore[misc]
+            stops = [subscribe(play.balancer, lambda e, f, to=to: to.append(e)) for to in (first, second)]  # type: ignore[misc]
             await play.ask("r1")
             stops[0]()
             await play.ask("r2")
@@ -287,7 +292,7 @@
                 ]
 
             before, state = evidence(), play.balancer._rng.getstate()
-            told = explaining.standing(play.balancer, "edge-1")
+            told = explaining.describe_groups(play.balancer, "edge-1")
             assert evidence() == before and play.balancer._rng.getstate() == state
             rows = told["groups"][0]["upstreams"]
             assert sum(row["drawn"] for row in rows) == pytest.approx(1, abs=1e-3)
@@ -323,29 +328,29 @@
 ) -> None:
     written: list[str] = []
 
-    def write_from(level: str) -> None:
+    def set_level(level: str) -> None:
         written.append(level)
-        logs._written[0] = level
+        logs._current_level[0] = level
 
-    monkeypatch.setattr(logs, "write_from", write_from)
-    monkeypatch.setattr(logs, "_written", ["INFO"])
+    monkeypatch.setattr(logs, "set_level", set_level)
+    monkeypatch.setattr(logs, "_current_level", ["INFO"])
     level = logs.LogLevel("balancer")
-    assert not level.follow({}) and not level.follow({"control": "DEBUG"})
-    assert level.follow({"balancer": "debug"}) and logs.is_debug()
-    assert not level.follow({"balancer": "LOUD"}) and logs.is_debug()
-    assert level.follow({}) and not logs.is_debug()
+    assert not level.apply({}) and not level.apply({"control": "DEBUG"})
+    assert level.apply({"balancer": "debug"}) and logs.is_debug()
+    assert not level.apply({"balancer": "LOUD"}) and logs.is_debug()
+    assert level.apply({}) and not logs.is_debug()
     assert written == ["DEBUG", "INFO"]
 
 
 def test_a_running_balancer_logs_steps_while_its_level_is_debug(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with balancer() as role:
+        async with started_balancer() as role:
             assert "take_up" not in role.balancer.__dict__
-            monkeypatch.setattr(logs, "_written", ["DEBUG"])
+            monkeypatch.setattr(logs, "_current_level", ["DEBUG"])
             role.reconfigure(role.settings)
             assert "take_up" in role.balancer.__dict__
             role.reconfigure(role.settings)
-            monkeypatch.setattr(logs, "_written", ["INFO"])
+            monkeypatch.setattr(logs, "_current_level", ["INFO"])
             role.reconfigure(role.settings)
             assert "take_up" not in role.balancer.__dict__
 
--- a/tests/test_mastturnd_cli_commands.py
+++ b/tests/test_mastturnd_cli_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: what they print, with which exit code, and what a wrong call is told."""
+"""Operators' commands: output, exit codes and error messages."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 Answer = tuple[int, dict[str, str], bytes]
 
 
-class Ctl:
-    """A control process by a script: (method, path, body, headers) -> its answer."""
+class FakeControlServer:
+    """A scripted control process: (method, path, body, headers) -> its answer."""
 
     def __init__(self, script: Callable[[str, str, bytes, dict[str, str]], Answer]) -> None:
         self.calls: list[tuple[str, str, bytes, dict[str, str]]] = []
@@ -70,15 +70,15 @@
     monkeypatch.delenv(settings_file.VARIABLE, raising=False)
 
 
-class Shop:
-    """A control state of one process, with a configuration."""
+class FakeControlState:
+    """The control state of one process, with a configuration."""
 
     def __init__(self, ver: int = 5, **changes: Any) -> None:
         self.body = configuration(ver, **changes)
-        self.unclear = 0  # so many calls are answered with 503 first
+        self.unclear = 0  # number of calls answered with 503 first
         self.taken: list[bytes] = []
-        self.races = 0  # so many times somebody else is first
-        self.ctl = Ctl(self.answer)
+        self.races = 0  # number of concurrent changes that come first
+        self.ctl = FakeControlServer(self.answer)
 
     @property
     def ver(self) -> int:
@@ -107,8 +107,8 @@
 
 
 @pytest.fixture
-def shop() -> Iterator[Shop]:
-    found = Shop()
+def state_server() -> Iterator[FakeControlState]:
+    found = FakeControlState()
     yield found
     found.ctl.close()
 
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "expected"),
     [
         (["status", "now"], "say `status` alone"),
         (["config"], "say `config get|history`"),
@@ -139,12 +139,12 @@
     ],
 )
 def test_a_wrong_call_is_one_line_with_the_remedy_and_2(
-    words: list[str], said: str, capsys: pytest.CaptureFixture[str]
+    words: list[str], expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run(*words) == 2
     told = capsys.readouterr()
     assert told.out == "" and told.err.count("\n") == 1
-    assert said in told.err
+    assert expected in told.err
 
 
 def test_help_is_no_error(capsys: pytest.CaptureFixture[str]) -> None:
@@ -178,61 +178,65 @@
     assert run("status", "--ctl=127.0.0.1:1") == 1
 
 
-def test_the_configuration_comes_as_it_was_sent(shop: Shop, capsys: pytest.CaptureFixture[str]) -> None:
-    assert run("config", "get", f"--ctl={shop.ctl.place}") == 0
-    assert capsys.readouterr().out == shop.body.decode() + "\n"
-    assert run("config", "get", f"--ctl={shop.ctl.place}", "--json") == 0
-    assert json.loads(capsys.readouterr().out) == json.loads(shop.body)
-    assert run("config", "history", f"--ctl={shop.ctl.place}") == 0
+def test_the_configuration_comes_as_it_was_sent(
+    state_server: FakeControlState, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert run("config", "get", f"--ctl={state_server.ctl.place}") == 0
+    assert capsys.readouterr().out == state_server.body.decode() + "\n"
+    assert run("config", "get", f"--ctl={state_server.ctl.place}", "--json") == 0
+    assert json.loads(capsys.readouterr().out) == json.loads(state_server.body)
+    assert run("config", "history", f"--ctl={state_server.ctl.place}") == 0
     assert capsys.readouterr().out == "VERSION  DIGEST OF WHAT WAS SENT\n      5  ab\n"
 
 
 def test_a_file_is_put_as_it_is_and_again_until_the_answer_is_clear(
-    shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7))
-    shop.unclear = 2
-    assert run("config", "put", str(path), f"--ctl={shop.ctl.place}") == 0
+    state_server.unclear = 2
+    assert run("config", "put", str(path), f"--ctl={state_server.ctl.place}") == 0
     assert capsys.readouterr().out == "version 7 is taken on top of 5\n"
-    assert shop.taken == [configuration(7)]
+    assert state_server.taken == [configuration(7)]
 
 
-def test_a_redirect_is_followed_with_the_whole_call(shop: Shop, tmp_path: Path) -> None:
+def test_a_redirect_is_followed_with_the_whole_call(state_server: FakeControlState, tmp_path: Path) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7))
-    other = Ctl(lambda m, p, b, h: (307, {"Location": f"http://{shop.ctl.place}{p}"}, b"{}"))
+    other = FakeControlServer(
+        lambda m, p, b, h: (307, {"Location": f"http://{state_server.ctl.place}{p}"}, b"{}")
+    )
     try:
         assert run("config", "put", str(path), f"--ctl={other.place}") == 0
     finally:
         other.close()
-    assert shop.taken == [configuration(7)]
-    assert shop.ctl.calls[-1][3]["if-match"] == "5"
+    assert state_server.taken == [configuration(7)]
+    assert state_server.ctl.calls[-1][3]["if-match"] == "5"
 
 
 def test_a_file_that_builds_on_an_older_version_is_refused_with_the_remedy(
-    shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7))
-    assert run("config", "put", str(path), f"--ctl={shop.ctl.place}", "--base=3") == 1
+    assert run("config", "put", str(path), f"--ctl={state_server.ctl.place}", "--base=3") == 1
     assert "version 5 is in place; look at `config diff`" in capsys.readouterr().err
-    assert not shop.taken
+    assert not state_server.taken
 
 
 def test_a_patch_is_shown_first_and_then_taken(
-    shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path, ctl = tmp_path / "patch.json", f"--ctl={shop.ctl.place}"
-    entry = json.loads(shop.body)["routes"][0] | {"tries": 2}
+    path, ctl = tmp_path / "patch.json", f"--ctl={state_server.ctl.place}"
+    entry = json.loads(state_server.body)["routes"][0] | {"tries": 2}
     path.write_text(json.dumps({"ver": 1, "upsert": {"routes": [entry | {"tries": 7}]}}))
     assert run("config", "patch", str(path), ctl, "--next", "--dry_run") == 3
     told = capsys.readouterr().out
     assert f"+ routes.{entry['name']}.tries: 7" in told and "~ ver: 5 -> 6" in told
-    assert not shop.taken
+    assert not state_server.taken
     assert run("config", "patch", str(path), ctl, "--next") == 0
     assert "version 6 is taken on top of 5" in capsys.readouterr().out
-    assert json.loads(shop.body)["routes"][0]["tries"] == 7 and shop.ver == 6
+    assert json.loads(state_server.body)["routes"][0]["tries"] == 7 and state_server.ver == 6
     assert run("config", "patch", str(path), ctl, "--base=3", "--next") == 1
     path.write_text(json.dumps({"ver": 9, "remove": {"routes": ["nobody"]}}))
     capsys.readouterr()
@@ -240,69 +244,73 @@
     assert capsys.readouterr().err.startswith(f'{path}: there is no "nobody" in routes to remove; name one')
 
 
-def test_a_bad_file_never_leaves(shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_bad_file_never_leaves(
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "new.json"
     path.write_bytes(configuration(7, svcs=[]))
     for command in ("check", "put", "diff"):
-        assert run("config", command, str(path), f"--ctl={shop.ctl.place}") == 1
+        assert run("config", command, str(path), f"--ctl={state_server.ctl.place}") == 1
         told = capsys.readouterr().err
         assert told.startswith(f"{path}: ") and "pool" in told and told.count("\n") == 1
     path.write_bytes(configuration(7, drained="edge-1"))
     assert run("config", "check", str(path)) == 1
     assert 'write it as "drained": ["edge-1"]' in capsys.readouterr().err
-    assert not shop.ctl.calls
+    assert not state_server.ctl.calls
 
 
-def test_what_a_file_would_change(shop: Shop, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_what_a_file_would_change(
+    state_server: FakeControlState, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "new.json"
-    path.write_bytes(shop.body)
-    assert run("config", "diff", str(path), f"--ctl={shop.ctl.place}") == 0
+    path.write_bytes(state_server.body)
+    assert run("config", "diff", str(path), f"--ctl={state_server.ctl.place}") == 0
     assert "is what is in force, version 5" in capsys.readouterr().out
     more = json.loads(configuration(6))
     more["routes"][0]["tries"] = 3
     more["routes"][0]["deadline_ms"] = 9000
     more["svcs"].append({"name": "spare"})
     path.write_text(json.dumps(more))
-    assert run("config", "diff", str(path), f"--ctl={shop.ctl.place}") == 3
+    assert run("config", "diff", str(path), f"--ctl={state_server.ctl.place}") == 3
     assert capsys.readouterr().out.splitlines() == [
         "~ ver: 5 -> 6",
         "~ routes.r.deadline_ms: 8000 -> 9000",
         "+ routes.r.tries: 3",
         '+ svcs.spare: {"name": "spare"}',
     ]
-    assert run("config", "diff", str(path), f"--ctl={shop.ctl.place}", "--json") == 3
+    assert run("config", "diff", str(path), f"--ctl={state_server.ctl.place}", "--json") == 3
     assert len(json.loads(capsys.readouterr().out)["differs"]) == 4
 
 
 def test_a_drain_goes_on_when_a_file_says_nothing_of_it(tmp_path: Path) -> None:
-    now = configuring.InForce(5, configuration(5, drained=["edge-1"]))
-    sent, raw, notes = configuring.prepared(configuration(7), "new.json", now, False)
+    now = configuring.CurrentConfiguration(5, configuration(5, drained=["edge-1"]))
+    sent, raw, notes = configuring.prepare_put(configuration(7), "new.json", now, False)
     assert json.loads(sent) == raw and raw["drained"] == ["edge-1"] and raw["ver"] == 7
     assert notes == ["edge-1 stay drained; `undrain` ends that"]
-    sent, raw, notes = configuring.prepared(configuration(7, drained=[]), "new.json", now, False)
-    assert raw["drained"] == [] and not notes  # it says that there is none
-    sent, raw, notes = configuring.prepared(configuration(2, drained=[]), "new.json", now, True)
+    sent, raw, notes = configuring.prepare_put(configuration(7, drained=[]), "new.json", now, False)
+    assert raw["drained"] == [] and not notes  # an explicit empty list
+    sent, raw, notes = configuring.prepare_put(configuration(2, drained=[]), "new.json", now, True)
     assert raw["ver"] == 6 and notes == ["it gets version 6"]
 
 
-def test_a_drain_is_a_version_of_its_own_on_top_of_whoever_was_first(shop: Shop) -> None:
-    shop.races = 1
-    assert configuring.change_drain([shop.ctl.place], "edge-2", True, 5.0) == (7, True)
-    assert json.loads(shop.body)["drained"] == ["edge-2"]
-    assert configuring.change_drain([shop.ctl.place], "edge-2", True, 5.0) == (7, False)
-    assert configuring.change_drain([shop.ctl.place], "edge-1", True, 5.0) == (8, True)
-    assert json.loads(shop.body)["drained"] == ["edge-1", "edge-2"]
-    assert configuring.change_drain([shop.ctl.place], "edge-2", False, 5.0) == (9, True)
-    assert configuring.change_drain([shop.ctl.place], "edge-1", False, 5.0) == (10, True)
-    assert json.loads(shop.body) == json.loads(configuration(10))
+def test_a_drain_is_a_version_of_its_own_on_top_of_whoever_was_first(state_server: FakeControlState) -> None:
+    state_server.races = 1
+    assert configuring.change_drain([state_server.ctl.place], "edge-2", True, 5.0) == (7, True)
+    assert json.loads(state_server.body)["drained"] == ["edge-2"]
+    assert configuring.change_drain([state_server.ctl.place], "edge-2", True, 5.0) == (7, False)
+    assert configuring.change_drain([state_server.ctl.place], "edge-1", True, 5.0) == (8, True)
+    assert json.loads(state_server.body)["drained"] == ["edge-1", "edge-2"]
+    assert configuring.change_drain([state_server.ctl.place], "edge-2", False, 5.0) == (9, True)
+    assert configuring.change_drain([state_server.ctl.place], "edge-1", False, 5.0) == (10, True)
+    assert json.loads(state_server.body) == json.loads(configuration(10))
 
 
 def test_an_answer_that_never_ends_or_is_no_http_is_none() -> None:
-    assert asking.once("127.0.0.1:1", "GET", "/", silent_s=0.2) is None
-    loop = Ctl(lambda m, p, b, h: (307, {"Location": f"http://{h['host']}{p}"}, b""))
+    assert asking.call_once("127.0.0.1:1", "GET", "/", timeout_s=0.2) is None
+    loop = FakeControlServer(lambda m, p, b, h: (307, {"Location": f"http://{h['host']}{p}"}, b""))
     try:
-        assert asking._along(loop.place, "GET", "/api/config", None, None) is None
-        assert len(loop.calls) == asking.REDIRECTS + 1
+        assert asking._call_following_redirects(loop.place, "GET", "/api/config", None, None) is None
+        assert len(loop.calls) == asking.MAX_REDIRECTS + 1
     finally:
         loop.close()
 
@@ -319,11 +327,11 @@
 
 
 def test_the_chances_of_a_draw_are_those_of_the_rule() -> None:
-    # One of two alike: half each. Twice as capable: drawn twice as often, and always the lower load.
-    assert explaining.chances([0.5, 0.5], [(1.0, -1.0), (1.0, -1.0)], 4) == [0.5, 0.5]
-    found = explaining.chances([2 / 3, 1 / 3], [(0.5, -2.0), (1.0, -1.0)], 4)
+    # Two equal candidates: half each. Twice the capacity: drawn twice as often, and always the lower load.
+    assert explaining.choice_probabilities([0.5, 0.5], [(1.0, -1.0), (1.0, -1.0)], 4) == [0.5, 0.5]
+    found = explaining.choice_probabilities([2 / 3, 1 / 3], [(0.5, -2.0), (1.0, -1.0)], 4)
     assert found[0] == pytest.approx(1 - (1 / 3) ** 4) and sum(found) == pytest.approx(1)
-    found = explaining.chances([0.2, 0.3, 0.5], [(3.0, -1.0), (2.0, -1.5), (1.0, -2.5)], 2)
+    found = explaining.choice_probabilities([0.2, 0.3, 0.5], [(3.0, -1.0), (2.0, -1.5), (1.0, -2.5)], 2)
     assert found == pytest.approx([0.04, 0.21, 0.75])
 
 
@@ -354,7 +362,7 @@
 
 
 def test_pairs_keep_what_is_quoted() -> None:
-    assert tracing.pairs_of("""a=1 b='x y=2' c="it's" d= e=5""") == {
+    assert tracing.parse_pairs("""a=1 b='x y=2' c="it's" d= e=5""") == {
         "a": "1", "b": "x y=2", "c": "it's", "d": "", "e": "5",
     }  # fmt: skip
 
@@ -383,7 +391,7 @@
 
 
 def _gather(monkeypatch: pytest.MonkeyPatch, answers: dict[str, Any]) -> dict[str, Any]:
-    monkeypatch.setattr(fleet_status, "status_of", answers.get)
+    monkeypatch.setattr(fleet_status, "fetch_status", answers.get)
     return fleet_status.gather(["core-1:1", "core-2:1", "core-3:1"], 8)
 
 
@@ -410,7 +418,7 @@
         },
     )
     assert found["leader"] == "core-2" and found["differs"] == []
-    assert fleet_status.lines_of(found) == [
+    assert fleet_status.format_lines(found) == [
         "led by core-2, epoch 3, configuration 7; 3 of 3 control processes and 2 of 2 balancers answer",
         "",
         "CONTROL  ZONE  STANDING  EPOCH  CONFIG  PROGRAM  DISK WELL  SILENT MS    MB  MARK",
@@ -447,7 +455,7 @@
         "edge-2: gives no answer",
         "edge-1: runs program bb, most run aa",
     ]
-    lines = fleet_status.lines_of(found)
+    lines = fleet_status.format_lines(found)
     marked = [line.split()[0] for line in lines if line.endswith("  !")]
     assert marked == ["core-2", "core-3", "edge-1", "edge-2"]
 
@@ -470,7 +478,7 @@
     )
     line = "u-7: upstream in doubt, by balancers: distrusted 1, wary 1, silent 1; 9 failures"
     assert found["differs"] == [line] and list(found["judged"]) == ["u-7"]
-    assert f"! {line}" in fleet_status.lines_of(found)
+    assert f"! {line}" in fleet_status.format_lines(found)
 
 
 STRANGE = [None, 5, "u-7", [None], [{"id": 7}], [{"id": "u", "trust": ["x"], "silent": "yes"}], {"id": "u"}]
@@ -497,16 +505,16 @@
 
 def test_a_process_that_is_asked_too_often_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
     told: list[Answer] = [(429, {}, b"{}"), (200, {}, json.dumps(_balancer("edge-1")).encode())]
-    server = Ctl(lambda m, p, b, h: told.pop(0))
-    monkeypatch.setattr(fleet_status, "AGAIN_S", 0.0)
+    server = FakeControlServer(lambda m, p, b, h: told.pop(0))
+    monkeypatch.setattr(fleet_status, "RETRY_DELAY_S", 0.0)
     try:
-        found = fleet_status.status_of(server.place)
+        found = fleet_status.fetch_status(server.place)
     finally:
         server.close()
     assert found is not None and found["node"] == "edge-1"
 
 
-# ---- a disk alone
+# ---- salvage from a disk
 
 
 def _disk(folder: Path, holders: tuple[int, ...]) -> None:
@@ -550,7 +558,7 @@
     assert capsys.readouterr().err.endswith("; try the disk of another\n")
 
 
-# ---- nothing of it is loaded by a role
+# ---- a role does not import the commands
 
 
 @pytest.mark.parametrize("module", ["mastturnd.balancing", "control.node"])
