--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadSchedule:
-    """When one balancer reads the list (in seconds), whom it sends it to, and which reader serves it."""
+    """When one balancer reads the list (in seconds), the recipients, and the reader that serves it."""
 
     period_s: float
     offset_s: float
@@ -82,7 +82,7 @@
         on_update: Callable[[UpstreamNews, UpstreamChange | None], None],
         port: int,
     ) -> None:
-        """`is_fresh`: whether a control process was heard from within the given seconds.
+        """`is_fresh`: whether a control process sent an update within the given seconds.
 
         `on_update`: called with a list that is new here and its difference from the previous list.
         `port`: the port on which balancers listen for each other.
--- a/mastturnd/configuring.py
+++ b/mastturnd/configuring.py
@@ -193,5 +193,5 @@
 def format_difference(difference: dict[str, Any]) -> str:
     """Format one difference as a line."""
     old, new = (json.dumps(difference[k]) if k in difference else "" for k in ("old", "new"))
-    told = f"{old} -> {new}" if difference["change"] == "~" else old or new
-    return f"{difference['change']} {difference['path']}: {told}"
+    values = f"{old} -> {new}" if difference["change"] == "~" else old or new
+    return f"{difference['change']} {difference['path']}: {values}"
--- a/mastturnd/explanation.py
+++ b/mastturnd/explanation.py
@@ -58,7 +58,7 @@
 
 def _restrictions(upstream: dict[str, Any]) -> str:
     """Return why an upstream is chosen less than its draws: it is silent, blocked or not trusted."""
-    words = ["silent"] if upstream["silent"] else []
-    words += [f"{upstream['blocked_ms']} ms"] if upstream["blocked_ms"] else []
-    words += [trust] if (trust := str(upstream.get("trust", ""))) else []  # not sent by earlier releases
-    return ", ".join(words)
+    reasons = ["silent"] if upstream["silent"] else []
+    reasons += [f"{upstream['blocked_ms']} ms"] if upstream["blocked_ms"] else []
+    reasons += [trust] if (trust := str(upstream.get("trust", ""))) else []  # not sent by earlier releases
+    return ", ".join(reasons)
