--- a/mastturnd/asking.py
+++ b/mastturnd/asking.py
@@ -1,4 +1,4 @@
-"""An operator's calls: to any control process that answers, along redirects, again after a silence."""
+"""HTTP client of the operators' commands: tries each control process, follows redirects and retries."""
 
 from __future__ import annotations
 
@@ -13,115 +13,124 @@
 
 from config.errors import SettingsError
 from config.settings import parse_address
-from mastturnd.wrong import UnansweredError, WrongCallError
+from mastturnd.wrong import NoAnswerError, UsageError
 
-SILENT_S = 2.0  # of one process; then another is asked
-MOST_WORDS = 500  # characters of an error
-MOST_BODY = 16 * 1024 * 1024  # bytes of an answer
-REDIRECTS = 2
-AGAIN_S = 0.4  # until one process is asked again
-PAUSE_S, PAUSE_GROWS, PAUSE_MOST_S = 0.1, 1.6, 1.0  # between two rounds
+RESPONSE_TIMEOUT_S = 2.0  # for one process, before the next is tried
+MAX_ERROR_CHARS = 500  # of an error message
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of a response
+MAX_REDIRECTS = 2
+RETRY_DELAY_S = 0.4  # before the same process is called again
+ROUND_DELAY_S, ROUND_DELAY_FACTOR, MAX_ROUND_DELAY_S = 0.1, 1.6, 1.0  # between two rounds over all processes
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One whole answer, and the `IP:PORT` that gave it."""
+    """A complete HTTP response and the `IP:PORT` that sent it."""
 
     status: int
     headers: Mapping[str, str]  # names in lower case
     body: bytes
-    by: str
+    endpoint: str
 
     def json(self) -> dict[str, Any]:
-        """The object that it holds; raises UnansweredError."""
+        """Return the JSON object in the body; raises NoAnswerError."""
         try:
-            found = json.loads(self.body)
+            parsed = json.loads(self.body)
         except (ValueError, RecursionError):
-            found = None
-        if not isinstance(found, dict):
-            raise UnansweredError(f"{self.by} answers with no JSON", "see that it is one of ours")
-        return found
-
-    def words(self) -> str:
-        """What it says in a few words, on one line."""
+            parsed = None
+        if not isinstance(parsed, dict):
+            raise NoAnswerError(
+                f"{self.endpoint} does not answer with a JSON object",
+                "check that it is a process of this program",
+            )
+        return parsed
+
+    def error_text(self) -> str:
+        """Return the error message, or the status, as a single line of limited length."""
         try:
-            return " ".join(str(json.loads(self.body)["error"]).split())[:MOST_WORDS]
+            return " ".join(str(json.loads(self.body)["error"]).split())[:MAX_ERROR_CHARS]
         except (ValueError, KeyError, TypeError, RecursionError):
             return f"status {self.status}"
 
 
-def address(text: str) -> str:
-    """An `IP:PORT`, checked; raises WrongCallError."""
+def parse_endpoint(text: str) -> str:
+    """Validate an `IP:PORT`; raises UsageError."""
     try:
         host, port = parse_address(text)
     except SettingsError as error:
-        raise WrongCallError(error.problem, error.remedy) from None
+        raise UsageError(error.problem, error.remedy) from None
     return f"{host}:{port}"
 
 
-def once(
-    by: str,
+def call_once(
+    endpoint: str,
     method: str,
     target: str,
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
-    silent_s: float = SILENT_S,
-    most: int = MOST_BODY,
+    timeout_s: float = RESPONSE_TIMEOUT_S,
+    max_bytes: int = MAX_BODY_BYTES,
 ) -> Answer | None:
-    """One call to one process; None without a whole answer of `most` bytes within the silence (s)."""
+    """Send one request to one process.
+
+    Returns None if no complete response of at most `max_bytes` arrives; `timeout_s` bounds each wait on the
+    socket.
+    """
     try:
-        host, port = parse_address(by)
-        with contextlib.closing(http.client.HTTPConnection(host, port, timeout=silent_s)) as connection:
+        host, port = parse_address(endpoint)
+        with contextlib.closing(http.client.HTTPConnection(host, port, timeout=timeout_s)) as connection:
             connection.request(method, target, body, dict(headers or {}))
             answer = connection.getresponse()
-            held = answer.read(most + 1)
-            is_whole = _is_whole(answer)
-    except (OSError, http.client.HTTPException, SettingsError, UnicodeError):  # the last: no host's name
+            content = answer.read(max_bytes + 1)
+            is_complete = _is_complete(answer)
+    # UnicodeError: invalid host name.
+    except (OSError, http.client.HTTPException, SettingsError, UnicodeError):
         return None
-    if len(held) > most or not is_whole:
+    if len(content) > max_bytes or not is_complete:
         return None
-    return Answer(answer.status, {k.lower(): v for k, v in answer.getheaders()}, held, by)
+    return Answer(answer.status, {k.lower(): v for k, v in answer.getheaders()}, content, endpoint)
 
 
-def _is_whole(answer: http.client.HTTPResponse) -> bool:
-    """Whether all of an answer was read: http.client takes a connection's end for that of a head or a length.
+def _is_complete(answer: http.client.HTTPResponse) -> bool:
+    """Return whether the whole body was read: http.client takes a closed connection as the end of a body.
 
-    Our processes give each answer a length or chunks; a cut in the latter raises while it is read.
+    Processes of this program always send a length or chunks; a truncated chunked body raises while it is
+    read.
     """
     return answer.chunked or answer.length == 0
 
 
-def patiently(by: str, target: str, within_s: float) -> Answer | None:
-    """One process's answer, asked again where it gives none or is asked too often; None after `within_s`."""
-    until = time.monotonic() + within_s
+def call_until_answered(endpoint: str, target: str, within_s: float) -> Answer | None:
+    """Call one process, retrying while it does not answer or answers 429; None after `within_s`."""
+    deadline = time.monotonic() + within_s
     while True:
-        answer = once(by, "GET", target, silent_s=within_s)
+        answer = call_once(endpoint, "GET", target, timeout_s=within_s)
         if answer is not None and answer.status != 429:
             return answer
-        if time.monotonic() + AGAIN_S >= until:
+        if time.monotonic() + RETRY_DELAY_S >= deadline:
             return answer
-        time.sleep(AGAIN_S)
+        time.sleep(RETRY_DELAY_S)
 
 
-def _along(
-    by: str, method: str, target: str, body: bytes | None, headers: Mapping[str, str] | None
+def _call_following_redirects(
+    endpoint: str, method: str, target: str, body: bytes | None, headers: Mapping[str, str] | None
 ) -> Answer | None:
-    """One call, also to where it is sent on; None without a clear answer."""
-    for _ in range(REDIRECTS + 1):
-        answer = once(by, method, target, body, headers)
+    """Send one request, following redirects; returns None without a conclusive answer."""
+    for _ in range(MAX_REDIRECTS + 1):
+        answer = call_once(endpoint, method, target, body, headers)
         if answer is None or answer.status >= 500 or answer.status in (408, 429):
             return None
         if answer.status != 307:
             return answer
-        place = answer.headers.get("location", "").removeprefix("http://").partition("/")[0]
+        location = answer.headers.get("location", "").removeprefix("http://").partition("/")[0]
         try:
-            by = address(place)
-        except WrongCallError:
+            endpoint = parse_endpoint(location)
+        except UsageError:
             return None
     return None
 
 
-def any_of(
+def call_any(
     ctl: list[str],
     method: str,
     target: str,
@@ -129,19 +138,19 @@
     headers: Mapping[str, str] | None = None,
     within_s: float = 8.0,
 ) -> Answer:
-    """The clear answer of whoever gives one, asked in turn until `within_s`; raises UnansweredError."""
-    until, pause = time.monotonic() + within_s, PAUSE_S
+    """Call the control processes in turn for a conclusive answer; raises NoAnswerError after `within_s`."""
+    deadline, delay_s = time.monotonic() + within_s, ROUND_DELAY_S
     for number in itertools.count(1):
-        answer = _along(ctl[(number - 1) % len(ctl)], method, target, body, headers)
+        answer = _call_following_redirects(ctl[(number - 1) % len(ctl)], method, target, body, headers)
         if answer is not None:
             return answer
-        if time.monotonic() >= until:
+        if time.monotonic() >= deadline:
             break
         if number % len(ctl) == 0:
-            time.sleep(pause)
-            pause = min(pause * PAUSE_GROWS, PAUSE_MOST_S)
-    asked = ", ".join(ctl)
-    raise UnansweredError(
-        f"none of {asked} gives a clear answer to {method} {target} within {within_s:g} s",
+            time.sleep(delay_s)
+            delay_s = min(delay_s * ROUND_DELAY_FACTOR, MAX_ROUND_DELAY_S)
+    endpoints = ", ".join(ctl)
+    raise NoAnswerError(
+        f"none of {endpoints} gives a clear answer to {method} {target} within {within_s:g} s",
         "see that a majority of the control processes runs, or give --ctl=IP:PORT of others",
     )
