--- a/consensus/disk_queue.py
+++ b/consensus/disk_queue.py
@@ -15,7 +15,7 @@
 from typing import Any, TypeVar
 
 from config.errors import DiskError
-from consensus.slots import MAX_RECORD_BYTES, Loaded, Store
+from consensus.disk_store import MAX_RECORD_BYTES, Loaded, Store
 
 MAX_GROUP_BYTES = 1 << 20
 MEMORY_RETRY_S = 0.05  # Delay between attempts to report a failure while memory is exhausted.
--- a/consensus/keeper.py
+++ b/consensus/keeper.py
@@ -13,8 +13,8 @@
 from consensus.awake_clock import AwakeClock
 from consensus.codec import Record, apply_record, decode_record, encode_record, snapshot_record
 from consensus.disk_queue import DiskQueue
+from consensus.disk_store import Store
 from consensus.files import OsFiles
-from consensus.slots import Store
 from consensus.views import DurableState
 
 MAX_LOG_BYTES = 1 << 20  # A longer log is replaced by a checkpoint.
--- a/mastturn/capacity/disk.py
+++ b/mastturn/capacity/disk.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from consensus.slots import Loaded, Store
+from consensus.disk_store import Loaded, Store
 from mastturn.capacity.clockwork import OWNER
 
 SYNC_S = 0.001
--- a/mastturnd/salvage.py
+++ b/mastturnd/salvage.py
@@ -12,8 +12,8 @@
 
 from config.errors import DiskError, WireError
 from consensus.codec import apply_record, decode_record
+from consensus.disk_store import Store
 from consensus.files import OsFiles
-from consensus.slots import Store
 from consensus.views import DurableState
 from mastturnd.wrong import CommandFailedError, UsageError
 
--- a/tallies/journal.py
+++ b/tallies/journal.py
@@ -10,8 +10,8 @@
 
 from config.errors import DiskError, WireError
 from consensus.disk_queue import DiskQueue
+from consensus.disk_store import Store
 from consensus.files import OsFiles
-from consensus.slots import Store
 from tallies.messages import KINDS, Add, Push, State
 from transport.wire import FrameReader
 
--- a/tests/fabric_disk.py
+++ b/tests/fabric_disk.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from config.errors import DiskError
-from consensus.slots import Loaded, Store
+from consensus.disk_store import Loaded, Store
 from tests.fabric import PROCESS
 
 
--- a/tests/test_control_host_disk.py
+++ b/tests/test_control_host_disk.py
@@ -12,8 +12,8 @@
 from config.errors import DiskError
 from consensus import messages as control
 from consensus.codec import PromiseRecord, WriteRecord, encode_record, snapshot_record
+from consensus.disk_store import Loaded, Store
 from consensus.keeper import MAX_LOG_BYTES, RETRY_S, SYNC_TIMEOUT_S, StateStore
-from consensus.slots import Loaded, Store
 from consensus.views import Document, DurableState
 from control.node import TICK_S
 from tests.fabric import Process
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -34,8 +34,8 @@
 from config.settings import parse
 from consensus import messages as control
 from consensus.codec import RECORDS, decode_nested, decode_record
+from consensus.disk_store import Store
 from consensus.files import OsFiles
-from consensus.slots import Store
 from control.operators import OPERATOR_ROUTES
 from control.orders import change_phase
 from control.platform import PlatformError, PlatformList, pack
--- a/tests/test_mastturnd_cli_commands.py
+++ b/tests/test_mastturnd_cli_commands.py
@@ -18,8 +18,8 @@
 from config.checking import ConfigurationReader
 from config.patching import apply_patch, parse_patch
 from consensus.codec import encode_record, snapshot_record
+from consensus.disk_store import Store
 from consensus.files import OsFiles
-from consensus.slots import Store
 from consensus.views import Document, DurableState, Member, View
 from mastturnd import __main__ as mastturnd
 from mastturnd import asking, configuring, explaining, fleet_status, tracing
--- a/tests/test_memory_shortage.py
+++ b/tests/test_memory_shortage.py
@@ -15,9 +15,9 @@
 from consensus import disk_queue
 from consensus.codec import PromiseRecord, Record, encode_record
 from consensus.disk_queue import DiskQueue
+from consensus.disk_store import Store
 from consensus.files import OsFiles
 from consensus.keeper import StateStore
-from consensus.slots import Store
 from tests.loopback import run, until
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -22,10 +22,10 @@
 
 from config.errors import DiskError
 from consensus.disk_queue import MAX_GROUP_BYTES, DiskQueue
+from consensus.disk_store import _CHAIN as CHAIN
+from consensus.disk_store import MAX_RECORD_BYTES, Loaded, Store
+from consensus.disk_store import _frame as frame_of
 from consensus.files import Files, OsFiles
-from consensus.slots import _CHAIN as CHAIN
-from consensus.slots import MAX_RECORD_BYTES, Loaded, Store
-from consensus.slots import _frame as frame_of
 
 FOLDER = Path("/data")
 TIMEOUT_S = 10.0  # Time limit for waits.
