--- a/control/news_relay.py
+++ b/control/news_relay.py
@@ -13,10 +13,10 @@
 
 from loguru import logger
 
-from dissemination.bulletin import LatestUpdates
 from dissemination.feed import Feed
 from dissemination.follower import ROLL_INTERVAL_S, STALE_AFTER_S
 from dissemination.holdings import Holdings
+from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import (
     Attach,
     ConfigurationNews,
--- a/dissemination/doubts.py
+++ b/dissemination/doubts.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from dissemination.bulletin import LatestUpdates
+from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import DoubtNews, DoubtReport, Pulse, UpstreamFailures
 
 REPORT_INTERVAL_S = 0.1  # at least this long between two sums
--- a/dissemination/feed.py
+++ b/dissemination/feed.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from dissemination.bulletin import LatestUpdates
+from dissemination.latest_updates import LatestUpdates
 from dissemination.lists import digest_of, unchanged_list
 from dissemination.messages import (
     Attach,
--- a/dissemination/follower.py
+++ b/dissemination/follower.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from config.errors import GapError
-from dissemination.bulletin import LatestUpdates
+from dissemination.latest_updates import LatestUpdates
 from dissemination.lists import ListCopy, digest_of
 from dissemination.messages import (
     Attach,
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -18,7 +18,7 @@
 from config.errors import GapError
 from control.cold_times import ColdTimes
 from control.platform import PlatformError, PlatformList, pack
-from dissemination.bulletin import LatestUpdates
+from dissemination.latest_updates import LatestUpdates
 from dissemination.lists import apply_change, diff_lists, unchanged_list
 from dissemination.messages import Present, UpstreamChange, UpstreamNews
 from dissemination.relays import heads_of
--- a/mastturnd/load_exchange.py
+++ b/mastturnd/load_exchange.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from dissemination.bulletin import LatestUpdates
 from dissemination.feed import Feed
 from dissemination.follower import Follower
+from dissemination.latest_updates import LatestUpdates
 from dissemination.load_steps import Figures, Loads
 from dissemination.loads import BYTES_S, ENTRY_BYTES, REPORT_INTERVAL_S, LoadSum, PeerLoads
 from dissemination.messages import LoadNews, LoadReport, LoadReportStep, LoadStep, UpstreamLoad
--- a/tests/test_dissemination_feed.py
+++ b/tests/test_dissemination_feed.py
@@ -5,8 +5,8 @@
 from typing import Any, cast
 
 from dissemination import messages
-from dissemination.bulletin import LatestUpdates
 from dissemination.feed import Feed
+from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import Attach, ConfigurationNews, Moved, Present, Pulse, Roll
 from transport.wire import Link, MessageKinds
 
--- a/tests/test_dissemination_steps.py
+++ b/tests/test_dissemination_steps.py
@@ -11,7 +11,7 @@
 from config.errors import GapError
 from control.node import KINDS
 from control.publisher import Publisher
-from dissemination.bulletin import LatestUpdates
+from dissemination.latest_updates import LatestUpdates
 from dissemination.load_steps import (
     BURST_S,
     BYTES_S,
--- a/tests/test_dissemination_tables.py
+++ b/tests/test_dissemination_tables.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dissemination.bulletin import LatestUpdates
 from dissemination.counting import COUNT_WINDOW_S, BalancerCount
+from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import (
     ConfigurationNews,
     LoadNews,
