--- a/control/news_relay.py
+++ b/control/news_relay.py
@@ -13,9 +13,9 @@
 
 from loguru import logger
 
+from dissemination.cached_prefixes import Holdings
 from dissemination.feed import Feed
 from dissemination.follower import ROLL_INTERVAL_S, STALE_AFTER_S
-from dissemination.holdings import Holdings
 from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import (
     Attach,
--- a/control/reports.py
+++ b/control/reports.py
@@ -6,9 +6,9 @@
 from typing import NamedTuple
 
 from control.news_relay import UpdateRelay
+from dissemination.cached_prefixes import Holdings
 from dissemination.doubts import FailureSum
 from dissemination.feed import Feed
-from dissemination.holdings import Holdings
 from dissemination.latest_updates import LatestUpdates
 from dissemination.load_steps import Figures, Loads
 from dissemination.loads import LoadSum
--- a/mastturn/capacity/memory.py
+++ b/mastturn/capacity/memory.py
@@ -15,7 +15,7 @@
 from balancer.kept import MAX_PAIRS
 from config.settings import CloudApi, Limits, Settings
 from control.platform import pack
-from dissemination.holdings import MAX_HOLDERS, MAX_SUBJECTS
+from dissemination.cached_prefixes import MAX_HOLDERS, MAX_SUBJECTS
 from dissemination.loads import pack as pack_loads
 from dissemination.messages import (
     ConfigurationNews,
--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -15,7 +15,7 @@
 from balancer.tiers import Tiers
 from config.checking import check, parse_configuration, parse_upstreams
 from control.platform import pack
-from dissemination.holdings import Holdings
+from dissemination.cached_prefixes import Holdings
 from dissemination.lists import apply_change, diff_lists
 from dissemination.load_steps import Loads, LoadStepEncoder, LoadTable
 from dissemination.loads import PeerLoads, add, unpack
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -15,7 +15,7 @@
 from balancer.wire import UpstreamRequest
 from config.configuration import Configuration, Upstream
 from config.settings import Bounds, CloudApi, Limits, Settings
-from dissemination.holdings import Holdings
+from dissemination.cached_prefixes import Holdings
 from dissemination.load_steps import Loads
 from dissemination.loads import ENTRY_BYTES, LoadSum, PeerLoads
 from dissemination.messages import Holding, HoldingNews, HoldingReport, LoadNews, LoadReport, UpstreamLoad
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -16,11 +16,11 @@
 from config.settings import Settings, parse_address
 from control.platform import PlatformList
 from dissemination import messages
+from dissemination.cached_prefixes import Holdings
 from dissemination.counting import BalancerCount
 from dissemination.doubts import FailureExchange
 from dissemination.feed import Feed
 from dissemination.follower import STALE_AFTER_S, Follower, Ports
-from dissemination.holdings import Holdings
 from dissemination.latest_updates import LatestUpdates
 from dissemination.list_reader import ListReader
 from dissemination.messages import (
--- a/tests/test_dissemination_holdings.py
+++ b/tests/test_dissemination_holdings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dissemination.holdings import MAX_HOLDERS, MAX_SUBJECTS, Holdings
+from dissemination.cached_prefixes import MAX_HOLDERS, MAX_SUBJECTS, Holdings
 from dissemination.messages import KINDS, Holding, HoldingNews, HoldingReport
 
 
