--- a/dissemination/follower.py
+++ b/dissemination/follower.py
@@ -30,7 +30,7 @@
     UpstreamChange,
     UpstreamNews,
 )
-from dissemination.relays import parent_of
+from dissemination.relay_tree import parent_of
 from transport.endpoint import Endpoint
 from transport.links import Links
 from transport.wire import EDITION, STEPS_EDITION, Link
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from dissemination.relays import parent_of
+from dissemination.relay_tree import parent_of
 from tests.fabric_callers import configuration, upstream
 from tests.fabric_story import given, then, when
 from tests.fabric_world import BALANCER_PORT, Machine, World
--- a/mastturn/capacity/budget.py
+++ b/mastturn/capacity/budget.py
@@ -7,7 +7,7 @@
 
 from dissemination.load_steps import FIGURE_BYTES, STEP_BYTES
 from dissemination.loads import REPORT_INTERVAL_S
-from dissemination.relays import DEGREE
+from dissemination.relay_tree import DEGREE
 from mastturn.capacity.foreseen import steps_down
 from mastturn.capacity.shapes import BUDGET, TARGET
 from mastturn.capacity.slopes import Line, fit
--- a/mastturn/capacity/foreseen.py
+++ b/mastturn/capacity/foreseen.py
@@ -11,7 +11,7 @@
 
 from dissemination.load_steps import BYTES_S, FIGURE_BYTES, STEP_BYTES
 from dissemination.loads import REPORT_INTERVAL_S
-from dissemination.relays import DEGREE
+from dissemination.relay_tree import DEGREE
 from mastturn.capacity.shapes import FITTED, HELD_OUT, TARGET, Shape
 from mastturn.capacity.slopes import Line, agrees, fit
 from mastturn.capacity.sources import as_quiet
--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -31,7 +31,7 @@
     Roll,
     UpstreamNews,
 )
-from dissemination.relays import parent_of
+from dissemination.relay_tree import parent_of
 from mastturn.capacity.network import KINDS
 from mastturn.capacity.shapes import TARGET, Shape, configuration, list_entries
 from mastturn.capacity.sources import as_quiet, spin_ns
--- a/mastturn/capacity/remedies.py
+++ b/mastturn/capacity/remedies.py
@@ -8,7 +8,7 @@
 
 from dissemination.follower import PULSE_INTERVAL_S
 from dissemination.loads import REPORT_INTERVAL_S
-from dissemination.relays import DEGREE
+from dissemination.relay_tree import DEGREE
 from mastturn.capacity import budget
 from mastturn.capacity.foreseen import one_report_entries, steps_down, told_entries
 from mastturn.capacity.shapes import TARGET
--- a/mastturn/engines/fleet.py
+++ b/mastturn/engines/fleet.py
@@ -7,7 +7,7 @@
 from config.configuration import Configuration, Route, Service, Upstream
 from control.orders import Outcome, Rejected, Taken
 from dissemination.messages import Present
-from dissemination.relays import parent_of
+from dissemination.relay_tree import parent_of
 from mastturn.emulator.chance import Stream
 from mastturn.engines.balancer import MakeTiers, Node, Root
 from mastturn.engines.clients import User
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -21,7 +21,7 @@
 from dissemination.latest_updates import LatestUpdates
 from dissemination.lists import apply_change, diff_lists, unchanged_list
 from dissemination.messages import Present, UpstreamChange, UpstreamNews
-from dissemination.relays import heads_of
+from dissemination.relay_tree import heads_of
 from transport.endpoint import Endpoint
 from transport.links import Links
 from transport.wire import compress_frame
--- a/tests/test_dissemination_news.py
+++ b/tests/test_dissemination_news.py
@@ -10,7 +10,7 @@
 
 from control.node import KINDS
 from dissemination.messages import Attach, MemberNews, Moved, Present, Pulse, UpstreamNews
-from dissemination.relays import heads_of, parent_of
+from dissemination.relay_tree import heads_of, parent_of
 from mastturnd.alone import MIN_READ_INTERVAL_S, MISSED_READS, schedule_reads
 from tests.fabric import Process
 from tests.fabric_callers import PLATFORM, configuration, upstream
--- a/tests/test_dissemination_tables.py
+++ b/tests/test_dissemination_tables.py
@@ -19,7 +19,7 @@
     Pulse,
     UpstreamNews,
 )
-from dissemination.relays import DEGREE, parent_of, watched_by
+from dissemination.relay_tree import DEGREE, parent_of, watched_by
 
 KINDS: dict[str, Any] = {
     "upstreams": lambda e, n: UpstreamNews(e, n, b"%d.%d" % (e, n)),
