--- a/tallies/adds.py
+++ b/tallies/adds.py
@@ -10,8 +10,8 @@
 
 from loguru import logger
 
+from tallies.digest_tree import MAX_STAMP, MODULUS, ROOT, DigestTree, encode_hash_sum
 from tallies.messages import Add, Folded, FoldedAdds, State
-from tallies.ranges import MAX_STAMP, MODULUS, ROOT, DigestTree, encode_hash_sum
 
 
 class AddSet:
--- a/tallies/messages.py
+++ b/tallies/messages.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeDigest:
-    """The number of adds in a span of time and the sum of their hashes (see `tallies.ranges`)."""
+    """The number of adds in a span of time and the sum of their hashes (see `tallies.digest_tree`)."""
 
     level: Int32
     index: int
--- a/tallies/replica.py
+++ b/tallies/replica.py
@@ -16,6 +16,7 @@
 from loguru import logger
 
 from tallies.adds import AddSet
+from tallies.digest_tree import LEAF_MS, ROOT, Node, encode_hash_sum, span_ms
 from tallies.effects import Acknowledge, Effect, PersistAdds, PersistState, Send
 from tallies.messages import (
     Add,
@@ -30,7 +31,6 @@
     Summary,
     WantFolded,
 )
-from tallies.ranges import LEAF_MS, ROOT, Node, encode_hash_sum, span_ms
 
 PUSH_TIMEOUT_MS = 300.0  # A replica that leaves a push unconfirmed for this long is unreachable.
 # Interval between summaries to a peer while adds arrive or the two differ.
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from tallies.adds import AddSet
+from tallies.digest_tree import LEAF_MS, DigestTree, span_ms, sum_of
 from tallies.effects import Acknowledge, PersistAdds, PersistState, Send
 from tallies.messages import KINDS, Add, State
-from tallies.ranges import LEAF_MS, DigestTree, span_ms, sum_of
 from tallies.replica import FOLD_LEVEL, FOLD_SPANS, ID_RETENTION_MS, MAX_EXCHANGED_ADDS, TallyReplica
 
 EPOCH_MS = 1_790_000_000_000
--- a/tests/test_tallies_defects.py
+++ b/tests/test_tallies_defects.py
@@ -11,8 +11,8 @@
 from balancer import cold_share
 from balancer.cold_share import ColdShare
 from tallies.adds import AddSet
+from tallies.digest_tree import DigestTree, span_ms
 from tallies.messages import RangeAdds
-from tallies.ranges import DigestTree, span_ms
 from tallies.replica import FOLD_LEVEL, FOLD_SPANS, ID_RETENTION_MS, TallyReplica
 from tests import test_cold_upstreams as cold
 from tests.test_tallies import MERGE_MS, Net, settled_total
