--- a/passpost/client_connection.py
+++ b/passpost/client_connection.py
@@ -6,10 +6,10 @@
 import time
 from typing import Protocol
 
-from passpost.answer_writer import ResponseWriter
 from passpost.client_transport import LINGER_S, ClientTransport, Phase
 from passpost.exchange import Exchange, ExchangeServer
 from passpost.request_reader import ReaderServer, Request, RequestReader
+from passpost.response_writer import ResponseWriter
 from passpost.upstream_connection import set_dead_peer_timeout
 
 HEAD_READ_BYTES, BODY_READ_BYTES = 8 * 1024, 64 * 1024  # per read: unparsed bytes use our memory
--- a/passpost/exchange.py
+++ b/passpost/exchange.py
@@ -6,7 +6,6 @@
 import time
 from typing import Protocol
 
-from passpost.answer_writer import ResponseWriter, is_framed
 from passpost.attempt import OutgoingRequest
 from passpost.client_options import ClientOptions
 from passpost.client_transport import ClientTransport
@@ -14,6 +13,7 @@
 from passpost.engine import Client
 from passpost.http1 import FlowControl, Headers, Response, ResponseStart, end_to_end_headers, write_headers
 from passpost.request_reader import Request, RequestReader
+from passpost.response_writer import ResponseWriter, is_framed
 from passpost.validation import RequestHead
 
 log = logging.getLogger(__name__)
