--- a/tests/test_balancer_parts.py
+++ b/tests/test_balancer_parts.py
@@ -9,9 +9,9 @@
 import pytest
 
 from balancer import options
-from balancer.budget import LATE_S, SAFETY, RetryBudget
 from balancer.ingress import RoutedCall, read_head
 from balancer.prompt import Prompt, read_prompt
+from balancer.retry_budget import LATE_S, SAFETY, RetryBudget
 from balancer.routes import RouteTable, draw_service
 from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from config.configuration import ClientLimits, Configuration, Route, Service, Split
