--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -210,8 +210,8 @@
             for kind, status in (("served", 200), ("broken", 502), ("away", 503)):
                 answer = await client.ask("/pay", method="POST", X_What=kind)
                 assert answer is not None and answer.status == status
-            late = await client.ask(X_Remaining="0")
-            assert late is not None and late.status == 504
+            expired = await client.ask(X_Remaining="0")
+            assert expired is not None and expired.status == 504
             ready = await client.ask("/health/ready")
             assert ready is not None and ready.status == 200  # a readiness check is not counted
             bad = await (await b.connect()).ask("/nowhere")
@@ -395,8 +395,8 @@
             release.set()
             answer = await busy.answer()
             assert answer is not None and answer.status == 200 and not answer.reusable
-            late = await (await b.connect()).ask()
-            assert late is not None and late.status == 200 and not late.reusable
+            expired = await (await b.connect()).ask()
+            assert expired is not None and expired.status == 200 and not expired.reusable
             assert await b.call(b"resume") == b"OK back to work\n"
             assert await ready(b) == 200
             again = await (await b.connect()).ask()
--- a/tests/test_dead_upstreams.py
+++ b/tests/test_dead_upstreams.py
@@ -1,10 +1,8 @@
 """Incident MIXED, second report: an upstream that dies during a response (docs/incidents/mixed.md).
 
-A response with neither length nor chunks, cut 1 ms after it began, reached two clients as a complete 200: the
-FIN was taken for the end of the response, but the kernel also sends a FIN for each socket of a dying process
-that has no unread data. With upstreams that kill themselves there, 20 of 20 such responses looked complete,
-and none of 40 with a length or chunks. A new connection does not prove life, as the kernel closes the
-listener of a dead process last (2 of 20 trials still connected); a response does.
+Guards against taking the FIN of a dying process for the end of a response without length and chunks. The
+kernel sends one for each socket without unread data: 20 of 20 such responses looked complete, of 40 with a
+length or chunks none. A new connection proves no life, as the listener is closed last (2 of 20 trials).
 """
 
 from __future__ import annotations
@@ -111,14 +109,14 @@
     run(test())
 
 
-async def unframed(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
+async def respond_unframed(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
     writer.write((head(got, "\r\n") + "whole").encode())
     writer.close()
 
 
 def test_an_answer_whose_upstream_lives_on_is_whole_and_the_connection_that_asked_is_used_again() -> None:
     async def test() -> None:
-        upstream = FakeUpstream("u1", "", unframed, answer("200 OK", body="next"))
+        upstream = FakeUpstream("u1", "", respond_unframed, answer("200 OK", body="next"))
         async with running_balancer(upstream, config=UNSAFE) as play:
             reply = await play.ask("r1")
             assert (reply.whole, reply.body) == (True, b"whole")
@@ -131,7 +129,7 @@
 
 def test_an_answer_is_cut_where_another_upstream_has_the_address_by_now() -> None:
     async def test() -> None:
-        upstream = FakeUpstream("u1", "", unframed)
+        upstream = FakeUpstream("u1", "", respond_unframed)
         upstream.report = b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n"
         async with running_balancer(upstream, config=UNSAFE) as play:
             assert (await play.ask()).status == 502
@@ -146,15 +144,19 @@
     async def test() -> None:
         may_respond, is_done = asyncio.Event(), asyncio.Event()
 
-        async def whole_then_deaf(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
+        async def respond_then_stop_reading(
+            upstream: FakeUpstream, got: ReceivedRequest, writer: Writer
+        ) -> None:
             await answer("200 OK", body="first")(upstream, got, writer)
             await is_done.wait()  # nothing more is read from this connection
 
-        async def unframed_later(upstream: FakeUpstream, got: ReceivedRequest, writer: Writer) -> None:
+        async def respond_unframed_later(
+            upstream: FakeUpstream, got: ReceivedRequest, writer: Writer
+        ) -> None:
             await may_respond.wait()
-            await unframed(upstream, got, writer)
+            await respond_unframed(upstream, got, writer)
 
-        upstream = FakeUpstream("u1", "", whole_then_deaf, unframed_later)
+        upstream = FakeUpstream("u1", "", respond_then_stop_reading, respond_unframed_later)
         async with running_balancer(upstream, config=UNSAFE) as play:
             first = asyncio.create_task(play.ask("r1"))
             second = asyncio.create_task(play.ask("r2"))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -220,11 +220,11 @@
 
 
 def test_with_discovery_down_at_the_start_the_saved_list_serves() -> None:
-    def ask(data: dict[str, Any]) -> None:
+    def use_polling(data: dict[str, Any]) -> None:
         data["settings"]["discovery"] = "ask"
 
     async def test() -> None:
-        async with balancer(FakeServer(), change=ask) as b:  # nothing listens at the discovery address
+        async with balancer(FakeServer(), change=use_polling) as b:  # discovery is not listening
             await asyncio.sleep(0)
             client = await b.connect()
             for target in ("/health/ready", "/read"):
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -36,7 +36,7 @@
 LONG = bytes(range(256)) * 1024  # 256 KiB
 HEAD = b"HTTP/1.1 200 OK\r\n"
 SIZED = b"Content-Length: %d\r\n" % len(LONG)
-PAY = b"POST /pay HTTP/1.1\r\nX-Txn: a\r\n"
+PAY_HEAD = b"POST /pay HTTP/1.1\r\nX-Txn: a\r\n"
 
 
 def chunks(body: bytes, size: int = 50_000) -> bytes:
@@ -337,7 +337,7 @@
         async with balancer(FakeServer(reply)) as b:
             client, sending = await b.connect(), await b.connect()
             client.send()
-            sending.writer.write(PAY + b"Content-Length: 9000000\r\n\r\n" + bytes(100_000))
+            sending.writer.write(PAY_HEAD + b"Content-Length: 9000000\r\n\r\n" + bytes(100_000))
             seen = await client.reader.readuntil(b"\r\n\r\n")
             stopped = asyncio.get_running_loop().create_task(b.node.server.drain(0.0))
             await until(lambda: b.node.server.acceptor.listener.fileno() < 0)
@@ -443,7 +443,7 @@
         upstream.reads.clear()
         async with balancer_with(upstream) as b:
             client = await b.connect()
-            client.writer.write(PAY + b"X-Remaining: 0.2\r\nContent-Length: 200000\r\n\r\n")
+            client.writer.write(PAY_HEAD + b"X-Remaining: 0.2\r\nContent-Length: 200000\r\n\r\n")
             client.writer.write(bytes(100_000))
             await until(lambda: len(upstream.heads) == 1)
             await asyncio.sleep(0.4)  # longer than its deadline, which counts from the last byte
@@ -541,7 +541,7 @@
         upstream.reads.clear()
         async with balancer_with(upstream) as b:
             client = await b.connect()
-            client.writer.write(PAY + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
+            client.writer.write(PAY_HEAD + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
             raw = await client.reader.read()  # to the end: the rest of the body is not wanted
             assert raw.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in raw
             assert len(upstream.heads) == 1  # not retried, as its first part is gone
@@ -589,7 +589,7 @@
         upstream = FramedServer()
         async with balancer_with(upstream) as b:
             client = await b.connect()
-            client.writer.write(PAY + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
+            client.writer.write(PAY_HEAD + b"Content-Length: 200000\r\n\r\n" + bytes(100_000))
             await until(lambda: len(upstream.heads) == 1)
             client.writer.transport.abort()
             await until(lambda: upstream.lost == 1 and not _open(b))
@@ -678,7 +678,7 @@
             client = await b.connect()
             client.send()
             await until(lambda: len(upstream.got) == 1)
-            client.writer.write(PAY + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+            client.writer.write(PAY_HEAD + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
             (connection,) = b.node.server.acceptor.connections
             await until(lambda: connection.reader._expects_continue)
             upstream.reply = OK
--- a/tests/test_orders_upstreams.py
+++ b/tests/test_orders_upstreams.py
@@ -16,8 +16,8 @@
 from tests.loopback import OK, FakeServer, ReceivedRequest, Writer, balancer, run, silent, until
 from umberworks.interface import Outcome
 
-ASK = OutgoingRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
-PAY = OutgoingRequest(b"POST /pay HTTP/1.1\r\nX-Txn: b\r\nContent-Length: 300000\r\n", bytes(300_000))
+READ_REQUEST = OutgoingRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
+PAY_REQUEST = OutgoingRequest(b"POST /pay HTTP/1.1\r\nX-Txn: b\r\nContent-Length: 300000\r\n", bytes(300_000))
 
 
 def make_pool(server: FakeServer) -> Upstreams:
@@ -39,16 +39,16 @@
     async def test() -> None:
         server = FakeServer(silent)
         await server.start()
-        upstreams, ended = make_pool(server), list[Outcome]()
-        attempt = upstreams.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome))
+        upstreams, outcomes = make_pool(server), list[Outcome]()
+        attempt = upstreams.send("s0", READ_REQUEST, 5.0, lambda outcome, answer: outcomes.append(outcome))
         for _ in range(turns):
             await asyncio.sleep(0)
         attempt.cancel()
-        assert ended == [Outcome.CANCELLED] and upstreams._open_count == 0
+        assert outcomes == [Outcome.CANCELLED] and upstreams._open_count == 0
         for _ in range(20):
             await asyncio.sleep(0)
         await until(lambda: server.closed == server.connections)
-        assert ended == [Outcome.CANCELLED] and upstreams._open_count == 0
+        assert outcomes == [Outcome.CANCELLED] and upstreams._open_count == 0
         server.stop()
 
     run(test())
@@ -60,7 +60,7 @@
     async def test() -> None:
         server = FakeServer()
         await server.start()
-        upstreams, ended, attempts = make_pool(server), list[Outcome](), list[Attempt]()
+        upstreams, outcomes, attempts = make_pool(server), list[Outcome](), list[Attempt]()
         connection_made = UpstreamConnection.connection_made
 
         def cancel_first(connection: Any, transport: Any) -> None:
@@ -68,9 +68,11 @@
             connection_made(connection, transport)
 
         monkeypatch.setattr(UpstreamConnection, "connection_made", cancel_first)
-        attempts.append(upstreams.send("s0", ASK, 5.0, lambda outcome, answer: ended.append(outcome)))
+        attempts.append(
+            upstreams.send("s0", READ_REQUEST, 5.0, lambda outcome, answer: outcomes.append(outcome))
+        )
         await until(lambda: server.connections == 1 and server.closed == 1 and upstreams._open_count == 0)
-        assert ended == [Outcome.CANCELLED] and server.got == []
+        assert outcomes == [Outcome.CANCELLED] and server.got == []
         server.stop()
 
     run(test())
@@ -87,13 +89,13 @@
         await server.start()
         upstreams, got = make_pool(server), list[tuple[Outcome, bytes]]()
 
-        def done(outcome: Outcome, answer: Any) -> None:
+        def on_done(outcome: Outcome, answer: Any) -> None:
             got.append((outcome, answer.body if answer else b""))
 
-        upstreams.send("s0", ASK, 5.0, done)
+        upstreams.send("s0", READ_REQUEST, 5.0, on_done)
         await until(lambda: len(got) == 1)
         send_now(server, stray)
-        upstreams.send("s0", ASK, 5.0, done)
+        upstreams.send("s0", READ_REQUEST, 5.0, on_done)
         await until(lambda: len(got) == 2)
         assert got == [(Outcome.SERVED, b"right")] * 2
         assert server.connections == 2
@@ -106,9 +108,9 @@
 def test_a_request_that_may_not_run_twice_and_was_written_in_part_is_tried_elsewhere_once() -> None:
     # Its last byte was never sent, so it can't have run; whichever upstream gets it next runs it once.
     async def test() -> None:
-        taken = FakeServer()
-        stuck = FakeServer()
-        async with balancer(taken, stuck) as b:
+        accepting = FakeServer()
+        slow = FakeServer()
+        async with balancer(accepting, slow) as b:
             runs = 0
 
             async def count_run(request: ReceivedRequest, writer: Writer) -> None:
@@ -116,14 +118,14 @@
                 runs += 1
                 writer.write(OK)
 
-            taken.reply = stuck.reply = count_run
-            carry = UpstreamConnection.start_attempt
-            broken: list[Any] = []
+            accepting.reply = slow.reply = count_run
+            start_attempt = UpstreamConnection.start_attempt
+            aborted: list[Any] = []
 
             def break_once(connection: Any, attempt: Attempt) -> None:
-                carry(connection, attempt)
-                if not broken:
-                    broken.append(connection)
+                start_attempt(connection, attempt)
+                if not aborted:
+                    aborted.append(connection)
                     assert connection.is_unwritten  # more than the kernel's buffers hold
                     connection._transport.abort()
 
@@ -145,32 +147,32 @@
     # Within the window an upstream detects the repeat; after that it would run a second time.
     window = 0.3
 
-    def short(data: dict[str, Any]) -> None:
+    def shorten_window(data: dict[str, Any]) -> None:
         data["settings"]["classes"][1]["repeatWindow"] = window * 1000
 
     async def test() -> None:
-        establish, connect_count, over = module.Upstreams._establish, 0, asyncio.Event()
+        establish, connect_count, window_ended = module.Upstreams._establish, 0, asyncio.Event()
 
         async def establish_late(*args: Any) -> bool:
             nonlocal connect_count
             connect_count += 1
             if connect_count > 1 and late:  # also that of a probe, which the repeat could use
-                await over.wait()
+                await window_ended.wait()
             return await establish(*args)
 
         async def break_once(request: ReceivedRequest, writer: Writer) -> None:
             writer.transport.abort()  # it may have run
             for server in servers:
                 server.reply = OK
-            asyncio.get_running_loop().call_later(window + 0.05, over.set)
+            asyncio.get_running_loop().call_later(window + 0.05, window_ended.set)
 
         monkeypatch.setattr(module.Upstreams, "_establish", establish_late)
         servers = [FakeServer(break_once), FakeServer(break_once)]
-        async with balancer(*servers, change=short) as b:
+        async with balancer(*servers, change=shorten_window) as b:
             client = await b.connect()
             answer = await client.ask("/order", method="POST", Idempotency_Key="k")
             assert answer is not None and answer.status == (502 if late else 200)
-            await over.wait()
+            await window_ended.wait()
             assert sum(len(server.got) for server in servers) == (1 if late else 2)
 
     run(test())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -55,11 +55,11 @@
 
 @asynccontextmanager
 async def attempt_runner(
-    *servers: FakeServer | CuttingServer, max_open: int = 10, idle: float = 30.0
+    *servers: FakeServer | CuttingServer, max_connections: int = 10, idle: float = 30.0
 ) -> AsyncIterator[AttemptRunner]:
     for server in servers:
         await server.start()
-    upstreams = Upstreams(5.0, idle, max_open)
+    upstreams = Upstreams(5.0, idle, max_connections)
     upstreams.start()
     upstreams.set_addresses({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
     try:
@@ -291,7 +291,7 @@
 def test_at_the_limit_the_oldest_idle_connection_gives_way() -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer(silent)
-        async with attempt_runner(first, second, max_open=1) as runner:
+        async with attempt_runner(first, second, max_connections=1) as runner:
             assert await runner.outcome("s0") is Outcome.SERVED
             held = runner.send("s1")
             await until(held.is_written)
@@ -353,7 +353,7 @@
 def test_a_probe_that_can_not_be_made_tells_nothing_against_the_upstream() -> None:
     async def play() -> None:
         server = FakeServer(silent)
-        async with attempt_runner(server, max_open=1) as runner:
+        async with attempt_runner(server, max_connections=1) as runner:
             found = list[bool]()
             runner.send()
             await until(lambda: len(server.got) == 1)
--- a/tests/test_upstream_closes.py
+++ b/tests/test_upstream_closes.py
@@ -30,9 +30,9 @@
 
 
 @asynccontextmanager
-async def liveness_runner(server: FakeServer, max_open: int = 10) -> AsyncIterator[AttemptRunner]:
+async def liveness_runner(server: FakeServer, max_connections: int = 10) -> AsyncIterator[AttemptRunner]:
     await server.start()
-    upstreams = Upstreams(5.0, 30.0, max_open, UpstreamOptions(liveness_request=liveness_request))
+    upstreams = Upstreams(5.0, 30.0, max_connections, UpstreamOptions(liveness_request=liveness_request))
     upstreams.set_addresses({"s0": parse_address(server.host_port)})
     try:
         yield AttemptRunner(upstreams)
@@ -112,7 +112,7 @@
 def test_an_upstream_that_can_not_be_asked_is_believed() -> None:
     async def test() -> None:
         server = half_closing_server(OK)
-        async with liveness_runner(server, max_open=1) as runner:
+        async with liveness_runner(server, max_connections=1) as runner:
             assert await runner.outcome() is Outcome.SERVED
             assert server.connections == 1
 
