--- a/mastturnd/__main__.py
+++ b/mastturnd/__main__.py
@@ -1,17 +1,17 @@
-"""`python3 -m mastturnd ROLE`: one program, and the role is a subcommand.
+"""Command line of the program: `python3 -m mastturnd ROLE`; the role is a subcommand.
 
-Settings come from the YAML file that `MASTTURN_CONFIG` names. SIGHUP reads it again, SIGTERM ends the
-process in order. What hosts a role (`mastturnd.hosting`) is loaded once clients can connect: to load it takes
-most of the time of a start.
+Settings are read from the YAML file named by `MASTTURN_CONFIG`. SIGHUP reloads them; SIGTERM shuts the
+process down gracefully. The module that hosts a role (`mastturnd.hosting`) is imported after the client
+socket is listening, because importing it takes most of the startup time.
 """
 
 from __future__ import annotations
 
 import signal
 
-if (
-    __name__ == "__main__"
-):  # unhandled it ends us, and to import the rest takes time; the file is read after that
+# An unhandled SIGHUP would end the process during the slow imports below. Ignoring it loses nothing: the
+# settings file is read after them.
+if __name__ == "__main__":
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import os
@@ -22,22 +22,22 @@
 from config.errors import FleetError, SettingsError
 from config.settings import Settings, parse_address
 from mastturnd.roles import BALANCER, CONTROL, ROLES, current_name
-from mastturnd.wrong import WrongCallError
+from mastturnd.wrong import UsageError
 from passpost.listening import listen
 
-OPERATORS = ("status", "config", "drain", "undrain", "trace", "explain")  # their commands
+OPERATOR_COMMANDS = ("status", "config", "drain", "undrain", "trace", "explain")
 USAGE = (
     "usage: python3 -m mastturnd [--log_level=LEVEL] ROLE, with ROLE one of: "
     + ", ".join(ROLES)
     + "; or an operator's command: "
-    + ", ".join(OPERATORS)
+    + ", ".join(OPERATOR_COMMANDS)
 )
-USUAL_LOG_LEVEL = "INFO"
+DEFAULT_LOG_LEVEL = "INFO"
 
 
-def _check(name: str, settings: Settings) -> None:
-    """Whether the settings hold what a role needs; raises SettingsError."""
-    needed = {
+def _require_settings(name: str, settings: Settings) -> None:
+    """Raise SettingsError if a setting that the role requires is missing or unusable."""
+    required = {
         BALANCER: [
             ("listen.http", settings.listen.http, "name the address for clients"),
             ("listen.readyz", settings.listen.readyz, "name the address at which readiness is asked for"),
@@ -46,7 +46,7 @@
             ("listen.ctl", settings.listen.ctl, "name the address for operators"),
         ],
     }
-    for field, value, remedy in needed[name]:
+    for field, value, remedy in required[name]:
         if not value:
             raise SettingsError(f"there is no {field}", remedy)
     if name == CONTROL and settings.quorum_member and not settings.data_dir:
@@ -57,10 +57,10 @@
         )
 
 
-def _listen_early(name: str, settings: Settings) -> socket.socket | None:
-    """The socket for clients: they wait there while the rest is loaded, in place of being refused.
+def _bind_client_socket(name: str, settings: Settings) -> socket.socket | None:
+    """Return the listening client socket; clients queue on it during imports instead of being refused.
 
-    Raises OSError where the address can't be had.
+    Raises OSError if the address is not available.
     """
     if name != BALANCER or settings.listen.http is None:
         return None
@@ -68,22 +68,22 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the program; the exit code is 2 for a wrong call and 1 for settings that can't be used.
+    """Run the program; returns 2 for a usage error and 1 for unusable settings.
 
-    Operators' commands have codes of their own (docs/OPERATE.md).
+    Operators' commands have exit codes of their own (docs/OPERATE.md).
     """
     has_role = any(current_name(word) in ROLES for word in argv[1:])
-    if any(word in OPERATORS for word in argv[1:]) and not has_role:
-        from mastturnd.commands import main as operate
+    if any(word in OPERATOR_COMMANDS for word in argv[1:]) and not has_role:
+        from mastturnd.commands import main as run_command
 
-        return operate(argv[1:])
-    rest, log_level = argv[1:], USUAL_LOG_LEVEL
+        return run_command(argv[1:])
+    rest, log_level = argv[1:], DEFAULT_LOG_LEVEL
     if any(word.startswith("-") for word in rest):
         from mastturnd import role_flags
 
         try:
             rest, log_level = role_flags.parse(argv)
-        except WrongCallError as error:
+        except UsageError as error:
             print(f"{error.problem}; {USAGE}", file=sys.stderr)
             return 2
     role = current_name(rest[0]) if len(rest) == 1 else ""
@@ -94,8 +94,8 @@
         print(f"the role {rest[0]} is named {role} now; name it so", file=sys.stderr)
     try:
         settings = settings_file.read()
-        _check(role, settings)
-        listener = _listen_early(role, settings)
+        _require_settings(role, settings)
+        listener = _bind_client_socket(role, settings)
         from mastturnd import hosting
 
         hosting.run(role, settings, log_level, listener)
--- a/mastturnd/configuring.py
+++ b/mastturnd/configuring.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the configuration: read, put, compare, check; and the drains that are part of it."""
+"""Operators' commands on the configuration, including drains: read, put, patch, compare, validate."""
 
 from __future__ import annotations
 
@@ -13,153 +13,160 @@
 from config.errors import InvalidConfigurationError
 from config.patching import Patch, apply_patch, parse_patch
 from mastturnd import asking
-from mastturnd.draining import FIELD, names_of
-from mastturnd.wrong import FailedError, RefusedError, WrongCallError
+from mastturnd.draining import FIELD, drained_nodes
+from mastturnd.wrong import CommandFailedError, RequestRefusedError, UsageError
 
-MOST_FILE = 4 * 1024 * 1024  # bytes; more is not taken
+MAX_FILE_BYTES = 4 * 1024 * 1024  # longer files are refused
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """The newest configuration, as it was sent; version 0 while there is none."""
+class CurrentConfiguration:
+    """The newest configuration as it was sent; version 0 while there is none."""
 
     ver: int
     body: bytes
 
     def raw(self) -> dict[str, Any]:
-        """Its JSON."""
+        """Return its JSON."""
         found: dict[str, Any] = json.loads(self.body) if self.body else {}
         return found
 
 
 def read_file(name: str) -> bytes:
-    """A file's bytes; raises WrongCallError."""
+    """Return the bytes of a file; raises UsageError."""
     try:
         with Path(name).open("rb") as file:
-            body = file.read(MOST_FILE + 1)
+            body = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise WrongCallError(f"{name} can't be read ({error.strerror})", "name a readable file") from None
-    if len(body) > MOST_FILE:
-        raise WrongCallError(f"{name} is longer than {MOST_FILE} bytes", "name a configuration's file")
+        raise UsageError(f"{name} can't be read ({error.strerror})", "name a readable file") from None
+    if len(body) > MAX_FILE_BYTES:
+        raise UsageError(f"{name} is longer than {MAX_FILE_BYTES} bytes", "name a configuration's file")
     return body
 
 
-def checked(body: bytes, name: str) -> dict[str, Any]:
-    """The JSON of a good configuration; raises FailedError that names the field and the remedy."""
+def parse_valid(body: bytes, name: str) -> dict[str, Any]:
+    """Return the JSON of a valid configuration; raises CommandFailedError with the field and the remedy."""
     try:
         check(body)
     except InvalidConfigurationError as error:
-        raise FailedError(f"{name}: {error.problem}", error.remedy) from None
+        raise CommandFailedError(f"{name}: {error.problem}", error.remedy) from None
     raw: dict[str, Any] = json.loads(body)
-    if names_of(raw) is None:
-        raise FailedError(f"{name}: {FIELD} is no list of names", f'write it as "{FIELD}": ["edge-1"]')
+    if drained_nodes(raw) is None:
+        raise CommandFailedError(f"{name}: {FIELD} is no list of names", f'write it as "{FIELD}": ["edge-1"]')
     return raw
 
 
-def current(ctl: list[str], within_s: float) -> InForce:
-    """The newest configuration; raises UnansweredError or RefusedError."""
-    answer = asking.any_of(ctl, "GET", "/api/config", within_s=within_s)
+def fetch_current(ctl: list[str], within_s: float) -> CurrentConfiguration:
+    """Return the newest configuration; raises NoAnswerError or RequestRefusedError."""
+    answer = asking.call_any(ctl, "GET", "/api/config", within_s=within_s)
     if answer.status == 404:
-        return InForce(0, b"")
+        return CurrentConfiguration(0, b"")
     if answer.status != 200:
-        raise RefusedError(f"{answer.by} says: {answer.words()}", "see its log", answer.status)
-    return InForce(int(answer.json()["ver"]), answer.body)
+        raise RequestRefusedError(
+            f"{answer.endpoint} says: {answer.error_text()}", "see its log", answer.status
+        )
+    return CurrentConfiguration(int(answer.json()["ver"]), answer.body)
 
 
 def put(ctl: list[str], body: bytes, base: int, within_s: float) -> None:
-    """Have it taken on top of `base`, the same bytes again until the answer is clear."""
+    """Replace version `base` by a configuration; the same bytes are resent until the answer is conclusive."""
     _send(ctl, "PUT", body, base, within_s)
 
 
 def send_patch(ctl: list[str], body: bytes, base: int, within_s: float) -> None:
-    """Have named items of version `base` changed, as `put` does."""
+    """Change named items of version `base`; retries as `put` does."""
     _send(ctl, "PATCH", body, base, within_s)
 
 
 def _send(ctl: list[str], method: str, body: bytes, base: int, within_s: float) -> None:
     headers = {"If-Match": str(base), "Content-Type": "application/json"}
-    answer = asking.any_of(ctl, method, "/api/config", body, headers, within_s)
+    answer = asking.call_any(ctl, method, "/api/config", body, headers, within_s)
     if answer.status == 200:
         return
     remedy = {
         412: "look at `config diff`, and put it on top of the newest",
         413: "send a shorter one",
     }.get(answer.status, "put that right in the file")
-    raise RefusedError(f"{answer.by} says: {answer.words()}", remedy, answer.status)
+    raise RequestRefusedError(f"{answer.endpoint} says: {answer.error_text()}", remedy, answer.status)
 
 
-def patched(body: bytes, name: str, now: InForce, next_ver: bool) -> tuple[bytes, Patch, dict[str, Any]]:
-    """A patch as it is to be sent, what it says, and what comes of it; raises FailedError."""
+def prepare_patch(
+    body: bytes, name: str, current: CurrentConfiguration, next_ver: bool
+) -> tuple[bytes, Patch, dict[str, Any]]:
+    """Return the patch to send, its parsed form and the result; raises CommandFailedError."""
     try:
         patch = parse_patch(body)
         if next_ver:
-            body = json.dumps(json.loads(body) | {"ver": now.ver + 1}).encode()
+            body = json.dumps(json.loads(body) | {"ver": current.ver + 1}).encode()
             patch = parse_patch(body)
-        result = apply_patch(now.body, patch, ConfigurationReader())
+        result = apply_patch(current.body, patch, ConfigurationReader())
     except InvalidConfigurationError as error:
-        raise FailedError(f"{name}: {error.problem}", error.remedy) from None
+        raise CommandFailedError(f"{name}: {error.problem}", error.remedy) from None
     return body, patch, json.loads(result.body)
 
 
-def prepared(body: bytes, name: str, now: InForce, next_ver: bool) -> tuple[bytes, dict[str, Any], list[str]]:
-    """What to send for a file, its JSON, and what was changed in it: a new number, and drains that go on."""
-    raw = checked(body, name)
+def prepare_put(
+    body: bytes, name: str, current: CurrentConfiguration, next_ver: bool
+) -> tuple[bytes, dict[str, Any], list[str]]:
+    """Return the body to send, its JSON, and notes on changes: a new version, drains carried over."""
+    raw = parse_valid(body, name)
     notes = []
-    drained = names_of(now.raw()) or ()
+    drained = drained_nodes(current.raw()) or ()
     if FIELD not in raw and drained:
         raw[FIELD] = list(drained)
         notes.append(f"{', '.join(drained)} stay drained; `undrain` ends that")
-    if next_ver and raw["ver"] != now.ver + 1:
-        raw["ver"] = now.ver + 1
-        notes.append(f"it gets version {now.ver + 1}")
+    if next_ver and raw["ver"] != current.ver + 1:
+        raw["ver"] = current.ver + 1
+        notes.append(f"it gets version {current.ver + 1}")
     return (json.dumps(raw).encode() if notes else body), raw, notes
 
 
-def change_drain(ctl: list[str], node: str, drains: bool, within_s: float) -> tuple[int, bool]:
-    """Have a balancer drained or no longer; the version that says so, and whether that is a new one."""
-    until = time.monotonic() + within_s
+def change_drain(ctl: list[str], node: str, drained: bool, within_s: float) -> tuple[int, bool]:
+    """Drain or undrain a balancer; returns the version with the change, and whether it is new."""
+    deadline = time.monotonic() + within_s
     while True:
-        now = current(ctl, within_s)
-        if not now.ver:
-            raise FailedError("there is no configuration yet", "put one first")
-        raw = now.raw()
-        names = set(names_of(raw) or ())
-        if (node in names) == drains:
-            return now.ver, False
+        current = fetch_current(ctl, within_s)
+        if not current.ver:
+            raise CommandFailedError("there is no configuration yet", "put one first")
+        raw = current.raw()
+        names = set(drained_nodes(raw) or ())
+        if (node in names) == drained:
+            return current.ver, False
         names ^= {node}
-        raw |= {FIELD: sorted(names), "ver": now.ver + 1}
+        raw |= {FIELD: sorted(names), "ver": current.ver + 1}
         if not names:
             del raw[FIELD]
         try:
-            put(ctl, json.dumps(raw).encode(), now.ver, within_s)
-        except RefusedError as error:
-            if error.status != 412 or time.monotonic() >= until:  # somebody else was first: on top of theirs
+            put(ctl, json.dumps(raw).encode(), current.ver, within_s)
+        except RequestRefusedError as error:
+            # A concurrent change was first: retry on top of it.
+            if error.status != 412 or time.monotonic() >= deadline:
                 raise
             continue
-        return now.ver + 1, True
+        return current.ver + 1, True
 
 
-def until(condition: Callable[[], bool], within_s: float) -> bool:
-    """Whether a condition holds within so long; it is looked at three times a second."""
-    ends = time.monotonic() + within_s
+def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
+    """Return whether a condition holds within the given seconds; polls every 0.3 s."""
+    deadline = time.monotonic() + within_s
     while not condition():
-        if time.monotonic() >= ends:
+        if time.monotonic() >= deadline:
             return False
         time.sleep(0.3)
     return True
 
 
-# ---- what differs
+# ---- differences
 
 
 def differences(old: dict[str, Any], new: dict[str, Any]) -> list[dict[str, Any]]:
-    """Each field that differs, by its path; routes and services are told apart by their names."""
+    """Return each differing field by its path; routes and services are matched by name."""
     found: list[dict[str, Any]] = []
-    _compare("", _named(old), _named(new), found)
+    _compare("", _index_by_name(old), _index_by_name(new), found)
     return found
 
 
-def _named(raw: dict[str, Any]) -> dict[str, Any]:
+def _index_by_name(raw: dict[str, Any]) -> dict[str, Any]:
     named = dict(raw)
     for part in ("routes", "svcs"):
         if isinstance(raw.get(part), list):
@@ -183,8 +190,8 @@
     found.append({"path": path, "change": "~", "old": old, "new": new})
 
 
-def line_of(difference: dict[str, Any]) -> str:
-    """One difference for people."""
+def format_difference(difference: dict[str, Any]) -> str:
+    """Format one difference as a line."""
     old, new = (json.dumps(difference[k]) if k in difference else "" for k in ("old", "new"))
-    told = f"{old} -> {new}" if difference["change"] == "~" else old or new
-    return f"{difference['change']} {difference['path']}: {told}"
+    values = f"{old} -> {new}" if difference["change"] == "~" else old or new
+    return f"{difference['change']} {difference['path']}: {values}"
--- a/mastturnd/role_flags.py
+++ b/mastturnd/role_flags.py
@@ -1,10 +1,10 @@
-"""The flags of a role's command line; loaded only where there are any, as a process starts often."""
+"""Command-line flags of a role; imported only if there are any, to keep the start fast."""
 
 from __future__ import annotations
 
 from absl import flags
 
-from mastturnd.wrong import WrongCallError
+from mastturnd.wrong import UsageError
 
 FLAGS = flags.FLAGS
 flags.DEFINE_enum(
@@ -13,9 +13,9 @@
 
 
 def parse(argv: list[str]) -> tuple[list[str], str]:
-    """The words beside the flags, and the level of the log; raises WrongCallError."""
+    """Return the positional arguments and the log level; raises UsageError."""
     try:
         rest: list[str] = FLAGS(argv)[1:]
     except flags.Error as error:
-        raise WrongCallError(str(error), "") from None
+        raise UsageError(str(error), "") from None
     return rest, str(FLAGS.log_level)
--- a/mastturnd/wrong.py
+++ b/mastturnd/wrong.py
@@ -1,30 +1,30 @@
-"""What an operator's command can end with other than done, as typed errors; each names the remedy."""
+"""Errors of the operators' commands, each with a remedy and an exit code."""
 
 from __future__ import annotations
 
 from config.errors import FleetError
 
-DONE, FAILED, WRONG_CALL, DIFFERS = 0, 1, 2, 3  # exit codes
+DONE, FAILED, USAGE_ERROR, DIFFERS = 0, 1, 2, 3  # exit codes
 
 
-class WrongCallError(FleetError):
-    """The command can't be understood, or names what is not there."""
+class UsageError(FleetError):
+    """The command line is invalid or names something that does not exist."""
 
-    code = WRONG_CALL
+    code = USAGE_ERROR
 
 
-class FailedError(FleetError):
-    """It was understood, and is not done."""
+class CommandFailedError(FleetError):
+    """The command is valid but could not be completed."""
 
     code = FAILED
 
 
-class UnansweredError(FailedError):
-    """Nobody who could tell gives an answer."""
+class NoAnswerError(CommandFailedError):
+    """No process gave a conclusive answer."""
 
 
-class RefusedError(FailedError):
-    """The control state says no."""
+class RequestRefusedError(CommandFailedError):
+    """A control process refused the request."""
 
     def __init__(self, wrong: str, remedy: str, status: int) -> None:
         super().__init__(wrong, remedy)
--- a/tests/test_mastturnd_cli_present.py
+++ b/tests/test_mastturnd_cli_present.py
@@ -1,4 +1,7 @@
-"""Commands that name a balancer, while the primary doesn't name it yet or nobody leads for a moment."""
+"""Commands that name a balancer while the primary does not list it yet or there is no primary.
+
+Guards against commands that fail on a list that is about to change, and against waits longer than asked for.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +16,13 @@
 from mastturnd import asking, fleet_status, present
 from mastturnd.answers import is_status
 from tests.fabric_callers import configuration
-from tests.test_mastturnd_cli_commands import Answer, Ctl, _balancer
+from tests.test_mastturnd_cli_commands import Answer, FakeControlServer, _balancer
 
 NAMES = ("edge-a", "edge-b", "edge-c")
 
 
 class Clock:
-    """Time that goes on only where somebody waits: no test sleeps."""
+    """A fake clock that advances only in sleep()."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -32,18 +35,20 @@
 
 
 class Fleet:
-    """One control process, whose word on who is present is told by a script, and its balancers."""
+    """One control process whose list of balancers is scripted, and its balancers."""
 
     def __init__(self, *words: Any) -> None:
-        self.words = list(words)  # a tuple of names, "nobody leads", or a status; the last one stays
+        self.words = list(
+            words
+        )  # a tuple of names, "nobody leads", or an HTTP status; the last one is repeated
         self.drained: set[str] = set()
         self.body = configuration(5)
-        self.busy = 0  # so many questions of why are answered with 429 first
-        self.asked = 0  # who is present
-        self.epoch = 3  # until a word begins with another
-        self.leads_ms: int | None = None  # a later word's is so much more
-        self.ctl = Ctl(self._control)
-        self.readiness = Ctl(self._balancer)
+        self.busy = 0  # number of explain calls answered with 429 first
+        self.asked = 0  # status calls so far
+        self.epoch = 3  # until a scripted answer begins with another
+        self.leads_ms: int | None = None  # grows with each answer
+        self.ctl = FakeControlServer(self._control)
+        self.readiness = FakeControlServer(self._balancer)
         self.ip, port = self.readiness.place.split(":")
         self.flags = [f"--ctl={self.ctl.place}", f"--readyz_port={port}"]
 
@@ -92,7 +97,7 @@
     found = Clock()
     monkeypatch.setattr(present, "time", found)
     monkeypatch.setattr(asking, "time", found)
-    monkeypatch.setattr(fleet_status, "AGAIN_S", 0.0)
+    monkeypatch.setattr(fleet_status, "RETRY_DELAY_S", 0.0)
     monkeypatch.delenv(settings_file.VARIABLE, raising=False)
     return found
 
@@ -150,7 +155,7 @@
     fleets.append(fleet := Fleet(NAMES))
     assert mastturnd.main(["mastturnd", *command.split(), *fleet.flags]) == 2
     assert "no balancer 'edge-x' is present; name one of: edge-a, edge-b, edge-c" in capsys.readouterr().err
-    assert 8 * present.NAMED_SHARE <= clock.now - 100 <= 8 * present.NAMED_SHARE + present.AGAIN_S
+    assert 8 * present.WAIT_SHARE <= clock.now - 100 <= 8 * present.WAIT_SHARE + present.RETRY_DELAY_S
 
 
 def test_a_zone_that_is_too_small_is_told_after_a_part_of_the_time(
@@ -159,7 +164,7 @@
     fleets.append(fleet := Fleet(NAMES))
     assert mastturnd.main(["mastturnd", "drain", "edge-c", *fleet.flags]) == 1
     assert "that leaves 0 of 1 balancers of hall-b" in capsys.readouterr().err
-    assert clock.now - 100 <= 8 * present.NAMED_SHARE + present.AGAIN_S
+    assert clock.now - 100 <= 8 * present.WAIT_SHARE + present.RETRY_DELAY_S
     assert mastturnd.main(["mastturnd", "drain", "edge-c", "--force", *fleet.flags]) == 0
 
 
@@ -169,7 +174,7 @@
     fleets.append(fleet := Fleet(()))
     assert mastturnd.main(["mastturnd", "explain", "edge-a", *fleet.flags]) == 2
     assert "name one of: none" in capsys.readouterr().err
-    assert 8 <= clock.now - 100 <= 8 + present.AGAIN_S
+    assert 8 <= clock.now - 100 <= 8 + present.RETRY_DELAY_S
 
 
 def test_primaries_that_follow_one_another_without_end_are_waited_for_no_longer_than_was_asked(
@@ -178,7 +183,7 @@
     fleets.append(fleet := Fleet(*((epoch, "edge-c") for epoch in range(3, 99))))
     assert mastturnd.main(["mastturnd", "explain", "edge-a", *fleet.flags]) == 2
     assert "name one of: edge-c" in capsys.readouterr().err
-    assert 8 <= clock.now - 100 <= 8 + present.AGAIN_S
+    assert 8 <= clock.now - 100 <= 8 + present.RETRY_DELAY_S
 
 
 @pytest.mark.parametrize("command", ["explain edge-a", "drain edge-b"])
@@ -188,7 +193,7 @@
     fleets.append(fleet := Fleet("nobody leads"))
     assert mastturnd.main(["mastturnd", *command.split(), *fleet.flags]) == 1
     assert "nobody leads within 8 s" in capsys.readouterr().err
-    assert 8 <= clock.now - 100 <= 8 + present.AGAIN_S
+    assert 8 <= clock.now - 100 <= 8 + present.RETRY_DELAY_S
 
 
 def test_a_change_that_is_taken_is_done_though_nobody_names_the_balancer_after(
@@ -243,7 +248,7 @@
     fleets.append(fleet := Fleet(()))
     assert mastturnd.main(["mastturnd", "status", *fleet.flags]) == 3
     assert "! core-a: names no balancer: start one" in capsys.readouterr().out
-    assert clock.now - 100 <= 8 * present.NAMED_SHARE + present.AGAIN_S
+    assert clock.now - 100 <= 8 * present.WAIT_SHARE + present.RETRY_DELAY_S
     fleets.append(fleet := Fleet(NAMES))
     fleet.leads_ms = 400
     assert mastturnd.main(["mastturnd", "status", "--within_s=0", *fleet.flags]) == 3
