--- a/mastturnd/balancer_figures.py
+++ b/mastturnd/balancer_figures.py
@@ -32,7 +32,7 @@
     return [
         gauge("station_ready", "1 while readiness is answered with 200.", report["ready"]),
         gauge("station_drained", "1 while the configuration drains this balancer.", report["drained"]),
-        gauge("station_news_fresh", "1 while updates of the control state arrive.", report["fresh"]),
+        gauge("station_news_fresh", "1 while the control state is heard of.", report["fresh"]),
         gauge("station_configuration_version", "Version in force here, 0 without one.", report["ver"]),
     ]
 
@@ -42,11 +42,11 @@
     refused, read = report["refused"], counters.tokens_read
     return [
         gauge("station_requests_in_flight", "Requests taken and not answered.", report["in_flight"]),
-        by("station_requests_total", "counter", "Requests that have ended, by outcome.", "end", ended),
+        by("station_requests_total", "counter", "Requests that have ended, by how.", "end", ended),
         by(
             "station_refusals_total",
             "counter",
-            "Requests refused before they ran, by reason.",
+            "Requests that got no run, by why.",
             "reason",
             refused,
         ),
@@ -60,20 +60,20 @@
         by(
             "station_calls_to_cold_total",
             "counter",
-            "Calls to upstreams still warming up after a start; again: after another upstream failed.",
+            "Calls to upstreams that are slow yet after a start; again: after another upstream has failed.",
             "try",
             {which.value: float(n) for which, n in counters.calls_to_cold.items()},
         ),
         by(
             "station_prompt_tokens_total",
             "counter",
-            "Prompt tokens sent to prefill; again: of a request that was sent to prefill before.",
+            "Prompt tokens sent to be read; again: of a request that was sent to be read before.",
             "read",
             {"first": read, "again": counters.tokens_reread},
         ),
         counter(
             "station_shared_tokens_again_total",
-            "Tokens of shared prefixes sent to prefill while another upstream has them cached.",
+            "Tokens of shared parts sent to be read while another upstream has them.",
             counters.shared_tokens_reread,
         ),
     ]
@@ -83,19 +83,19 @@
     return [
         by_labels(
             "station_upstream_answers_total",
-            "Upstream responses that have ended, by framing and by end.",
+            "Answers of upstreams that have ended, by how they tell their end and by what ended them.",
             ("framing", "end"),
             {(framing.value, end.value): n for (framing, end), n in answers.ends.items()},
         ),
         gauge(
             "station_upstreams_unframed",
-            "Upstreams seen since the start whose responses have neither a length nor chunks.",
+            "Upstreams seen since the start whose answers have neither length nor chunks.",
             len(answers.unframed),
         ),
         by(
             "station_upstream_misuses_total",
             "counter",
-            "Data from upstreams that belongs to no request in flight; the connection is closed.",
+            "What upstreams sent that belongs to no request that is out; its connection is given up.",
             "by",
             {misuse.value: answers.misuses[misuse] for misuse in Misuse},
         ),
@@ -104,11 +104,11 @@
 
 def _control_state_metrics(report: Status) -> list[Metric]:
     age = report["news_age_s"]
-    since = "Time since the last update of the control state."
+    since = "Since the control state was last heard of."
     return [
-        gauge("station_epoch", "Epoch of the last known primary.", report["epoch"]),
+        gauge("station_epoch", "The epoch of whoever leads, as last heard of.", report["epoch"]),
         *([gauge("station_news_age_seconds", since, age)] if age is not None else []),
-        counter("station_list_calls_total", "Pages requested of the platform's list.", report["list_calls"]),
+        counter("station_list_calls_total", "Pages of the platform's list asked for.", report["list_calls"]),
     ]
 
 
@@ -119,22 +119,22 @@
         by(
             "station_upstreams_silent",
             "gauge",
-            "Upstreams with an overdue response.",
+            "Upstreams that owe us a word.",
             "part",
             parts["silent"],
         ),
         by(
             "station_upstreams_distrusted",
             "gauge",
-            "Upstreams ejected because too many requests failed there.",
+            "Upstreams that get nothing new as too many requests failed there.",
             "part",
             parts["distrusted"],
         ),
-        by("station_upstream_calls", "gauge", "Calls of this balancer in flight.", "part", parts["calls"]),
+        by("station_upstream_calls", "gauge", "Our calls out.", "part", parts["calls"]),
         by(
             "station_upstream_tokens",
             "gauge",
-            "Prompt tokens pending for this balancer.",
+            "Prompt tokens read for us.",
             "part",
             parts["tokens"],
         ),
--- a/mastturnd/referral_figures.py
+++ b/mastturnd/referral_figures.py
@@ -14,7 +14,7 @@
 def metrics(node: ReferralNode) -> list[Metric]:
     """Return the metrics of such a process."""
     return [
-        gauge("station_led", "1 while a primary is known to be alive.", node.leader() is not None),
+        gauge("station_led", "1 while a primary is heard of.", node.leader() is not None),
         gauge("process_resident_memory_bytes", "Memory in use.", memory_kb() * 1024),
         counter("process_cpu_seconds_total", "Processor time.", processor_s()),
     ]
