--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -118,7 +118,7 @@
             check(self, data, start, end)
         return True
 
-    _replace(ActiveRequest, "_common", skip_one)
+    _replace(ActiveRequest, "_common_headers", skip_one)
     _replace(EventReader, "_check", accept)
 
 
