--- a/mastturnd/explanation.py
+++ b/mastturnd/explanation.py
@@ -1,4 +1,4 @@
-"""What `explain` prints for people: ready sets, and the choices that were made, as tables."""
+"""Formats the answer of `explain` as tables: ready sets, and recorded choices."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from mastturnd.tables import table
 
 
-def lines_of_explanation(found: dict[str, Any]) -> list[str]:
-    """A balancer's ready sets, and its recorded choices, as lines for people."""
+def format_explanation(explanation: dict[str, Any]) -> list[str]:
+    """Return a balancer's ready sets and recorded choices as lines of text."""
     head = [
         "UPSTREAM",
         "ZONE",
@@ -21,10 +21,13 @@
         "CHOSEN",
         "HELD BACK",
     ]
-    lines = [f"{found['node']}: of {found['draws']} draws the lowest load is kept: (in flight + 1) / per s"]
-    for group in found["groups"]:
+    lines = [
+        f"{explanation['node']}: of {explanation['draws']} draws the lowest load is kept: "
+        "(in flight + 1) / per s"
+    ]
+    for group in explanation["groups"]:
         lines += ["", f"{group['svc']} {group['part'] or 'whole'}:", *table(head, _rows(group["upstreams"]))]
-    for choice in found.get("choices", []):
+    for choice in explanation.get("choices", []):
         chosen = next(r for r in choice["considered"] if r["id"] == choice["chosen"])
         lines += [
             "",
@@ -47,15 +50,15 @@
             f"{u['load']:.4f}",
             f"{u['drawn'] * 100:.1f}%",
             f"{u['chosen'] * 100:.1f}%",
-            _held_back(u),
+            _restrictions(u),
         ]
         for u in upstreams
     ]
 
 
-def _held_back(upstream: dict[str, Any]) -> str:
-    """Why an upstream gets less than its draws: nothing comes from it, it is avoided, or not trusted."""
-    words = ["silent"] if upstream["silent"] else []
-    words += [f"{upstream['blocked_ms']} ms"] if upstream["blocked_ms"] else []
-    words += [trust] if (trust := str(upstream.get("trust", ""))) else []  # not told by earlier releases
-    return ", ".join(words)
+def _restrictions(upstream: dict[str, Any]) -> str:
+    """Return why an upstream is chosen less than its draws: it is silent, blocked or not trusted."""
+    reasons = ["silent"] if upstream["silent"] else []
+    reasons += [f"{upstream['blocked_ms']} ms"] if upstream["blocked_ms"] else []
+    reasons += [trust] if (trust := str(upstream.get("trust", ""))) else []  # not sent by earlier releases
+    return ", ".join(reasons)
