--- a/tests/test_dissemination_tables.py
+++ b/tests/test_dissemination_tables.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dissemination.bulletin import LatestUpdates
 from dissemination.counting import COUNT_WINDOW_S, BalancerCount
+from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import (
     ConfigurationNews,
     LoadNews,
@@ -19,7 +19,7 @@
     Pulse,
     UpstreamNews,
 )
-from dissemination.relays import DEGREE, parent_of, watched_by
+from dissemination.relay_tree import DEGREE, parent_of, watched_by
 
 KINDS: dict[str, Any] = {
     "upstreams": lambda e, n: UpstreamNews(e, n, b"%d.%d" % (e, n)),
