--- a/mastturn/control_check/__main__.py
+++ b/mastturn/control_check/__main__.py
@@ -9,21 +9,21 @@
 
 import click
 
-from mastturn.control_check.explore import Found, explore
+from mastturn.control_check.explore import SearchResult, explore
 from mastturn.control_check.history import play, play_all
 from mastturn.control_check.kept import (
     healed_table,
     histories_table,
-    keep,
-    read,
+    read_series,
     search_row,
-    summed,
+    summarize,
     takeovers_table,
+    write_series,
 )
 from mastturn.control_check.losses import cases, losses_table, play_cases
-from mastturn.control_check.pictures import takeovers
+from mastturn.control_check.pictures import plot_takeovers
 from mastturn.control_check.planted import SEARCHED, brief, ends_at_once, failed_syncs, shrinks
-from mastturn.control_check.shape import STORM_AIR, Shape
+from mastturn.control_check.shape import STORM_LINK, Shape
 from mastturn.control_check.state import Bounds
 from mastturn.files import LabError
 
@@ -40,7 +40,7 @@
     "overlaps": {"overlaps": True, "repeats": True},
     "stalls": {"stalls": True, "length_ms": 1_500_000.0},
     "zones": {"zone_losses": True, "spares": 2, "length_ms": 120_000.0},
-    "storm": {"storm": True, "repeats": True, "air": STORM_AIR},
+    "storm": {"storm": True, "repeats": True, "air": STORM_LINK},
 }
 MODES_HELP = (
     "usual: 4 s from one loss to the next; eager: the next as soon as all are members again; "
@@ -48,7 +48,7 @@
     "stalls: processes stand still for a moment, for 1,500 s; "
     "zones: whole zones are lost, two machines more than have slots, for 120 s."
 )
-HEAD = "| machines | writes | campaigns | crashes | states | all of them | broken | seconds |"
+SEARCH_TABLE_HEADER = "| machines | writes | campaigns | crashes | states | all of them | broken | seconds |"
 
 
 @click.group()
@@ -56,7 +56,7 @@
     """Checks of the control state's machine: docs/control.md says what they have found."""
 
 
-def _search(job: tuple[Bounds, int, float]) -> tuple[Bounds, Found]:
+def _search(job: tuple[Bounds, int, float]) -> tuple[Bounds, SearchResult]:
     bounds, states, seconds = job
     return bounds, explore(bounds, most_states=states, most_s=seconds)
 
@@ -69,7 +69,7 @@
 def search(names: tuple[str, ...], states: int, seconds: float, jobs: int) -> None:
     """Every order of messages, losses, repeats, syncs and crashes, within named bounds (all of them)."""
     wanted = [(SEARCHES[name], states, seconds) for name in names or SEARCHES]
-    click.echo(f"{HEAD}\n|---|---|---|---|---|---|---|---|")
+    click.echo(f"{SEARCH_TABLE_HEADER}\n|---|---|---|---|---|---|---|---|")
     broken = False
     with multiprocessing.Pool(min(jobs, len(wanted))) as pool:
         for bounds, found in pool.imap(_search, wanted, chunksize=1):
@@ -95,9 +95,9 @@
     """Seeded histories of a minute with troubles: what was broken, and how long nobody answered."""
     shape = replace(Shape(machines, (machines - 1) // 2, sync_ms=sync_ms), **MODES[mode])
     histories = play_all(shape, range(first, first + count), jobs)
-    series = summed(shape, histories)
+    series = summarize(shape, histories)
     if out is not None:
-        keep(out, series)
+        write_series(out, series)
     tables = [*histories_table([series]), "", *takeovers_table([series]), "", *healed_table([series])]
     click.echo("\n".join(tables))
     if shape.stalls:
@@ -158,7 +158,7 @@
 def story(seed: int, machines: int, sync_ms: float, mode: str) -> None:
     """One history, line by line: messages, troubles, who leads, what is answered."""
     shape = replace(Shape(machines, (machines - 1) // 2, sync_ms=sync_ms), **MODES[mode])
-    for line in play(shape, seed, told=True).story:
+    for line in play(shape, seed, with_story=True).story:
         click.echo(line)
 
 
@@ -168,12 +168,12 @@
 def draw(files: tuple[Path, ...], out: Path | None) -> None:
     """Tables of kept series, and a picture of the take-over times."""
     try:
-        found = [read(path) for path in files]
+        found = [read_series(path) for path in files]
     except LabError as error:
         raise click.ClickException(str(error)) from None
     click.echo("\n".join([*histories_table(found), "", *takeovers_table(found), "", *healed_table(found)]))
     if out is not None:
-        takeovers(found).savefig(out, dpi=110)
+        plot_takeovers(found).savefig(out, dpi=110)
 
 
 if __name__ == "__main__":
--- a/mastturn/control_check/defects.py
+++ b/mastturn/control_check/defects.py
@@ -14,7 +14,7 @@
 from consensus.views import ChangeStatus, DurableState, Member, View
 
 LEASE_MS = 400.0
-FEW = 1  # changes that a forgetful process remembers
+REMEMBERED_CHANGES = 1  # changes that a forgetful process remembers
 
 
 class _HastyAcceptor(Acceptor):
@@ -238,7 +238,7 @@
             isinstance(command, Put)
             and known.change_status(command.ver, command.digest) is ChangeStatus.ACCEPTED
         ):
-            recent = {taken.ver for taken in known.taken[-FEW:]}
+            recent = {taken.ver for taken in known.taken[-REMEMBERED_CHANGES:]}
             command = command if command.ver in recent else replace(command, digest="forgotten")
         super().submit(command, now)
 
--- a/mastturn/control_check/disk.py
+++ b/mastturn/control_check/disk.py
@@ -14,10 +14,10 @@
     """Keeps what was synced; `done(True)` comes after the sync, `done(False)` when it refuses."""
 
     def __init__(
-        self, sync_ms: float, chance: random.Random, later: Callable[[float, Callable[[], None]], None]
+        self, sync_ms: float, rng: random.Random, later: Callable[[float, Callable[[], None]], None]
     ) -> None:
-        self._sync_ms, self._random, self._later = sync_ms, chance, later
-        self.kept: DurableState | None = None  # None: empty
+        self._sync_ms, self._random, self._later = sync_ms, rng, later
+        self.synced_state: DurableState | None = None  # None: empty
         self._queue: deque[tuple[Record, Callable[[bool], None]]] = deque()
         self._group = 0
         self._turn = 0  # of the sync under way; a later one makes it void
@@ -26,7 +26,7 @@
         self.slow = 1.0  # times as slow
         self.syncs = 0
 
-    def keep(self, record: Record, done: Callable[[bool], None]) -> None:
+    def sync(self, record: Record, done: Callable[[bool], None]) -> None:
         """Sync a record behind those that wait."""
         self._queue.append((record, done))
         if len(self._queue) == 1:
@@ -35,9 +35,9 @@
     def power_off(self) -> None:
         """The process or the machine dies: of what waits, a part may have reached the disk."""
         for _ in range(self._random.choice((0, 0, 1, 9))):
-            if not self._queue or self.refuses or self.kept is None:
+            if not self._queue or self.refuses or self.synced_state is None:
                 break
-            apply_record(self.kept, self._queue.popleft()[0])
+            apply_record(self.synced_state, self._queue.popleft()[0])
         self._queue.clear()
         self._turn += 1
 
@@ -45,9 +45,9 @@
         """An empty disk, on which a new identity was synced."""
         self._queue.clear()
         self._turn += 1
-        self.kept = DurableState(identity)
+        self.synced_state = DurableState(identity)
 
-    def well(self) -> None:
+    def recover(self) -> None:
         """The trouble is over; what hung is synced now."""
         self.refuses, self.slow = False, 1.0
         if self.hangs:
@@ -72,9 +72,9 @@
             return
         group, self._group = self._group, 0
         synced = [self._queue.popleft() for _ in range(group)]
-        assert self.kept is not None
+        assert self.synced_state is not None
         for record, _ in synced:
-            apply_record(self.kept, record)
+            apply_record(self.synced_state, record)
         self.syncs += 1
         if self._queue:
             self._start()
--- a/mastturn/control_check/explore.py
+++ b/mastturn/control_check/explore.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass, field
 
 from consensus.replica import Replica
-from mastturn.control_check.local import Make
+from mastturn.control_check.local import ReplicaFactory
 from mastturn.control_check.rules import BrokenRuleError
 from mastturn.control_check.state import Bounds, State
 from mastturn.control_check.steps import Steps
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What a search has given."""
 
     states: int = 0
@@ -59,11 +59,11 @@
 
 
 def explore(
-    bounds: Bounds, make: Make = Replica, most_states: int = 200_000, most_s: float = math.inf
-) -> Found:
+    bounds: Bounds, make: ReplicaFactory = Replica, most_states: int = 200_000, most_s: float = math.inf
+) -> SearchResult:
     """Breadth first; ends at a broken rule, at the bounds, or at so many states or seconds."""
     began = time.monotonic()
-    steps, found = Steps(bounds, make), Found()
+    steps, found = Steps(bounds, make), SearchResult()
     seen = _Seen({}, array("q"), [])
     names: dict[str, str] = {}
     try:
@@ -78,12 +78,12 @@
             place = seen.places[hash(state)]
             found.taken_over += any(steps.processes.leads(p) for p in state.processes[1:])
             found.acknowledged += steps.acknowledged(state)
-            found.outcomes.add(steps.told(state))
+            found.outcomes.add(steps.reported(state))
             for action in steps.actions(state):
                 try:
                     after = steps.act(state, action)
                 except BrokenRuleError:
-                    found.story = tuple(map(steps.tell, (*seen.story(place), action)))
+                    found.story = tuple(map(steps.describe, (*seen.story(place), action)))
                     raise
                 if seen.add(hash(after), place, names.setdefault(action, action)):
                     frontier.append((pickle.dumps(after), found.depth + 1))
@@ -96,11 +96,16 @@
 
 
 def walk(
-    bounds: Bounds, seed: int, histories: int, length: int = 70, make: Make = Replica, pace: float = 0.6
-) -> Found:
+    bounds: Bounds,
+    seed: int,
+    histories: int,
+    length: int = 70,
+    make: ReplicaFactory = Replica,
+    pace: float = 0.6,
+) -> SearchResult:
     """So many histories by chance; `pace`: how often what lies in the way of progress is done first."""
     began = time.monotonic()
-    steps, found, chance = Steps(bounds, make), Found(), random.Random(seed)
+    steps, found, rng = Steps(bounds, make), SearchResult(), random.Random(seed)
     met: set[int] = set()
     story: list[str] = []
     try:
@@ -115,16 +120,16 @@
                 known = set(story)
                 fresh = [a for a in actions if a not in known or not a.startswith("deliver")]
                 calm = [a for a in fresh if a.split()[0] in ("deliver", "sync", "settle")]
-                choice = calm if calm and chance.random() < pace else fresh or actions
-                action = chance.choice(choice)
+                choice = calm if calm and rng.random() < pace else fresh or actions
+                action = rng.choice(choice)
                 story.append(action)
                 state = steps.act(state, action)
                 met.add(hash(state))
-                found.outcomes.add(steps.told(state))
+                found.outcomes.add(steps.reported(state))
                 found.taken_over += any(steps.processes.leads(p) for p in state.processes[1:])
                 found.acknowledged += steps.acknowledged(state)
     except BrokenRuleError as error:
         found.broken, found.rule = str(error), error.rule
-        found.story = tuple(map(steps.tell, story))
+        found.story = tuple(map(steps.describe, story))
     found.states, found.depth, found.seconds = len(met), length, time.monotonic() - began
     return found
--- a/mastturn/control_check/history.py
+++ b/mastturn/control_check/history.py
@@ -10,7 +10,7 @@
 from consensus.replica import Replica
 from mastturn.control_check.overlaps import Overlaps
 from mastturn.control_check.rules import BrokenRuleError
-from mastturn.control_check.shape import Make, Shape, Takeover
+from mastturn.control_check.shape import ReplicaFactory, Shape, Takeover
 from mastturn.control_check.stalls import Stalls
 from mastturn.control_check.troubles import Troubles
 from mastturn.control_check.world import World
@@ -37,12 +37,16 @@
 
 
 def play(
-    shape: Shape, seed: int, make: Make = Replica, told: bool = False, heeds_refusals: bool = True
+    shape: Shape,
+    seed: int,
+    make: ReplicaFactory = Replica,
+    with_story: bool = False,
+    handles_disk_errors: bool = True,
 ) -> History:
     """One history; `told`: with its story; `heeds_refusals` False is a planted defect of the host."""
     world = World(shape, seed, make)
-    world.heeds_refusals = heeds_refusals
-    if told:
+    world.handles_disk_errors = handles_disk_errors
+    if with_story:
         world.story = []
     troubles = _troubles(world)
     world.begin()
--- a/mastturn/control_check/judged.py
+++ b/mastturn/control_check/judged.py
@@ -6,18 +6,21 @@
 
 from consensus.effects import Committed, Lead, Reply, Verdict
 from consensus.primary import Command
-from mastturn.control_check.rules import Asked, Rules
+from mastturn.control_check.rules import PendingCall, Rules
 
-Book = tuple[Any, ...]
+RulesSnapshot = tuple[Any, ...]
 Calls = tuple[tuple[int, int, int], ...]  # of operators, without an answer yet: token, command, floor
 
 
 def judge(
-    book: Book, asked: Calls, told: tuple[Reply | Committed | Lead, ...], commands: list[Command]
-) -> tuple[Book, Calls]:
+    rules_snapshot: RulesSnapshot,
+    asked: Calls,
+    reported: tuple[Reply | Committed | Lead, ...],
+    commands: list[Command],
+) -> tuple[RulesSnapshot, Calls]:
     """The book and the open calls after processes have said these; raises BrokenRuleError."""
-    rules = rules_of(book)
-    for effect in told:
+    rules = restore_rules(rules_snapshot)
+    for effect in reported:
         match effect:
             case Committed():
                 rules.committed(effect)
@@ -27,16 +30,16 @@
                 call = next(a for a in asked if a[0] == token)
                 asked = tuple(a for a in asked if a[0] != token)
                 if verdict is not Verdict.MOVED:
-                    rules.replied(Asked(commands[call[1]], call[2]), effect)
-    return book_of(rules), asked
+                    rules.replied(PendingCall(commands[call[1]], call[2]), effect)
+    return snapshot_rules(rules), asked
 
 
-def book_of(rules: Rules) -> Book:
+def snapshot_rules(rules: Rules) -> RulesSnapshot:
     """All that rules remember, as a value."""
     return (
         tuple(sorted(rules.chain.items(), key=lambda item: item[0])),
         tuple(sorted(rules.epochs.items())),
-        rules.told,
+        rules.reported,
         tuple(sorted(rules.winners.items(), key=lambda item: item[0])),
         tuple(rules.refused.items()),
         tuple(sorted(rules.leaders.items())),
@@ -44,7 +47,7 @@
     )
 
 
-def rules_of(book: Book) -> Rules:
+def restore_rules(rules_snapshot: RulesSnapshot) -> Rules:
     """Rules that remember that."""
-    chain, epochs, told, winners, refused, leaders, taken = book
-    return Rules(dict(chain), dict(epochs), told, dict(winners), dict(refused), set(taken), dict(leaders))
+    chain, epochs, reported, winners, refused, leaders, taken = rules_snapshot
+    return Rules(dict(chain), dict(epochs), reported, dict(winners), dict(refused), set(taken), dict(leaders))
--- a/mastturn/control_check/kept.py
+++ b/mastturn/control_check/kept.py
@@ -8,14 +8,14 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from mastturn.control_check.explore import Found
+from mastturn.control_check.explore import SearchResult
 from mastturn.control_check.history import History
 from mastturn.control_check.shape import Shape, Takeover
 from mastturn.control_check.state import Bounds
 from mastturn.files import LabError
 
-AIM_MS = 1_500.0
-WORDS = {
+TARGET_MS = 1_500.0
+TROUBLE_LABELS = {
     "kill": "killed",
     "power": "loses power",
     "freeze": "frozen",
@@ -33,7 +33,7 @@
     "herd": "all killed at once, back within 1 s",
     "herd-beside-another": "all killed while one is in trouble",
 }
-TWO = "two troubles at once"
+TWO_TROUBLES = "two troubles at once"
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
     healed: dict[str, list[float]] = field(default_factory=dict)  # ms from a return to full membership
 
 
-def summed(shape: Shape, histories: Sequence[History]) -> Series:
+def summarize(shape: Shape, histories: Sequence[History]) -> Series:
     """A series out of its histories."""
     gaps: defaultdict[str, list[float]] = defaultdict(list)
     for history in histories:
         for gap in history.gaps:
-            gaps[TWO if "+" in gap.trouble else gap.trouble].append(round(gap.took_ms, 1))
+            gaps[TWO_TROUBLES if "+" in gap.trouble else gap.trouble].append(round(gap.took_ms, 1))
     return Series(
         shape.machines,
         shape.sync_ms,
@@ -81,13 +81,13 @@
     return {kind: sorted(times) for kind, times in sorted(by_trouble.items())}
 
 
-def keep(path: Path, series: Series) -> None:
+def write_series(path: Path, series: Series) -> None:
     """Write a series to a file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(asdict(series)) + "\n", encoding="utf-8")
 
 
-def read(path: Path) -> Series:
+def read_series(path: Path) -> Series:
     """A series out of its file; raises LabError."""
     try:
         raw = json.loads(path.read_text(encoding="utf-8"))
@@ -119,7 +119,7 @@
     """Time without an answer by trouble: how many; median, 95 of 100, most; how many above the aim."""
     heads = "".join(f" {one.machines} machines, {one.sync_ms:g} ms a sync |" for one in found)
     lines = [f"| trouble |{heads}", "|---|" + "---|" * len(found)]
-    for kind, words in (*WORDS.items(), (TWO, TWO)):
+    for kind, words in (*TROUBLE_LABELS.items(), (TWO_TROUBLES, TWO_TROUBLES)):
         cells = [_cell(one.gaps.get(kind, [])) for one in found]
         lines.append(f"| {words} | " + " | ".join(cells) + " |")
     return lines
@@ -145,13 +145,13 @@
 def _cell(values: Sequence[float]) -> str:
     if not values:
         return "-"
-    over = sum(v > AIM_MS for v in values)
+    over = sum(v > TARGET_MS for v in values)
     above = f"; {over} above" if over else ""
     middle, most = at_share(values, 0.5), values[-1]
     return f"{len(values):,}: {middle:,.0f}, {at_share(values, 0.95):,.0f}, {most:,.0f}{above}"
 
 
-def search_row(bounds: Bounds, found: Found) -> str:
+def search_row(bounds: Bounds, found: SearchResult) -> str:
     """A line of the table of searches."""
     extra = f", {bounds.wipes} wipes" if bounds.wipes else ""
     whole = f"yes, depth {found.depth}" if found.is_whole else f"no: all of fewer than {found.depth} steps"
--- a/mastturn/control_check/liveness.py
+++ b/mastturn/control_check/liveness.py
@@ -18,10 +18,10 @@
 ANSWER_MS = 3_000.0  # a majority that is calm for so long has a primary that answers
 WAIT_MS = 1_000.0  # beyond it: so long an operator's call may take besides, with one machine lost
 SLOT_MS = 4_000.0  # a process that is in touch has a slot within this
-LOOK_MS = 100.0
+POLL_MS = 100.0
 
 
-class Watched(Protocol):
+class MonitoredWorld(Protocol):
     """The world that is watched."""
 
     now: float
@@ -45,7 +45,7 @@
 class Liveness:
     """The bounds of one history, and how long everything took."""
 
-    def __init__(self, world: Watched) -> None:
+    def __init__(self, world: MonitoredWorld) -> None:
         self._world = world
         self.wait_ms = WAIT_MS
         self.calm_since = 0.0  # the last change of any trouble
@@ -62,20 +62,20 @@
         """Ask now and then; `watches`: hold the bounds."""
         self._world.later(2_000.0, self._probe)
         if watches:
-            self._world.later(LOOK_MS, self._watch)
+            self._world.later(POLL_MS, self._watch)
 
-    def changed(self) -> None:
+    def on_trouble_changed(self) -> None:
         """A trouble has begun, changed or ended."""
         self.calm_since = self._world.now
 
-    def started(self, machine: Machine) -> None:
+    def on_process_started(self, machine: Machine) -> None:
         """A process runs from now on."""
         if machine.replica is not None and machine.replica.durable_state.slot() is None:
-            self._slotless[machine.ip] = (self._world.now, machine.life)
+            self._slotless[machine.ip] = (self._world.now, machine.incarnation)
 
-    def troubled(self, kind: str, machine: Machine | None) -> None:
+    def on_trouble(self, kind: str, machine: Machine | None) -> None:
         """A trouble begins; of what befalls the primary it is measured how long nobody answers."""
-        self.changed()
+        self.on_trouble_changed()
         now, primary = self._world.now, self._world.primary()
         if self._open is not None:
             self._open = (f"{self._open[0]}+{kind}", self._open[1])
@@ -110,7 +110,7 @@
         if machine is not None:
             self._world.ask(machine)
 
-    def probed(self, reply: Reply, asked: float) -> None:
+    def on_probe_reply(self, reply: Reply, asked: float) -> None:
         """A read that was asked then has its answer."""
         if reply.verdict is not Verdict.DONE:
             return
@@ -123,15 +123,15 @@
     # ---- bounds
 
     def _watch(self) -> None:
-        self._world.later(LOOK_MS, self._watch)
+        self._world.later(POLL_MS, self._watch)
         now = self._world.now
         if self.is_disturbed:
             self.calm_since = now
-            self._slotless = {ip: (now, life) for ip, (_, life) in self._slotless.items()}
+            self._slotless = {ip: (now, incarnation) for ip, (_, incarnation) in self._slotless.items()}
             return
         self._check_answers(max(self.calm_since, 1_000.0))
-        for ip, (began, life) in list(self._slotless.items()):
-            self._check_slot(ip, began, life)
+        for ip, (began, incarnation) in list(self._slotless.items()):
+            self._check_slot(ip, began, incarnation)
 
     def _check_answers(self, since: float) -> None:
         now = self._world.now
@@ -142,15 +142,15 @@
             if waits and now - max(waits, since) > ANSWER_MS + self.wait_ms:
                 raise BrokenRuleError("an answer", f"{operator.name} has waited since {waits:.0f}")
 
-    def _check_slot(self, ip: str, began: float, life: int) -> None:
+    def _check_slot(self, ip: str, began: float, incarnation: int) -> None:
         now, machine = self._world.now, self._world.machines.get(ip)
-        if machine is None or machine.replica is None or machine.life != life or machine.frozen:
+        if machine is None or machine.replica is None or machine.incarnation != incarnation or machine.frozen:
             del self._slotless[ip]
         elif machine.replica.durable_state.slot() is not None:
             self.slots_taken.append(now - began)
             del self._slotless[ip]
         elif self._is_apart(ip) or not self._reaches_a_seed(machine):
-            self._slotless[ip] = (now, life)
+            self._slotless[ip] = (now, incarnation)
         elif now - max(began, self.calm_since) > SLOT_MS:
             raise BrokenRuleError("a slot", f"{ip} has none since {began:.0f}")
 
--- a/mastturn/control_check/local.py
+++ b/mastturn/control_check/local.py
@@ -19,18 +19,18 @@
 
 # Times and what rests on them alone: here nothing does, since every question is answered with a yes and every
 # campaign begins when the search says so. Two processes that differ in nothing else are one.
-TIMES = frozenset(
+IGNORED_FIELDS = frozenset(
     "heard_at heard_from leading_at started_at stage_at sent_at now write_at refused behind next_try "
     "_heartbeat_at _heard_at _epoch _succession started _asked_at _ticked_at _last_asked_at "
     "timeout_backoff _hung_at write_ms took_ms _resend_at _sent_at _begun_at detector".split()
 )
-KEYS = frozenset({"_notified_at"})  # of these the keys count, and the times that they stand for don't
-LAPSE_MS = 700.0
+KEYS_ONLY_FIELDS = frozenset({"_notified_at"})  # compared by their keys; the values are times
+TIMEOUT_ELAPSED_MS = 700.0
 SETTLE_MS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
-class Hear:
+class Delivery:
     """A message from an IP arrives."""
 
     ip: str
@@ -73,7 +73,7 @@
     command: Command
 
 
-Event = Hear | Boot | Run | Stop | Settle | AskIn | Submit
+Event = Delivery | Boot | Run | Stop | Settle | AskIn | Submit
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     process: int
     sends: tuple[Send, ...]
     persists: tuple[tuple[Record, tuple[Send, ...]], ...]
-    told: tuple[Reply | Committed | Lead, ...]
+    reported: tuple[Reply | Committed | Lead, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
     counted: frozenset[str]  # whose answers its campaign, or its write, has counted already; identities
 
 
-class Still:
+class MidpointRandom:
     """Chance without chance."""
 
     def uniform(self, least: float, most: float) -> float:
@@ -116,7 +116,7 @@
     now: float
 
 
-Make = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
+ReplicaFactory = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
 
 
 class Processes:
@@ -128,7 +128,7 @@
         ips: tuple[str, ...],
         reads: bool,
         joins: bool,
-        make: Make = Replica,
+        make: ReplicaFactory = Replica,
         reduced: bool = True,
     ) -> None:
         """Without `reads` nobody asks for proofs, and without `joins` nobody for a slot.
@@ -183,9 +183,9 @@
             seeds = self.ips[:3]
             founder = kept.identity == "i0" and kept.promised == 0
             replica = self._make(me, durable_state, self.spec, seeds, founder, 0)
-            replica.candidate.rng = Still()  # type: ignore[assignment]
+            replica.candidate.rng = MidpointRandom()  # type: ignore[assignment]
             replica.start(0.0)
-            found = self._steps[key] = self._settle_down(_Process(replica, 0.0), ip)
+            found = self._steps[key] = self._finish_step(_Process(replica, 0.0), ip)
         return found
 
     def step(self, process: int, event: Event) -> Outcome:
@@ -194,26 +194,26 @@
         found = self._steps.get(key)
         if found is None:
             one: _Process = pickle.loads(self._images[process])
-            self._do(one, event)
-            found = self._steps[key] = self._settle_down(one, self._ips[process])
+            self._apply(one, event)
+            found = self._steps[key] = self._finish_step(one, self._ips[process])
         return found
 
     def adopt(self, replica: Replica, index: int) -> Outcome:
         """A process as the caller has changed it."""
-        return self._settle_down(_Process(replica, 0.0), self.ips[index])
+        return self._finish_step(_Process(replica, 0.0), self.ips[index])
 
     def replica(self, process: int) -> Replica:
         """A copy, to look at."""
         one: _Process = pickle.loads(self._images[process])
         return one.replica
 
-    def _do(self, one: _Process, event: Event) -> None:
+    def _apply(self, one: _Process, event: Event) -> None:
         replica = one.replica
         match event:
-            case Hear(ip, message):
+            case Delivery(ip, message):
                 replica.on_message(ip, message, one.now)
             case Run(change):
-                one.now += LAPSE_MS
+                one.now += TIMEOUT_ELAPSED_MS
                 self._run(replica, _changes(replica)[change], one.now)
             case Stop():
                 replica.stop(one.now)
@@ -223,7 +223,7 @@
             case AskIn():
                 if replica.acceptor.is_displaced():
                     replica.acceptor.release_slot()
-                one.now += LAPSE_MS
+                one.now += TIMEOUT_ELAPSED_MS
                 if replica.durable_state.slot() is None:
                     replica._discovery.request_slot()
                 elif replica._departure.is_begun:
@@ -242,11 +242,11 @@
         assert view is not None
         replica.candidate.start_campaign(view, now, True, change, replica._leaving_members.identities())
 
-    def _settle_down(self, one: _Process, ip: str) -> Outcome:
+    def _finish_step(self, one: _Process, ip: str) -> Outcome:
         """Carry out what comes back to the process itself, and number what it has become."""
         sends: list[Send] = []
         persists: list[tuple[Record, tuple[Send, ...]]] = []
-        told: list[Reply | Committed | Lead] = []
+        reported: list[Reply | Committed | Lead] = []
         local: deque[Message] = deque()
         while True:
             for effect in one.replica.take_effects():
@@ -254,16 +254,16 @@
                     case Send(to, message) if to == ip:
                         local.append(message)
                     case Send():
-                        sends += self._wanted((effect,))
+                        sends += self._relevant((effect,))
                     case Persist(record, then):
-                        persists.append((record, self._wanted(then)))
+                        persists.append((record, self._relevant(then)))
                     case _:
-                        told.append(effect)
+                        reported.append(effect)
             if not local:
                 break
             one.replica.on_message(ip, local.popleft(), one.now)
         if self._reduced:
-            self._forget(one.replica)
+            self._drop_irrelevant(one.replica)
         key = canonical(one)
         number = self._numbers.get(key)
         if number is None:
@@ -278,9 +278,9 @@
             self._ending.append(departure.is_begun and one.replica.may_end())
             campaign = one.replica.candidate.campaign
             self._settles.append(campaign is not None and campaign.majority_at > 0 and campaign.view is None)
-        return Outcome(number, tuple(sends), tuple(persists), tuple(told))
+        return Outcome(number, tuple(sends), tuple(persists), tuple(reported))
 
-    def _wanted(self, sends: tuple[Send, ...]) -> tuple[Send, ...]:
+    def _relevant(self, sends: tuple[Send, ...]) -> tuple[Send, ...]:
         """Without refusals, which bind nobody and may be lost, and without beats where nobody reads."""
         return tuple(
             send
@@ -289,7 +289,7 @@
             and (self._reads or not isinstance(send.message, Beat | Heard))
         )
 
-    def _forget(self, replica: Replica) -> None:
+    def _drop_irrelevant(self, replica: Replica) -> None:
         """Drop what only says that somebody refused, and hints that nobody asks for."""
         campaign = replica.candidate.campaign
         if campaign is not None:
@@ -370,15 +370,17 @@
     if isinstance(value, dict):
         return tuple(sorted((repr(_plain(k)), _plain(v)) for k, v in value.items()))
     if is_dataclass(value) and not isinstance(value, type):
-        return tuple(_field(f.name, getattr(value, f.name)) for f in fields(value) if f.name not in TIMES)
-    if callable(value) or isinstance(value, Still | Spec):
+        return tuple(
+            _field(f.name, getattr(value, f.name)) for f in fields(value) if f.name not in IGNORED_FIELDS
+        )
+    if callable(value) or isinstance(value, MidpointRandom | Spec):
         return None
     if hasattr(value, "__dict__"):
-        return tuple(sorted((k, _field(k, v)) for k, v in vars(value).items() if k not in TIMES))
+        return tuple(sorted((k, _field(k, v)) for k, v in vars(value).items() if k not in IGNORED_FIELDS))
     return repr(value)
 
 
 def _field(name: str, value: Any) -> Any:
-    if name in KEYS:
+    if name in KEYS_ONLY_FIELDS:
         return tuple(sorted(value))
     return value > 0 if name == "majority_at" else _plain(value)
--- a/mastturn/control_check/lockstep.py
+++ b/mastturn/control_check/lockstep.py
@@ -17,17 +17,17 @@
 from consensus.views import DurableState, Member
 
 TICK_MS = 25.0
-Make = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
+ReplicaFactory = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
 
 
 class Lockstep:
     """`cuts`: pairs (from, to) that lose messages; `hangs`: whose disks sync nothing; `frozen`: who rests."""
 
-    def __init__(self, machines: int = 3, losses: int = 1, make: Make = Replica) -> None:
+    def __init__(self, machines: int = 3, losses: int = 1, make: ReplicaFactory = Replica) -> None:
         self.spec, self._make = Spec(machines, losses + 1), make
         self.on_step: Callable[[], None] | None = None  # called at each step
-        self.on_told: Callable[[Reply | Committed | Lead], None] | None = None  # called with each
-        self.chance: random.Random | None = None  # of the messages under way, any may be next
+        self.on_output: Callable[[Reply | Committed | Lead], None] | None = None  # called with each
+        self.rng: random.Random | None = None  # of the messages under way, any may be next
         self.now = 0.0
         self.lines: list[str] = []
         self.cuts: set[tuple[int, int]] = set()
@@ -35,7 +35,7 @@
         self.frozen: set[int] = set()
         self.lost: set[str] = set()  # kinds of message that are lost
         self.replies: list[Reply] = []
-        self.went_on: list[bool] = []  # of each `Lead`
+        self.continued: list[bool] = []  # of each `Lead`
         self._sent: deque[tuple[int, int, Message]] = deque()
         self._held: dict[int, list[Persist]] = {}
         self.disks = {i: DurableState(f"i{i}") for i in range(machines)}
@@ -96,7 +96,7 @@
                     self.replicas[index].tick(self.now)
                     self.settle()
 
-    def hear(self, sender: int, receiver: int, message: Message) -> None:
+    def deliver(self, sender: int, receiver: int, message: Message) -> None:
         """A message comes by itself, as from the network."""
         self._sent.append((sender, receiver, message))
         self.settle()
@@ -108,7 +108,7 @@
                 if index not in self.frozen:
                     for effect in replica.take_effects():
                         if self.replicas.get(index) is replica:
-                            self._do(index, effect)
+                            self._apply_effect(index, effect)
             if not self._sent:
                 return
             sender, receiver, message = self._next()
@@ -118,8 +118,8 @@
 
     def _next(self) -> tuple[int, int, Message]:
         """The message that arrives next; those from one process to another stay in order."""
-        if self.chance is not None:
-            place = self.chance.randrange(len(self._sent))
+        if self.rng is not None:
+            place = self.rng.randrange(len(self._sent))
             ends = self._sent[place][:2]
             first = next(i for i, sent in enumerate(self._sent) if sent[:2] == ends)
             self._sent.rotate(-first)
@@ -136,10 +136,10 @@
         """A disk that hung syncs what has waited."""
         self.hangs.discard(index)
         for persist in self._held.pop(index, []):
-            self._do(index, persist)
+            self._apply_effect(index, persist)
         self.settle()
 
-    def _do(self, index: int, effect: object) -> None:
+    def _apply_effect(self, index: int, effect: object) -> None:
         match effect:
             case Send(to, message):
                 self._send(index, int(to.split(".")[2]), message)
@@ -149,17 +149,17 @@
                 self._sync(index, record, then)
             case Reply():
                 self.replies.append(effect)
-                if self.on_told is not None:
-                    self.on_told(effect)
+                if self.on_output is not None:
+                    self.on_output(effect)
                 self.lines.append(f"{index} answers {effect.verdict.value}")
             case Lead(view, goes_on):
-                if self.on_told is not None:
-                    self.on_told(effect)
-                self.went_on.append(goes_on)
+                if self.on_output is not None:
+                    self.on_output(effect)
+                self.continued.append(goes_on)
                 self.lines.append(f"{index} leads {view.epoch if view is not None else 'no longer'}")
             case Committed():
-                if self.on_told is not None:
-                    self.on_told(effect)
+                if self.on_output is not None:
+                    self.on_output(effect)
 
     def _sync(self, index: int, record: Record, then: tuple[Send, ...]) -> None:
         replica = self.replicas.get(index)
@@ -170,7 +170,7 @@
         self._step()
         for send in then:
             if self.replicas.get(index) is replica:
-                self._do(index, send)
+                self._apply_effect(index, send)
 
     def _send(self, sender: int, receiver: int, message: Message) -> None:
         kind = type(message).__name__
--- a/mastturn/control_check/losses.py
+++ b/mastturn/control_check/losses.py
@@ -20,10 +20,10 @@
 from consensus.primary import Command, Get, Put
 from consensus.replica import Replica
 from consensus.views import DurableState
-from mastturn.control_check.lockstep import TICK_MS, Lockstep, Make
-from mastturn.control_check.rules import Asked, BrokenRuleError, Rules
+from mastturn.control_check.lockstep import TICK_MS, Lockstep, ReplicaFactory
+from mastturn.control_check.rules import BrokenRuleError, PendingCall, Rules
 
-STAY_MS = 5_600.0  # a process that is told to stop is killed after that, whatever rests on it
+STOP_TIMEOUT_MS = 5_600.0  # a process that is told to stop is killed after that, whatever rests on it
 WAITING_MS = 400.0  # the newcomer has asked for a slot by then
 UNPLANNED_MS = 1_000.0  # after an unplanned loss the newcomer starts so much later
 BACK_MS = 500.0  # killed processes start again after that
@@ -87,14 +87,14 @@
 
     def __init__(self, world: Lockstep, rules: Rules) -> None:
         self._world, self._rules = world, rules
-        self._asked: dict[int, Asked] = {}
+        self._asked: dict[int, PendingCall] = {}
         self._command: Command | None = None
         self._token = 0
         self._ver = 0
         self.read_back = False  # the last answer was a read
         self.only_reads = False
 
-    def look(self) -> None:
+    def send_next(self) -> None:
         """Send the next call, or the one before once more."""
         leader = self._world.primary()
         if leader is None:
@@ -115,7 +115,7 @@
         self._world.replicas[leader].submit(sent, self._world.now)
         self._world.settle()
 
-    def told(self, reply: Reply) -> None:
+    def on_reply(self, reply: Reply) -> None:
         """An answer, perhaps to a call of before."""
         asked = self._asked.pop(reply.token, None)
         if asked is None or reply.verdict is Verdict.MOVED:
@@ -131,15 +131,15 @@
 class Replacement:
     """Plays one case."""
 
-    def __init__(self, case: Case, make: Make = Replica) -> None:
+    def __init__(self, case: Case, make: ReplicaFactory = Replica) -> None:
         self.case = case
         losses = (case.machines - 1) // 2
         self.world = Lockstep(case.machines, losses, make)
         if case.seed:
-            self.world.chance = random.Random(case.seed)
+            self.world.rng = random.Random(case.seed)
         self.rules = Rules()
         self.operator = _Operator(self.world, self.rules)
-        self.world.on_told = self._told
+        self.world.on_output = self._on_output
         self.steps = 0
         self.leaver, self.newcomer = case.leaver, case.newcomer
         self._killed_at: float | None = None
@@ -170,7 +170,7 @@
         world.on_step = None
         self._run(began + CUT_MS - world.now if case.cut >= 0 else 0.0)
         world.cuts.clear()
-        until = world.now + max(GOES_ON_MS, STAY_MS)
+        until = world.now + max(GOES_ON_MS, STOP_TIMEOUT_MS)
         while world.now < until and not (self._is_over() and self._is_healthy()):
             self._tick()
         if not self._is_healthy():
@@ -211,7 +211,7 @@
                 world.boot(index)
             world.settle()
         world.run(TICK_MS)
-        self.operator.look()
+        self.operator.send_next()
 
     def _run(self, length_ms: float) -> None:
         until = self.world.now + length_ms
@@ -224,7 +224,7 @@
         leaver = world.replicas.get(self.leaver)
         if leaver is None or self._told_to_stop_at is None or self._killed_at is not None:
             return
-        late = world.now - self._told_to_stop_at >= STAY_MS
+        late = world.now - self._told_to_stop_at >= STOP_TIMEOUT_MS
         if leaver.may_end() or late:
             leaver.resign(world.now)
             world.settle()
@@ -278,10 +278,10 @@
             m is not None and m.identity in accepted for m in view.members
         )
 
-    def _told(self, effect: Reply | Committed | Lead) -> None:
+    def _on_output(self, effect: Reply | Committed | Lead) -> None:
         match effect:
             case Reply():
-                self.operator.told(effect)
+                self.operator.on_reply(effect)
             case Committed():
                 self.rules.committed(effect)
             case Lead(view) if view is not None:
@@ -291,22 +291,22 @@
 def cases(machines: int, orders: int = 1) -> Iterator[Case]:
     """All cases of a number of machines; `orders`: in so many orders of messages each."""
     for role, how, seed in itertools.product(ROLES, How, range(orders)):
-        calm = Case(machines, role, how, seed=seed)
-        others = [i for i in range(machines) if i != calm.leaver]
+        baseline = Case(machines, role, how, seed=seed)
+        others = [i for i in range(machines) if i != baseline.leaver]
         for cut in (-1, *others[:2]):
-            yield from _cases(replace(calm, cut=cut))
+            yield from _cases(replace(baseline, cut=cut))
 
 
-def _cases(calm: Case) -> Iterator[Case]:
+def _cases(baseline: Case) -> Iterator[Case]:
     """All steps of one replacement, and all that may be lost in them."""
-    steps = Replacement(calm).play().steps
-    others = [i for i in range(calm.machines + 1) if i not in (calm.leaver, calm.cut)]
-    borne = (calm.machines - 1) // 2
-    more = borne - (calm.how is not How.PLANNED) - (calm.cut >= 0)
+    steps = Replacement(baseline).play().steps
+    others = [i for i in range(baseline.machines + 1) if i not in (baseline.leaver, baseline.cut)]
+    tolerated = (baseline.machines - 1) // 2
+    more = tolerated - (baseline.how is not How.PLANNED) - (baseline.cut >= 0)
     for step in range(steps + 2):
-        yield replace(calm, step=step)
+        yield replace(baseline, step=step)
         for lost in itertools.combinations(others, more) if more > 0 else ():
-            yield replace(calm, step=step, lost=lost)
+            yield replace(baseline, step=step, lost=lost)
 
 
 def play_case(case: Case) -> Outcome:
--- a/mastturn/control_check/machine.py
+++ b/mastturn/control_check/machine.py
@@ -19,11 +19,11 @@
 CHECKPOINT_MS = 400.0  # after a refusal the whole state is tried so often
 
 
-class Around(Protocol):
+class MachineEnvironment(Protocol):
     """What a machine needs of the world."""
 
     now: float
-    chance: random.Random
+    rng: random.Random
     spec: Spec
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
@@ -50,22 +50,24 @@
 class Machine:
     """One machine; `life` counts the starts, so that nothing of an earlier process is carried out."""
 
-    def __init__(self, around: Around, node: str, ip: str, zone: str, sync_ms: float) -> None:
-        self._around, self.node, self.ip, self.zone = around, node, ip, zone
-        self.disk = Disk(sync_ms, around.chance, around.later)
+    def __init__(
+        self, environment: MachineEnvironment, node: str, ip: str, zone: str, sync_ms: float
+    ) -> None:
+        self._environment, self.node, self.ip, self.zone = environment, node, ip, zone
+        self.disk = Disk(sync_ms, environment.rng, environment.later)
         self.replica: Replica | None = None
-        self.life = 0
+        self.incarnation = 0
         self.frozen = False
         self._waiting: list[Callable[[], None]] = []  # for the thaw
         self._local: deque[Message] = deque()
-        self._sick = False
+        self._is_disk_failed = False
         self.skew_ms = 0.0
         self._clock = AwakeClock(self._stalled)
-        self.heeds_refusals = True  # False: a planted defect of the host
+        self.handles_disk_errors = True  # False: a planted defect of the host
 
     def clock(self) -> float:
         """What the process takes for the time."""
-        return self._clock.read(self._around.now + self.skew_ms)
+        return self._clock.read(self._environment.now + self.skew_ms)
 
     def _stalled(self, stall_ms: float, now: float) -> None:
         if self.replica is not None:
@@ -73,21 +75,23 @@
 
     def start(self, seeds: tuple[str, ...], founder: bool) -> None:
         """A process starts on what the disk holds."""
-        kept = self.disk.kept
-        assert kept is not None
-        durable_state = DurableState(kept.identity, kept.promised, kept.view, kept.document)
-        me = Member(kept.identity, self.node, self.ip, 7700, f"{self.ip}:8166", self.zone)
-        self.life += 1
-        self._sick = False
+        synced_state = self.disk.synced_state
+        assert synced_state is not None
+        durable_state = DurableState(
+            synced_state.identity, synced_state.promised, synced_state.view, synced_state.document
+        )
+        me = Member(synced_state.identity, self.node, self.ip, 7700, f"{self.ip}:8166", self.zone)
+        self.incarnation += 1
+        self._is_disk_failed = False
         self._clock = AwakeClock(self._stalled)
-        seed = self._around.chance.getrandbits(32)
-        self.replica = self._around.make(me, durable_state, seeds, founder, seed)
+        seed = self._environment.rng.getrandbits(32)
+        self.replica = self._environment.make(me, durable_state, seeds, founder, seed)
         self.replica.start(self.clock())
-        self._tick(self.life)
+        self._tick(self.incarnation)
 
     def end(self, power: bool) -> None:
         """The process dies, with or without power."""
-        self.life += 1
+        self.incarnation += 1
         self.replica = None
         self.frozen = False
         self._waiting.clear()
@@ -102,8 +106,8 @@
         """What has come meanwhile is done now, in any order."""
         self.frozen = False
         waiting, self._waiting = self._waiting, []
-        if self._around.chance.random() < 0.5:
-            self._around.chance.shuffle(waiting)
+        if self._environment.rng.random() < 0.5:
+            self._environment.rng.shuffle(waiting)
         for call in waiting:
             self.run(call)
 
@@ -115,93 +119,93 @@
             self._waiting.append(call)
             return
         call()
-        self._carry()
+        self._apply_effects()
 
-    def hear(self, ip: str, message: Message) -> None:
+    def deliver(self, ip: str, message: Message) -> None:
         """A message has arrived."""
-        life = self.life
+        incarnation = self.incarnation
 
         def call() -> None:
-            if self.replica is not None and life == self.life:
+            if self.replica is not None and incarnation == self.incarnation:
                 self.replica.on_message(ip, message, self.clock())
 
         self.run(call)
 
-    def _tick(self, life: int) -> None:
-        if life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
 
         def call() -> None:
-            if self.replica is not None and life == self.life:
+            if self.replica is not None and incarnation == self.incarnation:
                 self.replica.tick(self.clock())
 
         if not self.frozen:
             self.run(call)
-        self._around.later(TICK_MS, lambda: self._tick(life))
+        self._environment.later(TICK_MS, lambda: self._tick(incarnation))
 
-    def _carry(self) -> None:
+    def _apply_effects(self) -> None:
         while self.replica is not None:
             for effect in self.replica.take_effects():
-                self._do(effect)
+                self._apply_effect(effect)
             if not self._local:
                 return
             self.replica.on_message(self.ip, self._local.popleft(), self.clock())
 
-    def _do(self, effect: Effect) -> None:
+    def _apply_effect(self, effect: Effect) -> None:
         match effect:
             case Send(ip, message):
                 if ip == self.ip:
                     self._local.append(message)
                 else:
-                    self._around.transmit(self.ip, ip, message)
+                    self._environment.transmit(self.ip, ip, message)
             case Persist(record, then):
-                life = self.life
-                self.disk.keep(record, lambda well: self._persisted(life, well, then))
+                incarnation = self.incarnation
+                self.disk.sync(record, lambda ok: self._persisted(incarnation, ok, then))
             case Reply():
-                self._around.replied(self, effect)
+                self._environment.replied(self, effect)
             case Committed():
-                self._around.committed(self, effect)
+                self._environment.committed(self, effect)
             case Lead():
-                self._around.leads(self, effect)
+                self._environment.leads(self, effect)
 
-    def _persisted(self, life: int, well: bool, then: tuple[Send, ...]) -> None:
-        if life != self.life:
+    def _persisted(self, incarnation: int, ok: bool, then: tuple[Send, ...]) -> None:
+        if incarnation != self.incarnation:
             return
 
         def call() -> None:
-            if life != self.life:
+            if incarnation != self.incarnation:
                 return
-            if not well:
-                self._refused(life)
-                if self.heeds_refusals:
+            if not ok:
+                self._refused(incarnation)
+                if self.handles_disk_errors:
                     return
             for send in then:
-                self._do(send)
+                self._apply_effect(send)
 
         self.run(call)
 
-    def _refused(self, life: int) -> None:
-        if self._sick or self.replica is None:
+    def _refused(self, incarnation: int) -> None:
+        if self._is_disk_failed or self.replica is None:
             return
-        self._sick = True
+        self._is_disk_failed = True
         self.replica.on_disk_health(False)
-        self._around.later(CHECKPOINT_MS, lambda: self._checkpoint(life))
+        self._environment.later(CHECKPOINT_MS, lambda: self._checkpoint(incarnation))
 
-    def _checkpoint(self, life: int) -> None:
-        if life != self.life or self.replica is None:
+    def _checkpoint(self, incarnation: int) -> None:
+        if incarnation != self.incarnation or self.replica is None:
             return
-        self.disk.keep(
-            snapshot_record(self.replica.durable_state), lambda well: self._checkpointed(life, well)
+        self.disk.sync(
+            snapshot_record(self.replica.durable_state), lambda ok: self._checkpointed(incarnation, ok)
         )
 
-    def _checkpointed(self, life: int, well: bool) -> None:
+    def _checkpointed(self, incarnation: int, ok: bool) -> None:
         def call() -> None:
-            if life != self.life or self.replica is None:
+            if incarnation != self.incarnation or self.replica is None:
                 return
-            if well:
-                self._sick = False
+            if ok:
+                self._is_disk_failed = False
                 self.replica.on_disk_health(True)
             else:
-                self._around.later(CHECKPOINT_MS, lambda: self._checkpoint(life))
+                self._environment.later(CHECKPOINT_MS, lambda: self._checkpoint(incarnation))
 
         self.run(call)
--- a/mastturn/control_check/machine_troubles.py
+++ b/mastturn/control_check/machine_troubles.py
@@ -7,8 +7,8 @@
 from mastturn.control_check.machine import Machine
 from mastturn.control_check.world import World
 
-LOOK_MS = 25.0
-STAY_MS = 5_600.0  # a process that is told to stop is killed after that
+POLL_MS = 25.0
+STOP_TIMEOUT_MS = 5_600.0  # a process that is told to stop is killed after that
 
 
 class MachineTroubles:
@@ -44,15 +44,15 @@
             world.restart(machine)
             returned()
 
-        soon = world.chance.random() < 0.7
-        delay = world.chance.uniform(100, 900) if soon else world.chance.uniform(900, 5_000)
+        soon = world.rng.random() < 0.7
+        delay = world.rng.uniform(100, 900) if soon else world.rng.uniform(900, 5_000)
         world.later(delay, back)
 
     def replace(self, machine: Machine, returned: Callable[[], None]) -> None:
         """It goes for good, and another comes in its place."""
         world = self._world
         world.trouble(f"replace {machine.ip}", machine)
-        if world.chance.random() < 0.5 and machine.replica is not None:
+        if world.rng.random() < 0.5 and machine.replica is not None:
             replica = machine.replica
             machine.run(lambda: replica.stop(machine.clock()))
         other_ip = self._world.next_ip()
@@ -61,15 +61,15 @@
             self._join(machine, other_ip)
             returned()
 
-        world.later(self._world.chance.uniform(0, 300), lambda: world.remove(machine.ip))
-        world.later(self._world.chance.uniform(300, 3_000), back)
+        world.later(self._world.rng.uniform(0, 300), lambda: world.remove(machine.ip))
+        world.later(self._world.rng.uniform(300, 3_000), back)
 
     def _join(self, machine: Machine, ip: str) -> None:
         """Another machine starts in the place of one, with an empty disk."""
         world = self._world
         other = world.add(f"core-{ip.split('.')[2]}", ip, machine.zone)
         world.restart(other)
-        world.liveness.changed()
+        world.liveness.on_trouble_changed()
         self._joined(machine.ip, ip)
 
     def replace_planned(self, machine: Machine, returned: Callable[[], None]) -> None:
@@ -86,13 +86,13 @@
                 world.remove(machine.ip)
             returned()
 
-        world.later(self._world.chance.uniform(200, 4_000), stop)
+        world.later(self._world.rng.uniform(200, 4_000), stop)
 
     def _stop(self, machine: Machine, ended: Callable[[], None]) -> None:
         """Tell a process to stop; it ends once it may, or is killed after a while."""
         world = self._world
         replica = machine.replica
-        until = world.now + STAY_MS
+        until = world.now + STOP_TIMEOUT_MS
         if replica is None:
             ended()
             return
@@ -103,9 +103,9 @@
                 ended()
             elif world.now >= until or replica.may_end():
                 machine.run(lambda: replica.resign(machine.clock()))
-                world.later(LOOK_MS, end)
+                world.later(POLL_MS, end)
             else:
-                world.later(LOOK_MS, look)
+                world.later(POLL_MS, look)
 
         def end() -> None:
             if machine.replica is replica:
@@ -121,12 +121,12 @@
         machine.freeze()
 
         def thaw() -> None:
-            world.liveness.changed()
+            world.liveness.on_trouble_changed()
             if machine.frozen:
                 machine.thaw()
             returned()
 
-        world.later(self._world.chance.uniform(100, 7_000), thaw)
+        world.later(self._world.rng.uniform(100, 7_000), thaw)
 
     def term(self, machine: Machine, returned: Callable[[], None]) -> None:
         """The process is told to stop, and starts again."""
@@ -137,7 +137,7 @@
             world.restart(machine)
             returned()
 
-        self._stop(machine, lambda: world.later(self._world.chance.uniform(50, 2_000), back))
+        self._stop(machine, lambda: world.later(self._world.rng.uniform(50, 2_000), back))
 
     def full(self, machine: Machine, returned: Callable[[], None]) -> None:
         """Its disk refuses everything."""
@@ -151,16 +151,16 @@
 
     def slow(self, machine: Machine, returned: Callable[[], None]) -> None:
         """Its disk takes many times as long."""
-        machine.disk.slow = self._world.chance.choice((10.0, 60.0, 300.0))
+        machine.disk.slow = self._world.rng.choice((10.0, 60.0, 300.0))
         self._disk("slow", machine, returned)
 
     def _disk(self, what: str, machine: Machine, returned: Callable[[], None]) -> None:
         world = self._world
         world.trouble(f"{what} {machine.ip}", machine)
 
-        def well() -> None:
-            world.liveness.changed()
-            machine.disk.well()
+        def recover() -> None:
+            world.liveness.on_trouble_changed()
+            machine.disk.recover()
             returned()
 
-        world.later(self._world.chance.uniform(300, 7_000), well)
+        world.later(self._world.rng.uniform(300, 7_000), recover)
--- a/mastturn/control_check/network.py
+++ b/mastturn/control_check/network.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Air:
+class LinkProfile:
     """How a message travels, in milliseconds and shares of one."""
 
     delay_ms: float = 1.4
@@ -26,32 +26,32 @@
 
     def __init__(
         self,
-        air: Air,
-        chance: random.Random,
+        air: LinkProfile,
+        rng: random.Random,
         later: Callable[[float, Callable[[], None]], None],
         deliver: Callable[[str, str, Message], None],
     ) -> None:
-        self._air, self._random, self._later, self._deliver = air, chance, later, deliver
+        self._air, self._random, self._later, self._deliver = air, rng, later, deliver
         self.cuts: set[tuple[str, str]] = set()
         self._held: list[tuple[str, str, Message]] = []
         self.sent = 0
 
     def transmit(self, sender: str, ip: str, message: Message) -> None:
         """Send one message on its way."""
-        air, chance = self._air, self._random
+        air, rng = self._air, self._random
         self.sent += 1
         if (sender, ip) in self.cuts:
-            if chance.random() < air.held_share:
+            if rng.random() < air.held_share:
                 self._held.append((sender, ip, message))
             return
-        luck = chance.random()
+        luck = rng.random()
         if luck < air.lost_share:
             return
         times = 2 if luck < air.lost_share + air.repeated_share else 1
         for _ in range(times):
-            delay = air.delay_ms * chance.uniform(0.7, 1.6)
-            if chance.random() < air.slow_share:
-                delay += chance.uniform(0.0, air.slow_ms)
+            delay = air.delay_ms * rng.uniform(0.7, 1.6)
+            if rng.random() < air.slow_share:
+                delay += rng.uniform(0.0, air.slow_ms)
             self._later(delay, lambda: self._deliver(sender, ip, message))
 
     def cut(self, pairs: set[tuple[str, str]]) -> None:
--- a/mastturn/control_check/network_troubles.py
+++ b/mastturn/control_check/network_troubles.py
@@ -30,9 +30,9 @@
 
     def pair(self, machine: Machine, returned: Callable[[], None]) -> None:
         """It and another are cut off from each other, or one from the other."""
-        other = self._world.chance.choice([ip for ip in self._world.machines if ip != machine.ip])
+        other = self._world.rng.choice([ip for ip in self._world.machines if ip != machine.ip])
         pairs = {(machine.ip, other), (other, machine.ip)}
-        if self._world.chance.random() < 0.3:
+        if self._world.rng.random() < 0.3:
             pairs = {(machine.ip, other)}
         self._cut("pair", machine, pairs, returned)
 
@@ -43,15 +43,15 @@
         pairs = {(machine.ip, o) for o in others} | {(o, machine.ip) for o in others}
         world.trouble(f"flap {machine.ip}", machine)
         at = 0.0
-        for _ in range(world.chance.randint(2, 6)):
+        for _ in range(world.rng.randint(2, 6)):
             world.later(at, lambda: self._change(pairs, True))
-            at += self._world.chance.uniform(50, 900)
+            at += self._world.rng.uniform(50, 900)
             world.later(at, lambda: self._change(pairs, False))
-            at += self._world.chance.uniform(50, 900)
+            at += self._world.rng.uniform(50, 900)
         world.later(at, returned)
 
     def _change(self, pairs: set[tuple[str, str]], cut: bool) -> None:
-        self._world.liveness.changed()
+        self._world.liveness.on_trouble_changed()
         if cut:
             self._world.network.cut(pairs)
         else:
@@ -65,11 +65,11 @@
         world.network.cut(pairs)
 
         def heal() -> None:
-            world.liveness.changed()
+            world.liveness.on_trouble_changed()
             world.network.join(pairs)
             returned()
 
-        world.later(self._world.chance.uniform(200, 8_000), heal)
+        world.later(self._world.rng.uniform(200, 8_000), heal)
 
     def _others(self, machine: Machine) -> list[str]:
         made = [f"10.0.{i}.1" for i in range(self._world.made + 4)]
--- a/mastturn/control_check/operators.py
+++ b/mastturn/control_check/operators.py
@@ -8,17 +8,17 @@
 
 from consensus.effects import Reply, Verdict
 from consensus.primary import Command, Get, Put
-from mastturn.control_check.rules import Asked, Rules
+from mastturn.control_check.rules import PendingCall, Rules
 
-PATIENCE_MS = 1_000.0  # without an answer for so long the call is sent again
+CALL_TIMEOUT_MS = 1_000.0  # without an answer for so long the call is sent again
 REPEAT_SHARE = 0.1  # of the calls are a change of before, sent once more: its acknowledgement was lost
 
 
-class Line(Protocol):
+class OperatorEnvironment(Protocol):
     """How an operator reaches the machines."""
 
     now: float
-    chance: random.Random
+    rng: random.Random
     rules: Rules
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
@@ -34,10 +34,10 @@
 class Operator:
     """One operator: one call at a time, sent again unchanged until it has an answer."""
 
-    def __init__(self, line: Line, name: str, pause_ms: float, repeats: bool = False) -> None:
+    def __init__(self, line: OperatorEnvironment, name: str, pause_ms: float, repeats: bool = False) -> None:
         """`repeats`: now and then it sends a change of before once more."""
         self._line, self.name, self._pause, self._repeats = line, name, pause_ms, repeats
-        self._asked: Asked | None = None
+        self._asked: PendingCall | None = None
         self._version = 0  # the newest that we know of
         self.reads_next = True
         self._turn = 0
@@ -45,7 +45,7 @@
         self._count = 0
         self.since = 0.0  # when the call under way began
         self.hint = ""  # where the last answer pointed
-        self.tried = line.chance.randrange(100)
+        self.tried = line.rng.randrange(100)
         self.stopped = False
         self.slowest = 0.0
         self._acknowledged: list[Put] = []
@@ -54,16 +54,16 @@
         """Make the next call."""
         if self.stopped:
             return
-        chance = self._line.chance
+        rng = self._line.rng
         command: Command
-        if self.reads_next or chance.random() < 0.25:
+        if self.reads_next or rng.random() < 0.25:
             command = Get(0)
-        elif self._repeats and self._acknowledged and chance.random() < REPEAT_SHARE:
-            command = chance.choice(self._acknowledged)
+        elif self._repeats and self._acknowledged and rng.random() < REPEAT_SHARE:
+            command = rng.choice(self._acknowledged)
         else:
             self._count += 1
             digest = f"{self.name}-{self._count}"
-            command = Put(0, self._version, self._version + chance.randint(1, 4), digest, digest.encode())
+            command = Put(0, self._version, self._version + rng.randint(1, 4), digest, digest.encode())
         self.reads_next = False
         self._asked = self._line.rules.ask(command)
         self.since = self._line.now
@@ -85,9 +85,9 @@
                 self.hint = ""
                 self._send()
 
-        self._line.later(PATIENCE_MS, again)
+        self._line.later(CALL_TIMEOUT_MS, again)
 
-    def told(self, reply: Reply, of: Command, hint: str) -> None:
+    def on_reply(self, reply: Reply, of: Command, hint: str) -> None:
         """An answer to a call, perhaps to one of before."""
         if self._asked is None or of is not self._asked.command:
             return
@@ -95,7 +95,7 @@
             self._followed = self._followed + 1 if hint else 0
             self.hint = hint if self._followed <= 2 else ""  # then to any, as a client would
             self._followed %= 3
-            self._line.later(self._line.chance.uniform(20, 120), self._again_for(of))
+            self._line.later(self._line.rng.uniform(20, 120), self._again_for(of))
             return
         asked, self._asked = self._asked, None
         self._turn += 1
@@ -106,8 +106,8 @@
         self.slowest = max(self.slowest, self._line.now - self.since)
         assert reply.document is not None
         self._version = reply.document.ver
-        self.reads_next = reply.verdict is not Verdict.DONE and self._line.chance.random() < 0.5
-        self._line.later(self._line.chance.uniform(0.2, 1.8) * self._pause, self.begin)
+        self.reads_next = reply.verdict is not Verdict.DONE and self._line.rng.random() < 0.5
+        self._line.later(self._line.rng.uniform(0.2, 1.8) * self._pause, self.begin)
 
     def _again_for(self, command: Command) -> Callable[[], None]:
         def again() -> None:
--- a/mastturn/control_check/overlaps.py
+++ b/mastturn/control_check/overlaps.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from mastturn.control_check.machine import Machine
-from mastturn.control_check.machine_troubles import LOOK_MS
+from mastturn.control_check.machine_troubles import POLL_MS
 from mastturn.control_check.rules import BrokenRuleError
 from mastturn.control_check.shape import Takeover
 from mastturn.control_check.troubles import BEGIN_MS, END_MS, Troubles
@@ -52,20 +52,20 @@
         self._world.later(BEGIN_MS, self._wave)
 
     def _wave(self) -> None:
-        world, chance = self._world, self._world.chance
+        world, rng = self._world, self._world.rng
         if world.now > world.shape.length_ms - END_MS - RECOVERY_MS - HALVES_MS[1]:
             return
         world.liveness.is_disturbed = True
         machines = [m for m in world.machines.values() if m.replica is not None]
-        chance.shuffle(machines)
-        struck = machines[: chance.randint(1, len(machines))]
-        lost = chance.randint(0, min(world.shape.losses, len(struck)))
+        rng.shuffle(machines)
+        struck = machines[: rng.randint(1, len(machines))]
+        lost = rng.randint(0, min(world.shape.losses, len(struck)))
         for place, machine in enumerate(struck):
-            kind = chance.choice(self._loses if place < lost else self._stays)
+            kind = rng.choice(self._loses if place < lost else self._stays)
             self._later(lambda kind=kind, machine=machine: self._strike(kind, machine))  # type: ignore[misc]
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             self._later(self._halves)
-        if chance.random() < HERD_SHARE:
+        if rng.random() < HERD_SHARE:
             self._later(self._herd_once)
 
     def _later(self, begin: Callable[[], None]) -> None:
@@ -82,7 +82,7 @@
         """The machines are cut into two halves; operators reach both."""
         world = self._world
         ips = list(world.machines)
-        world.chance.shuffle(ips)
+        world.rng.shuffle(ips)
         one, other = ips[: len(ips) // 2], ips[len(ips) // 2 :]
         pairs = {pair for a in one for b in other for pair in ((a, b), (b, a))}
         world.trouble("halves", None)
@@ -97,7 +97,7 @@
     def _herd_once(self) -> None:
         """All are killed, or lose power: at once, or right after the next acknowledgement."""
         world = self._world
-        if world.chance.random() < AIMED_SHARE:
+        if world.rng.random() < AIMED_SHARE:
             world.on_acknowledged = self._herd
         else:
             self._herd()
@@ -106,7 +106,7 @@
     def _over(self) -> None:
         self._pending -= 1
         if not self._pending:
-            self._world.tell("all are back")
+            self._world.log_event("all are back")
             self._world.on_acknowledged = None
             self._began = self._world.now
             self._settle()
@@ -120,11 +120,11 @@
         if whole and world.liveness.answered_at > self._began:
             world.liveness.healed.append(Takeover("recovery", world.now - self._began))
             world.liveness.is_disturbed = False
-            world.liveness.changed()
+            world.liveness.on_trouble_changed()
             world.later(self._ago(0.0, 1_000.0), self._wave)
         elif world.now - self._began > RECOVERY_MS:
             raise BrokenRuleError(
                 "recovery", f"not all are back {RECOVERY_MS / 1000:g} s after the last return"
             )
         else:
-            world.later(LOOK_MS, self._settle)
+            world.later(POLL_MS, self._settle)
--- a/mastturn/control_check/pictures.py
+++ b/mastturn/control_check/pictures.py
@@ -6,18 +6,18 @@
 
 from matplotlib.figure import Figure
 
-from mastturn.control_check.kept import AIM_MS, TWO, WORDS, Series
+from mastturn.control_check.kept import TARGET_MS, TROUBLE_LABELS, TWO_TROUBLES, Series
 
 WIDTH_IN = 11.0
 COLORS = ("#2a7f9e", "#d9772b", "#6b8f3a", "#777777")
 LIMIT = "#b03030"
 
 
-def takeovers(found: Sequence[Series]) -> Figure:
+def plot_takeovers(found: Sequence[Series]) -> Figure:
     """A row for each trouble: each time a dot, the median a bar; a colour for each series."""
     figure = Figure(figsize=(WIDTH_IN, 8.0), layout="constrained")
     axes = figure.subplots()
-    kinds = [kind for kind in (*WORDS, TWO) if any(one.gaps.get(kind) for one in found)]
+    kinds = [kind for kind in (*TROUBLE_LABELS, TWO_TROUBLES) if any(one.gaps.get(kind) for one in found)]
     step = 0.8 / len(found)
     for place, one in enumerate(found):
         color = COLORS[place % len(COLORS)]
@@ -32,8 +32,8 @@
             axes.plot([middle, middle], [at - step * 0.42, at + step * 0.42], color="black", lw=1.4)
         label = f"{one.machines} machines, {one.sync_ms:g} ms a sync"
         axes.plot([], [], "o", ms=5, color=color, label=label)
-    axes.axvline(AIM_MS, color=LIMIT, ls="--", lw=1.2, label="the aim: 1.5 s")
-    axes.set_yticks(range(len(kinds)), [WORDS.get(kind, kind) for kind in kinds])
+    axes.axvline(TARGET_MS, color=LIMIT, ls="--", lw=1.2, label="the aim: 1.5 s")
+    axes.set_yticks(range(len(kinds)), [TROUBLE_LABELS.get(kind, kind) for kind in kinds])
     axes.invert_yaxis()
     axes.set_xlim(left=0)
     axes.set_xlabel("milliseconds without an answer (black: the median)")
--- a/mastturn/control_check/planted.py
+++ b/mastturn/control_check/planted.py
@@ -23,11 +23,11 @@
     SuccessorWithoutMajority,
     WipedVotes,
 )
-from mastturn.control_check.explore import Found, explore
+from mastturn.control_check.explore import SearchResult, explore
 from mastturn.control_check.history import History, play
-from mastturn.control_check.local import Make
+from mastturn.control_check.local import ReplicaFactory
 from mastturn.control_check.losses import Outcome, Replacement, cases
-from mastturn.control_check.shape import STORM_AIR, Shape
+from mastturn.control_check.shape import STORM_LINK, Shape
 from mastturn.control_check.state import Bounds
 
 PROMISED_TO_1 = ("run 1", "sync 1", "deliver Prepare 1 2")
@@ -45,97 +45,97 @@
 TWO_ACKNOWLEDGED = ("submit 0 0", *ACKNOWLEDGED, "submit 1 0", *ACKNOWLEDGED)
 LOGGED = ("submit 0 0", "sync 0", "run 0", "sync 0")
 WRITE_LOST = ("submit 0 0", "deliver Write 0 1", "crash 1", "run 1")
-STORM = Shape(3, 1, sync_ms=20.0, storm=True, air=STORM_AIR)
+STORM = Shape(3, 1, sync_ms=20.0, storm=True, link=STORM_LINK)
 
 
 @dataclass(frozen=True, slots=True)
-class Searched:
+class SearchCase:
     """A defect that the search finds from some first steps on."""
 
     name: str
     rule: str  # that it breaks
-    make: Make
+    make: ReplicaFactory
     bounds: Bounds
 
-    def show(self) -> Found:
+    def show(self) -> SearchResult:
         """The shortest history from there on that breaks a rule."""
         return explore(self.bounds, self.make)
 
 
 SEARCHED = (
-    Searched(
+    SearchCase(
         "an answer before the backup's sync",
         "no loss",
         AnswersBeforeSync,
         Bounds(writes=1, tries=1, campaigns=1, crashes=1, before=WRITE_LOST),
     ),
-    Searched(
+    SearchCase(
         "an epoch that is promised before its sync",
         "one primary",
         PromisesBeforeSync,
         Bounds(writes=0, before=PROMISED_TWICE),
     ),
-    Searched(
+    SearchCase(
         "a wiped process that votes",
         "one primary",
         WipedVotes,
         Bounds(tries=1, writes=1, crashes=0, wipes=1, before=(*WRITTEN, "wipe 2", "run 0")),
     ),
-    Searched(
+    SearchCase(
         "an old primary that answers reads",
         "old answer",
         ReadsWithoutProof,
         Bounds(tries=1, writes=1, reads=1, campaigns=1, crashes=0, before=WRITTEN),
     ),
-    Searched(
+    SearchCase(
         "a successor that leads beside one that is elected",
         "no loss",
         SuccessorWithoutMajority,
         Bounds(writes=1, tries=1, campaigns=2, crashes=0, before=("run 1",)),
     ),
-    Searched(
+    SearchCase(
         "an answer before the leader's own sync",
         "no loss",
         AnswersBeforeOwnSync,
         Bounds(writes=1, tries=1, campaigns=1, crashes=1),
     ),
-    Searched(
+    SearchCase(
         "an answer from a minority",
         "no loss",
         AnswersFromMinority,
         Bounds(writes=1, tries=1, campaigns=1, crashes=0),
     ),
-    Searched(
+    SearchCase(
         "412 from a deposed leader",
         "old answer",
         RefusesWithoutProof,
         Bounds(writes=2, chained=1, tries=1, campaigns=1, crashes=0, before=WRITTEN[:-5]),
     ),
-    Searched(
+    SearchCase(
         "two changes on one version confirmed",
         "race",
         ConfirmsBothOfARace,
         Bounds(writes=2, tries=1, campaigns=0, crashes=0),
     ),
-    Searched(
+    SearchCase(
         "one number confirmed twice",
         "no loss",
         ConfirmsOneNumberTwice,
         Bounds(writes=2, tries=1, reads=1, campaigns=0, crashes=0, same_number=True),
     ),
-    Searched(
+    SearchCase(
         "a repeat refused",
         "refused",
         RefusesARepeat,
         Bounds(writes=1, chained=1, tries=2, reads=1, campaigns=0, crashes=0, before=TWO_ACKNOWLEDGED),
     ),
-    Searched(
+    SearchCase(
         "a view that skips a change",
         "no loss",
         SkipsAChange,
         Bounds(writes=1, tries=1, campaigns=2, crashes=0, before=LOGGED),
     ),
-    Searched(
+    SearchCase(
         "a member with an old disk that leads",
         "no loss",
         LeadsWithAnOldDisk,
@@ -156,7 +156,7 @@
 
 def failed_syncs(seeds: tuple[int, ...] = (9, 214)) -> Iterator[History]:
     """A failed sync that is taken for done: histories of the simulator."""
-    return (play(STORM, seed, heeds_refusals=False) for seed in seeds)
+    return (play(STORM, seed, handles_disk_errors=False) for seed in seeds)
 
 
 def brief(line: str) -> str:
--- a/mastturn/control_check/reduction.py
+++ b/mastturn/control_check/reduction.py
@@ -42,10 +42,10 @@
 
     def _may_crash(self, state: State, index: int) -> bool:
         """Whether a process may still lose what it has not synced."""
-        return bool(state.left.wipes or (state.left.crashes and index in self._victims))
+        return bool(state.remaining.wipes or (state.remaining.crashes and index in self._victims))
 
     def _is_inert(self, state: State, number: int) -> bool:
-        index, hear = self._messages[number]
+        index, delivery = self._messages[number]
         if index in state.gone:
             return True
         may_crash = self._may_crash(state, index)
@@ -54,5 +54,7 @@
         if found is None:
             kept = self._values[state.kept[index]]
             facts = self._processes.facts(state.processes[index])
-            found = self._known[key] = is_inert(hear.message, kept, facts, may_crash, self._bounds.joins > 0)
+            found = self._known[key] = is_inert(
+                delivery.message, kept, facts, may_crash, self._bounds.joins > 0
+            )
         return found
--- a/mastturn/control_check/rules.py
+++ b/mastturn/control_check/rules.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PendingCall:
     """An operator's call: what was known when it was first sent."""
 
     command: Put | Get
@@ -32,7 +32,7 @@
 
     chain: dict[int, Document] = field(default_factory=dict)
     epochs: dict[int, int] = field(default_factory=dict)  # epoch: the newest number committed in it
-    told: int = 0  # the newest number that an operator was told of
+    reported: int = 0  # the newest number that an operator was told of
     winners: dict[int, AcceptedVersion] = field(
         default_factory=dict
     )  # by base version: what was acknowledged
@@ -82,11 +82,11 @@
         if self.leaders.setdefault(epoch, identity) != identity:
             raise BrokenRuleError("one primary", f"epoch {epoch} has {self.leaders[epoch]} and {identity}")
 
-    def ask(self, command: Put | Get) -> Asked:
+    def ask(self, command: Put | Get) -> PendingCall:
         """An operator makes a call."""
-        return Asked(command, self.told)
+        return PendingCall(command, self.reported)
 
-    def replied(self, asked: Asked, reply: Reply) -> None:
+    def replied(self, asked: PendingCall, reply: Reply) -> None:
         """An operator is told the outcome; MOVED tells nothing."""
         command, document = asked.command, reply.document
         if reply.verdict is Verdict.MOVED:
@@ -100,7 +100,7 @@
             self._put(command, reply.verdict, document)
         else:
             self.reads += 1
-        self.told = max(self.told, document.number)
+        self.reported = max(self.reported, document.number)
 
     def _put(self, put: Put, verdict: Verdict, document: Document) -> None:
         taken = AcceptedVersion(put.ver, put.digest)
--- a/mastturn/control_check/sent.py
+++ b/mastturn/control_check/sent.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from consensus.effects import Send
-from mastturn.control_check.local import Hear
+from mastturn.control_check.local import Delivery
 
 
 class SentMessages:
@@ -14,7 +14,7 @@
     def __init__(self, ips: tuple[str, ...]) -> None:
         self._ips = ips
         self._numbers: dict[tuple[str, str, object], int] = {}
-        self._by_number: list[tuple[int, Hear]] = []  # index of the receiver
+        self._by_number: list[tuple[int, Delivery]] = []  # index of the receiver
 
     def bit(self, sender: int, send: Send) -> int:
         """The message as a set of one; none where nobody has that IP."""
@@ -24,10 +24,10 @@
         number = self._numbers.get(key)
         if number is None:
             number = self._numbers[key] = len(self._by_number)
-            self._by_number.append((self._ips.index(send.ip), Hear(self._ips[sender], send.message)))
+            self._by_number.append((self._ips.index(send.ip), Delivery(self._ips[sender], send.message)))
         return 1 << number
 
-    def __getitem__(self, number: int) -> tuple[int, Hear]:
+    def __getitem__(self, number: int) -> tuple[int, Delivery]:
         """The receiver's index, and the message as it hears it."""
         return self._by_number[number]
 
@@ -37,9 +37,9 @@
     def latest(self, kind: str, sender: int, receiver: int) -> int | None:
         """The number of the latest message of that type from one process to another."""
         for number in reversed(range(len(self._by_number))):
-            index, hear = self._by_number[number]
-            ends = index == receiver and hear.ip == self._ips[sender]
-            if ends and type(hear.message).__name__ == kind:
+            index, delivery = self._by_number[number]
+            ends = index == receiver and delivery.ip == self._ips[sender]
+            if ends and type(delivery.message).__name__ == kind:
                 return number
         return None
 
--- a/mastturn/control_check/shape.py
+++ b/mastturn/control_check/shape.py
@@ -8,9 +8,9 @@
 from consensus.effects import Spec
 from consensus.replica import Replica
 from consensus.views import DurableState, Member
-from mastturn.control_check.network import Air
+from mastturn.control_check.network import LinkProfile
 
-Make = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
+ReplicaFactory = Callable[[Member, DurableState, Spec, tuple[str, ...], bool, int], Replica]
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     losses: int
     sync_ms: float = 1.0
     length_ms: float = 60_000.0
-    air: Air = field(default_factory=Air)
+    air: LinkProfile = field(default_factory=LinkProfile)
     jumps: bool = False  # the clocks that processes measure by jump, which steady clocks never do
     repeats: bool = False  # operators send changes of before once more
     eager: bool = False  # the next machine is lost as soon as the one before is a full member again
@@ -32,7 +32,7 @@
     storm: bool = False  # all are killed every few seconds: only what must never happen is judged
 
 
-STORM_AIR = Air(slow_share=0.08, slow_ms=1_500.0, lost_share=0.02, repeated_share=0.05)
+STORM_LINK = LinkProfile(slow_share=0.08, slow_ms=1_500.0, lost_share=0.02, repeated_share=0.05)
 
 
 @dataclass(frozen=True, slots=True)
--- a/mastturn/control_check/stalls.py
+++ b/mastturn/control_check/stalls.py
@@ -8,7 +8,7 @@
 from mastturn.control_check.machine import Machine
 from mastturn.control_check.world import World
 
-LEAST_MS, MOST_MS = 100.0, 2_000.0  # of one stall; shorter ones are the more frequent
+MIN_STALL_MS, MAX_STALL_MS = 100.0, 2_000.0  # of one stall; shorter ones are the more frequent
 EVERY_MS = 5_000.0  # from the end of one stall of a process to its next, in the mean
 BEGIN_MS = 5_000.0
 
@@ -26,12 +26,12 @@
             self._world.later(BEGIN_MS, partial(self._later, machine))
 
     def _later(self, machine: Machine) -> None:
-        self._world.later(self._world.chance.expovariate(1 / EVERY_MS), partial(self._stall, machine))
+        self._world.later(self._world.rng.expovariate(1 / EVERY_MS), partial(self._stall, machine))
 
     def _stall(self, machine: Machine) -> None:
-        chance = self._world.chance
-        stall_ms = math.exp(chance.uniform(math.log(LEAST_MS), math.log(MOST_MS)))
-        self._world.tell(f"stall {machine.ip} {stall_ms:.0f}")
+        rng = self._world.rng
+        stall_ms = math.exp(rng.uniform(math.log(MIN_STALL_MS), math.log(MAX_STALL_MS)))
+        self._world.log_event(f"stall {machine.ip} {stall_ms:.0f}")
         machine.freeze()
         self._world.later(stall_ms, partial(self._thaw, machine))
 
--- a/mastturn/control_check/state.py
+++ b/mastturn/control_check/state.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class RemainingBudget:
     """How much may still happen."""
 
     campaigns: int
@@ -57,16 +57,16 @@
     kept: tuple[int, ...]  # on the disks
     queues: tuple[tuple[int, ...], ...]  # of the disks: a record and what is sent after its sync
     sent: int  # which messages were ever sent, by bit
-    left: Left
+    remaining: RemainingBudget
     tries: tuple[int, ...]  # left, of each command
     asked: tuple[tuple[int, int, int], ...]  # token, command, floor
-    book: int  # of the rules
+    rules_snapshot: int  # of the rules
     gone: tuple[int, ...] = ()  # machines that went for good
 
 
-def left_of(bounds: Bounds) -> Left:
+def initial_budget(bounds: Bounds) -> RemainingBudget:
     """All that may happen."""
-    return Left(
+    return RemainingBudget(
         bounds.campaigns,
         bounds.changes,
         bounds.crashes,
@@ -112,6 +112,6 @@
         return self._values[number]
 
 
-def put(values: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
+def replace_at(values: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
     """The same with another value at one place."""
     return (*values[:index], value, *values[index + 1 :])
--- a/mastturn/control_check/steps.py
+++ b/mastturn/control_check/steps.py
@@ -15,14 +15,14 @@
 from consensus.messages import Answer, Ask
 from consensus.replica import Replica
 from consensus.views import DurableState
-from mastturn.control_check.judged import book_of, judge, rules_of
+from mastturn.control_check.judged import judge, restore_rules, snapshot_rules
 from mastturn.control_check.local import (
     AskIn,
+    Delivery,
     Event,
-    Hear,
-    Make,
     Outcome,
     Processes,
+    ReplicaFactory,
     Run,
     Settle,
     Stop,
@@ -31,13 +31,21 @@
 from mastturn.control_check.reduction import Reduction
 from mastturn.control_check.rules import Rules
 from mastturn.control_check.sent import SentMessages, by_name, numbers_in
-from mastturn.control_check.state import Bounds, State, Values, commands_of, left_of, put, victims_of
+from mastturn.control_check.state import (
+    Bounds,
+    State,
+    Values,
+    commands_of,
+    initial_budget,
+    replace_at,
+    victims_of,
+)
 
 
 class Steps:
     """What may happen next within bounds, and what it leads to."""
 
-    def __init__(self, bounds: Bounds, make: Make = Replica) -> None:
+    def __init__(self, bounds: Bounds, make: ReplicaFactory = Replica) -> None:
         self.bounds = bounds
         self._values = Values()
         self._size = bounds.machines + bounds.newcomers
@@ -57,10 +65,10 @@
         size, members = self._size, self.bounds.machines
         kept = tuple(self._values.number(snapshot_record(DurableState(f"i{i}"))) for i in range(size))
         none: tuple[int, ...] = (0,) * size
-        left = left_of(self.bounds)
+        remaining = initial_budget(self.bounds)
         tries = (self.bounds.tries,) * len(self.commands)
-        nothing_said = self._values.number(book_of(Rules()))
-        state = State(none, kept, ((),) * size, 0, left, tries, (), nothing_said)
+        nothing_said = self._values.number(snapshot_rules(Rules()))
+        state = State(none, kept, ((),) * size, 0, remaining, tries, (), nothing_said)
         for index in range(size):
             state = self._after(state, index, self.processes.boot(index, self._values[kept[index]]))
         for index in range(1, members):
@@ -75,7 +83,7 @@
                 while state.queues[index]:
                     state = self._act(state, f"sync {index}")
         assert self.processes.leads(state.processes[0])
-        state = replace(state, sent=0, left=left)
+        state = replace(state, sent=0, remaining=remaining)
         for action in self.bounds.before:
             state = self._act(state, by_name(self._messages, action))
         return self._reduction.without_inert(state)
@@ -108,24 +116,24 @@
 
     def _own_actions(self, state: State, index: int) -> list[str]:
         """What a process may do, or may befall it, apart from syncs and messages."""
-        process, left, processes = state.processes[index], state.left, self.processes
+        process, remaining, processes = state.processes[index], state.remaining, self.processes
         found = []
         if processes.settles(process):
             found.append(f"settle {index}")
-        if left.changes:
+        if remaining.changes:
             found += [f"run {k} {index}" for k in range(1, len(processes.changes(process)))]
-        if left.campaigns:
+        if remaining.campaigns:
             found.append(f"run {index}")
-        if left.crashes and index in victims_of(self.bounds):
+        if remaining.crashes and index in victims_of(self.bounds):
             found.append(f"crash {index}")
-        if left.wipes:
+        if remaining.wipes:
             found.append(f"wipe {index}")
-        if left.joins and (not self.bounds.newcomers or processes.may_join(process)):
+        if remaining.joins and (not self.bounds.newcomers or processes.may_join(process)):
             found.append(f"join {index}")
         is_leaver = index in (self.bounds.leavers or range(self._size))
-        if left.stops and is_leaver and not processes.leads(process):
+        if remaining.stops and is_leaver and not processes.leads(process):
             found.append(f"stop {index}")
-        if left.losses_for_good:
+        if remaining.losses_for_good:
             found.append(f"lose {index}")
         if processes.may_end(process):
             found.append(f"end {index}")
@@ -139,37 +147,43 @@
 
     def _act(self, state: State, action: str) -> State:
         verb, *numbers = action.split()
-        index, left = int(numbers[-1]), state.left
+        index, remaining = int(numbers[-1]), state.remaining
         match verb:
             case "deliver":
-                index, hear = self._messages[index]
-                return self._step(state, index, hear)
+                index, delivery = self._messages[index]
+                return self._step(state, index, delivery)
             case "sync":
                 return self._sync(state, index)
             case "settle":
                 return self._step(state, index, Settle())
             case "run":
                 change = int(numbers[0]) if len(numbers) > 1 else 0
-                taken = {"changes": left.changes - 1} if change else {"campaigns": left.campaigns - 1}
-                return self._campaign(replace(state, left=replace(left, **taken)), index, change)
+                taken = (
+                    {"changes": remaining.changes - 1} if change else {"campaigns": remaining.campaigns - 1}
+                )
+                return self._campaign(replace(state, remaining=replace(remaining, **taken)), index, change)
             case "join":
-                state = replace(state, left=replace(left, joins=left.joins - 1))
+                state = replace(state, remaining=replace(remaining, joins=remaining.joins - 1))
                 return self._ask_in(state, index)
             case "stop":
-                state = replace(state, left=replace(left, stops=left.stops - 1))
+                state = replace(state, remaining=replace(remaining, stops=remaining.stops - 1))
                 return self._step(state, index, Stop())
             case "submit":
                 return self._submit(state, int(numbers[0]), index)
             case "crash":
-                state = replace(state, left=replace(left, crashes=left.crashes - 1))
+                state = replace(state, remaining=replace(remaining, crashes=remaining.crashes - 1))
                 return self._restart(state, index, self._values[state.kept[index]])
             case "wipe":
-                state = replace(state, left=replace(left, wipes=left.wipes - 1))
-                return self._restart(state, index, snapshot_record(DurableState(f"w{index}-{left.wipes}")))
+                state = replace(state, remaining=replace(remaining, wipes=remaining.wipes - 1))
+                return self._restart(
+                    state, index, snapshot_record(DurableState(f"w{index}-{remaining.wipes}"))
+                )
             case "end":
                 return self._go(state, index)
             case "lose":
-                state = replace(state, left=replace(left, losses_for_good=left.losses_for_good - 1))
+                state = replace(
+                    state, remaining=replace(remaining, losses_for_good=remaining.losses_for_good - 1)
+                )
                 return self._go(state, index)
         raise ValueError(action)
 
@@ -185,20 +199,30 @@
         return self._after(state, index, self.processes.step(state.processes[index], event))
 
     def _after(self, state: State, index: int, outcome: Outcome) -> State:
-        processes = put(state.processes, index, outcome.process)
+        processes = replace_at(state.processes, index, outcome.process)
         queues = state.queues
         if outcome.persists:
             # A record that waits already is not queued a second time: its sync would change nothing.
             fresh = [p for p in map(self._values.number, outcome.persists) if p not in queues[index]]
-            queues = put(queues, index, (*queues[index], *fresh))
+            queues = replace_at(queues, index, (*queues[index], *fresh))
         sent = state.sent
         for send in outcome.sends:
             sent |= self._messages.bit(index, send)
-        book, asked = state.book, state.asked
-        if outcome.told:
-            found, asked = judge(self._values[book], asked, outcome.told, self.commands)
-            book = self._values.number(found)
-        return State(processes, state.kept, queues, sent, state.left, state.tries, asked, book, state.gone)
+        rules_snapshot, asked = state.rules_snapshot, state.asked
+        if outcome.reported:
+            found, asked = judge(self._values[rules_snapshot], asked, outcome.reported, self.commands)
+            rules_snapshot = self._values.number(found)
+        return State(
+            processes,
+            state.kept,
+            queues,
+            sent,
+            state.remaining,
+            state.tries,
+            asked,
+            rules_snapshot,
+            state.gone,
+        )
 
     def _sync(self, state: State, index: int) -> State:
         then: tuple[Send, ...]
@@ -207,8 +231,8 @@
         apply_record(durable_state, record)
         state = replace(
             state,
-            kept=put(state.kept, index, self._values.number(snapshot_record(durable_state))),
-            queues=put(state.queues, index, state.queues[index][1:]),
+            kept=replace_at(state.kept, index, self._values.number(snapshot_record(durable_state))),
+            queues=replace_at(state.queues, index, state.queues[index][1:]),
         )
         sent = state.sent
         for send in then:
@@ -217,12 +241,14 @@
         state = replace(state, sent=sent)
         for send in then:
             if send.ip == self.ips[index]:
-                state = self._step(state, index, Hear(send.ip, send.message))
+                state = self._step(state, index, Delivery(send.ip, send.message))
         return state
 
     def _restart(self, state: State, index: int, kept: WholeRecord) -> State:
         place = self._values.number(kept)
-        state = replace(state, kept=put(state.kept, index, place), queues=put(state.queues, index, ()))
+        state = replace(
+            state, kept=replace_at(state.kept, index, place), queues=replace_at(state.queues, index, ())
+        )
         return self._after(state, index, self.processes.boot(index, kept))
 
     def _go(self, state: State, index: int) -> State:
@@ -233,9 +259,9 @@
         return replace(
             state,
             gone=gone,
-            processes=put(state.processes, index, outcome.process),
-            kept=put(state.kept, index, nothing),
-            queues=put(state.queues, index, ()),
+            processes=replace_at(state.processes, index, outcome.process),
+            kept=replace_at(state.kept, index, nothing),
+            queues=replace_at(state.queues, index, ()),
         )
 
     def _campaign(self, state: State, index: int, change: int) -> State:
@@ -249,37 +275,37 @@
             other = self.ips.index(ask.ip)
             if other in state.gone:
                 continue
-            answer = self.processes.step(state.processes[other], Hear(self.ips[index], ask.message))
-            answers += [Hear(ask.ip, send.message) for send in answer.sends]
-        for hear in sorted(answers, key=_is_no):
-            state = self._step(state, index, hear)
+            answer = self.processes.step(state.processes[other], Delivery(self.ips[index], ask.message))
+            answers += [Delivery(ask.ip, send.message) for send in answer.sends]
+        for delivery in sorted(answers, key=_is_no):
+            state = self._step(state, index, delivery)
         return state
 
     def _submit(self, state: State, command: int, index: int) -> State:
-        left = state.tries[command] - 1
-        token = command * 100 + left
-        floor = rules_of(self._values[state.book]).told
+        remaining = state.tries[command] - 1
+        token = command * 100 + remaining
+        floor = restore_rules(self._values[state.rules_snapshot]).reported
         state = replace(
             state,
-            tries=put(state.tries, command, left),
+            tries=replace_at(state.tries, command, remaining),
             asked=(*state.asked, (token, command, floor)),
         )
         return self._step(state, index, Submit(replace(self.commands[command], token=token)))
 
-    def told(self, state: State) -> Hashable:
+    def reported(self, state: State) -> Hashable:
         """All that processes and operators have said so far, as `Rules` keeps it."""
-        return self._values[state.book]  # type: ignore[no-any-return]
+        return self._values[state.rules_snapshot]  # type: ignore[no-any-return]
 
     def acknowledged(self, state: State) -> bool:
         """Whether a write is acknowledged."""
-        return len(rules_of(self._values[state.book]).winners) > 0
+        return len(restore_rules(self._values[state.rules_snapshot]).winners) > 0
 
-    def tell(self, action: str) -> str:
+    def describe(self, action: str) -> str:
         """An action in full."""
         if not action.startswith("deliver"):
             return action
-        index, hear = self._messages[int(action.split()[1])]
-        return f"{hear.ip} -> {self.ips[index]} {hear.message}"
+        index, delivery = self._messages[int(action.split()[1])]
+        return f"{delivery.ip} -> {self.ips[index]} {delivery.message}"
 
 
 def _only_to(ips: set[str], outcome: Outcome) -> Outcome:
@@ -291,8 +317,8 @@
     return replace(outcome, sends=sends, persists=persists)
 
 
-def _is_no(hear: Hear) -> bool:
-    return not (isinstance(hear.message, Answer) and hear.message.ok)
+def _is_no(delivery: Delivery) -> bool:
+    return not (isinstance(delivery.message, Answer) and delivery.message.ok)
 
 
 def _durable_state(kept: WholeRecord) -> DurableState:
--- a/mastturn/control_check/troubles.py
+++ b/mastturn/control_check/troubles.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from mastturn.control_check.machine import Machine
-from mastturn.control_check.machine_troubles import LOOK_MS, MachineTroubles
+from mastturn.control_check.machine_troubles import POLL_MS, MachineTroubles
 from mastturn.control_check.network_troubles import NetworkTroubles
 from mastturn.control_check.shape import Takeover
 from mastturn.control_check.world import World
@@ -52,17 +52,17 @@
         """Let the lanes run, and something befall everybody now and then."""
         world = self._world
         for _ in range(world.shape.losses):
-            world.later(BEGIN_MS + world.chance.uniform(0, 3_000), self._next)
+            world.later(BEGIN_MS + world.rng.uniform(0, 3_000), self._next)
         if world.shape.jumps:
             world.later(BEGIN_MS, self._jump)
         if world.shape.storm:
             world.later(BEGIN_MS, self._storm)
-        elif world.chance.random() < 0.6:
-            at = world.chance.uniform(BEGIN_MS, world.shape.length_ms - END_MS)
+        elif world.rng.random() < 0.6:
+            at = world.rng.uniform(BEGIN_MS, world.shape.length_ms - END_MS)
             world.later(at, self._herd)
 
     def _next(self) -> None:
-        world, chance = self._world, self._world.chance
+        world, rng = self._world, self._world.rng
         if world.now > world.shape.length_ms - END_MS - SYNC_MS:
             return
         primary = world.primary()
@@ -70,19 +70,19 @@
         if not free:
             world.later(500.0, self._next)
             return
-        machine = chance.choice(free)
-        if primary in free and chance.random() < 0.5:
+        machine = rng.choice(free)
+        if primary in free and rng.random() < 0.5:
             assert primary is not None
             machine = primary
         self._lost.add(machine.ip)
         self._troubled.add(machine.ip)
-        kind = chance.choice(self._kinds)
+        kind = rng.choice(self._kinds)
         ip = machine.ip
 
         def returned() -> None:
-            world.liveness.changed()
+            world.liveness.on_trouble_changed()
             self._troubled.discard(ip)
-            world.tell(f"over {ip}")
+            world.log_event(f"over {ip}")
             if world.shape.eager:
                 self._await_member(kind.__name__, ip, world.now, over)
             else:
@@ -98,7 +98,7 @@
 
         def over() -> None:
             self._lost.discard(ip)
-            pause = 0.0 if chance.random() < 0.4 else chance.uniform(0, 2_500)
+            pause = 0.0 if rng.random() < 0.4 else rng.uniform(0, 2_500)
             world.later(pause, self._next)
 
         kind(machine, returned)
@@ -110,9 +110,9 @@
         """
         world = self._world
         back = self._successors.get(ip, ip)
-        well = [m for m in world.machines.values() if m.ip == back or m.ip not in self._troubled]
-        if back not in world.machines or not all(map(world.is_member, well)):
-            world.later(LOOK_MS, lambda: self._await_member(what, ip, since, over))
+        healthy = [m for m in world.machines.values() if m.ip == back or m.ip not in self._troubled]
+        if back not in world.machines or not all(map(world.is_member, healthy)):
+            world.later(POLL_MS, lambda: self._await_member(what, ip, since, over))
             return
         if what:
             world.liveness.healed.append(Takeover(what, world.now - since))
@@ -129,7 +129,7 @@
 
     def _wiped(self) -> None:
         """Some lose their disks while all others lose power."""
-        if self._world.shape.storm and self._world.chance.random() < 0.5:
+        if self._world.shape.storm and self._world.rng.random() < 0.5:
             self._herd()
 
     def _somebody_waits(self) -> bool:
@@ -138,12 +138,12 @@
         return any(replica.durable_state.slot() is None for replica in running)
 
     def _ago(self, least: float, most: float) -> float:
-        return self._world.chance.uniform(least, most)
+        return self._world.rng.uniform(least, most)
 
     def _herd(self) -> None:
         """All processes are killed, or lose power, at once; those that were down stay so."""
         world = self._world
-        power = world.chance.random() < 0.5
+        power = world.rng.random() < 0.5
         world.trouble(f"{'herd-beside-another' if self._troubled else 'herd'} power={power}", None)
         if not world.shape.storm:
             self._herd_at = world.now
@@ -158,7 +158,7 @@
         world = self._world
         if world.now > world.shape.length_ms - END_MS:
             return
-        if world.chance.random() < 0.7:
+        if world.rng.random() < 0.7:
             world.on_acknowledged = self._herd
         else:
             self._herd()
@@ -167,14 +167,14 @@
     def _jump(self) -> None:
         """The clock of a machine jumps by seconds."""
         world = self._world
-        machine = world.chance.choice(list(world.machines.values()))
-        machine.skew_ms += world.chance.uniform(-4_000, 4_000)
+        machine = world.rng.choice(list(world.machines.values()))
+        machine.skew_ms += world.rng.uniform(-4_000, 4_000)
         world.trouble(f"jump {machine.ip} {machine.skew_ms:.0f}", None)
         world.later(self._ago(300, 2_000), self._jump)
 
     def _back(self, machine: Machine) -> Callable[[], None]:
         def back() -> None:
-            self._world.liveness.changed()
+            self._world.liveness.on_trouble_changed()
             self._world.restart(machine)
 
         return back
--- a/mastturn/control_check/world.py
+++ b/mastturn/control_check/world.py
@@ -18,7 +18,7 @@
 from mastturn.control_check.network import Network
 from mastturn.control_check.operators import Operator
 from mastturn.control_check.rules import BrokenRuleError, Rules
-from mastturn.control_check.shape import Make, Shape
+from mastturn.control_check.shape import ReplicaFactory, Shape
 
 SEED_LAG_MS = 3_000.0
 SETTINGS_MS = 2_000.0  # a process looks for new settings so often
@@ -27,16 +27,16 @@
 class World:
     """Runs events in their order; all chance comes from one seed."""
 
-    def __init__(self, shape: Shape, seed: int, make: Make = Replica) -> None:
+    def __init__(self, shape: Shape, seed: int, make: ReplicaFactory = Replica) -> None:
         self.shape, self.seed, self._make = shape, seed, make
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         spread = Spread(zones=1) if shape.zone_losses else Spread()
         self.spec = Spec(shape.machines, shape.losses + 1, spread=spread)
         self.now = 0.0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
         self.rules = Rules()
-        self.network = Network(shape.air, self.chance, self.later, self._deliver)
+        self.network = Network(shape.air, self.rng, self.later, self._deliver)
         self.machines: dict[str, Machine] = {}  # by IP; those that are gone are out
         self._listed: list[tuple[float, tuple[str, ...]]] = []  # since when: the operators' list
         self.operators = [
@@ -50,7 +50,7 @@
         self.made = shape.machines + shape.spares  # machines, in all
         self.liveness = Liveness(self)
         self.on_acknowledged: Callable[[], None] | None = None
-        self.heeds_refusals = True
+        self.handles_disk_errors = True
         self.story: list[str] | None = None  # kept on request
 
     # ---- time
@@ -77,9 +77,9 @@
         ips = tuple(self.machines)
         self._listed = [(-1e9, ips)]
         for index, machine in enumerate(self.machines.values()):
-            self.later(self.chance.uniform(0, 300), self._starter(machine, ips[:3], index == 0))
+            self.later(self.rng.uniform(0, 300), self._starter(machine, ips[:3], index == 0))
         for operator in self.operators:
-            self.later(1_500.0 + self.chance.uniform(0, 300), operator.begin)
+            self.later(1_500.0 + self.rng.uniform(0, 300), operator.begin)
         self.liveness.begin(watches=not self.shape.storm)
 
     def _starter(self, machine: Machine, seeds: tuple[str, ...], founder: bool) -> Callable[[], None]:
@@ -89,7 +89,7 @@
         """A machine with an empty disk; it does not run yet."""
         machine = Machine(self, node, ip, zone, self.shape.sync_ms)
         machine.disk.wipe(self.identity())
-        machine.heeds_refusals = self.heeds_refusals
+        machine.handles_disk_errors = self.handles_disk_errors
         self.machines[ip] = machine
         self._list()
         return machine
@@ -112,7 +112,7 @@
         """Three machines of the operators' list, which lags."""
         known = [ips for since, ips in self._listed if since <= self.now - SEED_LAG_MS]
         ips = list(known[-1] if known else self._listed[0][1])
-        self.chance.shuffle(ips)
+        self.rng.shuffle(ips)
         return tuple(ips[:3])
 
     def restart(self, machine: Machine) -> None:
@@ -123,7 +123,7 @@
             if self.shape.eager or self.shape.overlaps or self.shape.zone_losses:
                 self.later(SETTINGS_MS, lambda: self._follow(machine))
             if not self.shape.spares:  # else somebody always waits
-                self.liveness.started(machine)
+                self.liveness.on_process_started(machine)
 
     def identity(self) -> str:
         """A new one."""
@@ -147,11 +147,11 @@
 
     def _follow(self, machine: Machine) -> None:
         """A process reads its settings now and then, which name other seeds by then."""
-        replica, life = machine.replica, machine.life
+        replica, incarnation = machine.replica, machine.incarnation
         if replica is None:
             return
         machine.run(lambda: replica.set_seeds(self.seeds()))
-        self.later(SETTINGS_MS, lambda: self._follow(machine) if machine.life == life else None)
+        self.later(SETTINGS_MS, lambda: self._follow(machine) if machine.incarnation == incarnation else None)
 
     def is_member(self, machine: Machine) -> bool:
         """Whether a machine has a place in the view in force, and has accepted it."""
@@ -165,21 +165,21 @@
         )
         return has_accepted and view.extra_member() is None
 
-    def tell(self, what: str) -> None:
+    def log_event(self, what: str) -> None:
         """A line of the story."""
         if self.story is not None:
             self.story.append(f"{self.now:9.1f} {what}")
 
     def trouble(self, what: str, machine: Machine | None) -> None:
         """Something changes."""
-        self.tell(what)
-        self.liveness.troubled(what.split()[0], machine)
+        self.log_event(what)
+        self.liveness.on_trouble(what.split()[0], machine)
 
     def acknowledged(self, operator: Operator) -> None:
         """An operator's change was acknowledged."""
         then, self.on_acknowledged = self.on_acknowledged, None
         if then is not None:
-            self.later(self.chance.uniform(0.0, 5.0), then)
+            self.later(self.rng.uniform(0.0, 5.0), then)
         self.liveness.acknowledged(operator)
 
     # ---- what the machines ask for
@@ -187,22 +187,22 @@
     def transmit(self, sender: str, ip: str, message: Message) -> None:
         """Bring a message to another machine."""
         if self.story is not None:
-            self.tell(f"{sender} -> {ip} {message}")
+            self.log_event(f"{sender} -> {ip} {message}")
         self.network.transmit(sender, ip, message)
 
     def _deliver(self, sender: str, ip: str, message: Message) -> None:
         machine = self.machines.get(ip)
         if machine is not None:
-            machine.hear(sender, message)
+            machine.deliver(sender, message)
 
     def committed(self, machine: Machine, effect: Committed) -> None:
         """A document stays."""
-        self.tell(f"{machine.ip} commits {effect.document.number} in {effect.epoch}")
+        self.log_event(f"{machine.ip} commits {effect.document.number} in {effect.epoch}")
         self.rules.committed(effect)
 
     def leads(self, machine: Machine, effect: Lead) -> None:
         """A process begins or ends to lead."""
-        self.tell(f"{machine.ip} leads {effect.view}")
+        self.log_event(f"{machine.ip} leads {effect.view}")
         if effect.view is not None:
             self.views += 1
             leads = (effect.view.epoch, effect.view.leader().identity)
@@ -216,15 +216,15 @@
         if command is None:
             raise BrokenRuleError("one answer", f"a second one for call {reply.token}")
         if operator is None:
-            self.liveness.probed(reply, asked)
+            self.liveness.on_probe_reply(reply, asked)
             return
         replica = machine.replica
         # As the host tells callers: a leader that was not heard of a moment ago is nobody to go to.
         leader = replica.live_leader(machine.clock()) if replica is not None else None
         hint = leader.ip if leader is not None and leader.ip != machine.ip else ""
-        self.tell(f"{machine.ip} answers {operator.name} {reply.verdict} {command}")
+        self.log_event(f"{machine.ip} answers {operator.name} {reply.verdict} {command}")
         known, of = operator, command
-        self.later(self.chance.uniform(2, 5), lambda: known.told(reply, of, hint))
+        self.later(self.rng.uniform(2, 5), lambda: known.on_reply(reply, of, hint))
 
     # ---- operators and probes
 
@@ -233,7 +233,7 @@
         ips = list(self.machines)
         operator.tried += 1  # one after the other
         ip = operator.hint if operator.hint in self.machines else ips[operator.tried % len(ips)]
-        self.later(self.chance.uniform(2, 5), lambda: self._submit(ip, command, operator))
+        self.later(self.rng.uniform(2, 5), lambda: self._submit(ip, command, operator))
 
     def ask(self, machine: Machine) -> None:
         """Bring a read to a machine, on behalf of nobody."""
@@ -244,11 +244,11 @@
         if machine is None or machine.replica is None:
             return
         self._count += 1
-        token, life = self._count, machine.life
+        token, incarnation = self._count, machine.incarnation
         self._calls[token] = (operator, command, self.now)
 
         def call() -> None:
-            if machine.replica is not None and machine.life == life:
+            if machine.replica is not None and machine.incarnation == incarnation:
                 machine.replica.submit(replace(command, token=token), machine.clock())
 
         machine.run(call)
--- a/mastturn/control_check/zone_losses.py
+++ b/mastturn/control_check/zone_losses.py
@@ -11,7 +11,7 @@
 from consensus.spread import Spread
 from consensus.views import Member
 from mastturn.control_check.machine import Machine
-from mastturn.control_check.operators import PATIENCE_MS
+from mastturn.control_check.operators import CALL_TIMEOUT_MS
 from mastturn.control_check.rules import BrokenRuleError
 from mastturn.control_check.troubles import BEGIN_MS, END_MS, SYNC_MS
 from mastturn.control_check.world import World
@@ -34,39 +34,39 @@
         self._world.later(BEGIN_MS, self._lose_zone)
 
     def _lose_zone(self) -> None:
-        world, chance = self._world, self._world.chance
+        world, rng = self._world, self._world.rng
         if world.now > world.shape.length_ms - END_MS - OVER_BY_MS:
             return
         self._check_spread()
-        zone = chance.choice(sorted({machine.zone for machine in world.machines.values()}))
+        zone = rng.choice(sorted({machine.zone for machine in world.machines.values()}))
         struck = [machine for machine in world.machines.values() if machine.zone == zone]
-        world.liveness.wait_ms = PATIENCE_MS * len(struck)  # an operator may call on each of them first
-        how = chance.choice([self._cut_off, self._power_off, self._freeze])
+        world.liveness.wait_ms = CALL_TIMEOUT_MS * len(struck)  # an operator may call on each of them first
+        how = rng.choice([self._cut_off, self._power_off, self._freeze])
         world.trouble(f"zone {zone} {how.__name__}", self._led_by(struck))
         bring_back = how(struck)
 
         def back() -> None:
-            world.liveness.changed()
-            world.tell(f"back {zone}")
+            world.liveness.on_trouble_changed()
+            world.log_event(f"back {zone}")
             bring_back()
             world.later(SYNC_MS, self._pause)
 
-        world.later(chance.uniform(*AWAY_MS), back)
+        world.later(rng.uniform(*AWAY_MS), back)
 
     def _pause(self) -> None:
         """Between two losses: perhaps a machine is replaced by one in another zone."""
-        chance = self._world.chance
-        if chance.random() < REPLACED_SHARE:
-            self._world.later(chance.uniform(*REPLACED_AFTER_MS), self._replace)
+        rng = self._world.rng
+        if rng.random() < REPLACED_SHARE:
+            self._world.later(rng.uniform(*REPLACED_AFTER_MS), self._replace)
         else:
             self._lose_zone()
 
     def _replace(self) -> None:
         """A machine goes for good; a new one starts in another zone, where that leaves enough zones."""
-        world, chance = self._world, self._world.chance
-        gone = chance.choice(list(world.machines.values()))
+        world, rng = self._world, self._world.rng
+        gone = rng.choice(list(world.machines.values()))
         rest = [machine for machine in world.machines.values() if machine is not gone]
-        zone = chance.choice(sorted({machine.zone for machine in world.machines.values()} - {gone.zone}))
+        zone = rng.choice(sorted({machine.zone for machine in world.machines.values()} - {gone.zone}))
         if not self._can_be_spread([*(machine.zone for machine in rest), zone]):
             zone = gone.zone
         world.trouble(f"replace {gone.ip} {zone}", gone)
@@ -76,10 +76,10 @@
 
         def start() -> None:
             world.restart(machine)
-            world.liveness.changed()
+            world.liveness.on_trouble_changed()
             world.later(SYNC_MS, self._lose_zone)
 
-        world.later(chance.uniform(100.0, 1_000.0), start)
+        world.later(rng.uniform(100.0, 1_000.0), start)
 
     def _can_be_spread(self, zones: list[str]) -> bool:
         """Whether members could be so chosen among machines of these zones that a zone's loss is borne."""
--- a/tests/test_consensus_departure.py
+++ b/tests/test_consensus_departure.py
@@ -14,7 +14,7 @@
 from consensus.spread import Spread
 from consensus.views import DurableState, Member, View
 from mastturn.control_check.lockstep import Lockstep, ip
-from mastturn.control_check.losses import STAY_MS, Case, How, Replacement, cases
+from mastturn.control_check.losses import STOP_TIMEOUT_MS, Case, How, Replacement, cases
 
 # Every how many cases are run, by group size; the command line tool runs all of them.
 EVERY = {3: 23, 5: 401}
@@ -95,7 +95,7 @@
     world.settle()
     world.lose(1)
     world.replicas[0].stop(world.now)
-    world.run(STAY_MS)
+    world.run(STOP_TIMEOUT_MS)
     assert not world.replicas[0].may_end()  # No other member can take its copy.
     world.replicas[0].resign(world.now)
     world.settle()
@@ -172,7 +172,7 @@
 
 def test_one_more_than_the_slots_goes_again_if_nobody_leaves_any_more() -> None:
     world = with_newcomer()
-    world.hear(2, 0, Leaving("i2", "i0"))  # Sent once and not repeated.
+    world.deliver(2, 0, Leaving("i2", "i0"))  # Sent once and not repeated.
     world.run(EXPIRY_MS + 1_500.0)
     view = world.replicas[0].durable_state.view
     assert view is not None and len(view.members) == 3
@@ -184,11 +184,11 @@
     assert first is not None
     other = View(7, 1, (1, 0), (*first.members[:2], member(9)))
     world.frozen = {0, 1}
-    world.hear(1, 2, Prepare("i1", "i2", 7))
+    world.deliver(1, 2, Prepare("i1", "i2", 7))
     world.replicas[2].acceptor.observe_view(other)
     world.run(100.0)
     assert world.replicas[2].durable_state.slot() == 2
-    world.hear(1, 2, Install("i1", "i2", other, None, True))
+    world.deliver(1, 2, Install("i1", "i2", other, None, True))
     world.run(100.0)
     assert world.replicas[2].durable_state.slot() is None and world.disks[2].promised >= 7
 
@@ -248,7 +248,7 @@
     world = with_newcomer()
     view = world.replicas[0].durable_state.view
     assert view is not None
-    world.hear(3, 0, Join("i3", "i0", member(3), 0))
+    world.deliver(3, 0, Join("i3", "i0", member(3), 0))
     world.cut(3)
     leader = world.replicas[0]
     assert leader.primary is not None
--- a/tests/test_consensus_history.py
+++ b/tests/test_consensus_history.py
@@ -24,8 +24,8 @@
 from consensus.views import MAX_HISTORY, ChangeStatus, Document, DurableState
 from mastturn.control_check.history import play
 from mastturn.control_check.lockstep import Lockstep
-from mastturn.control_check.network import Air
-from mastturn.control_check.shape import STORM_AIR, Shape
+from mastturn.control_check.network import LinkProfile
+from mastturn.control_check.shape import STORM_LINK, Shape
 
 BODY = b"x" * 2_000
 
@@ -126,7 +126,7 @@
     for number in range(1, 600):
         document = document.after(number, BODY, f"digest-{number}")
         sent = replace(document, taken=document.taken[-512:])
-        world.hear(0, 1, Write("i0", "i1", view.epoch, sent))
+        world.deliver(0, 1, Write("i0", "i1", view.epoch, sent))
     assert world.disks[1].document == follower.durable_state.document == document
 
 
@@ -189,8 +189,10 @@
     losses = (machines - 1) // 2
     shapes = [
         Shape(machines, losses, repeats=True),
-        Shape(machines, losses, 20.0, storm=True, air=STORM_AIR, repeats=True),
-        Shape(machines, losses, repeats=True, storm=True, air=Air(lost_share=0.1, repeated_share=0.1)),
+        Shape(machines, losses, 20.0, storm=True, air=STORM_LINK, repeats=True),
+        Shape(
+            machines, losses, repeats=True, storm=True, air=LinkProfile(lost_share=0.1, repeated_share=0.1)
+        ),
     ]
     found = [play(shape, seed) for shape in shapes for seed in range(4)]
     assert [h.broken for h in found if h.broken] == []
--- a/tests/test_control_check.py
+++ b/tests/test_control_check.py
@@ -9,7 +9,7 @@
 
 from mastturn.control_check.__main__ import SEARCHES, main
 from mastturn.control_check.history import History
-from mastturn.control_check.kept import Series, keep, read, summed, takeovers_table
+from mastturn.control_check.kept import Series, read_series, summarize, takeovers_table, write_series
 from mastturn.control_check.shape import Shape, Takeover
 from mastturn.files import LabError
 
@@ -34,7 +34,7 @@
 
 def test_a_table_says_what_took_longer_than_the_aim() -> None:
     one, two = history(4, ("kill", 600.0), ("kill", 1_600.0)), history(5, ("kill", 700.0), ("kill+hang", 9.0))
-    series = summed(Shape(3, 1), [one, two])
+    series = summarize(Shape(3, 1), [one, two])
     assert (series.first, series.last, series.acknowledged, series.reads, series.views) == (4, 5, 4, 2, 6)
     table = takeovers_table([series])
     assert "| killed | 3: 700, 1,600, 1,600; 1 above |" in table
@@ -52,7 +52,7 @@
     bad = tmp_path / "bad.json"
     bad.write_text('{"machines": 3}')
     with pytest.raises(LabError, match="make one with play --out"):
-        read(bad)
+        read_series(bad)
     status, said = call("draw", str(bad))
     assert status == 1 and "is no series of histories" in said
 
@@ -65,6 +65,6 @@
 
 
 def test_series_come_back_as_they_were(tmp_path: Path) -> None:
-    series: Series = summed(Shape(5, 2, sync_ms=5.0), [history(1, ("wipe", 812.25))])
-    keep(tmp_path / "five.json", series)
-    assert read(tmp_path / "five.json") == series and series.gaps == {"wipe": [812.2]}
+    series: Series = summarize(Shape(5, 2, sync_ms=5.0), [history(1, ("wipe", 812.25))])
+    write_series(tmp_path / "five.json", series)
+    assert read_series(tmp_path / "five.json") == series and series.gaps == {"wipe": [812.2]}
--- a/tests/test_replica_defects.py
+++ b/tests/test_replica_defects.py
@@ -13,15 +13,15 @@
     SuccessorWithoutMajority,
     WipedVotes,
 )
-from mastturn.control_check.explore import Found, explore, walk
-from mastturn.control_check.local import Make
+from mastturn.control_check.explore import SearchResult, explore, walk
+from mastturn.control_check.local import ReplicaFactory
 from mastturn.control_check.losses import Replacement
 from mastturn.control_check.planted import (
     PROMISED_TO_1,
     PROMISED_TWICE,
     SEARCHED,
     WRITTEN,
-    Searched,
+    SearchCase,
     ends_at_once,
     failed_syncs,
     shrinks,
@@ -32,12 +32,12 @@
 from mastturn.control_check.world import World
 
 
-def assert_caught(found: Found, rule: str) -> None:
+def assert_caught(found: SearchResult, rule: str) -> None:
     assert found.rule == rule and found.story, found
 
 
 @pytest.mark.parametrize("planted", SEARCHED, ids=lambda p: p.make.__name__)
-def test_the_search_finds_each_from_its_first_steps_on(planted: Searched) -> None:
+def test_the_search_finds_each_from_its_first_steps_on(planted: SearchCase) -> None:
     assert_caught(planted.show(), planted.rule)
 
 
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize(
     "planted", [p for p in SEARCHED if p.make is not PromisesBeforeSync], ids=lambda p: p.make.__name__
 )
-def test_the_same_search_finds_nothing_without_the_defect(planted: Searched) -> None:
+def test_the_same_search_finds_nothing_without_the_defect(planted: SearchCase) -> None:
     """Limited to 10,000 states, which covers most of the searches completely."""
     assert not explore(planted.bounds, most_states=10_000).broken
 
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("make", [LeaseByJumpingClock, Replica])
-def test_a_lease_and_a_clock_that_jumps(make: Make) -> None:
+def test_a_lease_and_a_clock_that_jumps(make: ReplicaFactory) -> None:
     """A primary that is cut off answers no read, whatever its clock says.
 
     The protocol has no leases; a primary with a lease and a jumping clock answers an outdated read.
--- a/tests/test_replica_exchanges.py
+++ b/tests/test_replica_exchanges.py
@@ -87,7 +87,7 @@
     world.frozen = {1}
     world.run(300.0)
     world.frozen = set()
-    world.hear(1, 0, Ask("i1", "i0", 2, False))
+    world.deliver(1, 0, Ask("i1", "i0", 2, False))
     assert "0 -> 1 Answer 2 no" in world.lines  # The primary refuses as long as it reaches a majority.
     world.lines.clear()
     world.frozen = {1}
@@ -181,7 +181,7 @@
     promised = world.replicas[3].durable_state.promised
     assert promised == 1 and world.disks[3].promised == 1
     older = replace(first, epoch=0, members=(*first.members[:2], newcomer))
-    world.hear(0, 3, Install("i0", "i3", older, None, True))
+    world.deliver(0, 3, Install("i0", "i3", older, None, True))
     assert world.replicas[3].durable_state.view is None
 
 
@@ -192,7 +192,7 @@
     world.hangs = {1}
     world.replicas[0].submit(Put(2, 3, 4, "e", b""), world.now)
     world.settle()
-    world.hear(1, 0, Written("i1", "i0", 1, 1, False, 1))
+    world.deliver(1, 0, Written("i1", "i0", 1, 1, False, 1))
     world.run(200.0)
     world.free(1)
     world.run(200.0)
@@ -248,16 +248,16 @@
 
 def test_a_primary_that_changes_the_view_says_that_it_goes_on() -> None:
     world = Lockstep()
-    world.went_on.clear()
+    world.continued.clear()
     world.cut(1)
     world.run(1_000.0)
     assert [line for line in world.lines if "leads" in line] == ["0 leads no longer", "0 leads 2"]
-    assert world.went_on == [False, True]
+    assert world.continued == [False, True]
 
 
 def test_a_primary_that_comes_back_after_another_does_not_go_on() -> None:
     world = Lockstep()
-    world.went_on.clear()
+    world.continued.clear()
     world.cut(0)
     world.run(2_000.0)
     assert world.primary() == 1
@@ -268,17 +268,17 @@
     world.run(1_000.0)
     leads = [line for line in world.lines if "leads" in line and "no longer" not in line]
     assert world.epoch() > 2 and leads[0] == "1 leads 2" and leads[-1][0] != "1"
-    assert not any(world.went_on)
+    assert not any(world.continued)
 
 
 def test_one_that_leaves_holds_nothing_and_may_come_back() -> None:
     world = Lockstep()
-    world.hear(1, 0, Leaving("i1", "i0"))
+    world.deliver(1, 0, Leaving("i1", "i0"))
     world.run(300.0)
     view = world.replicas[0].durable_state.view
     assert view is not None and 1 not in view.holders
     before = world.epoch()
-    world.hear(2, 0, Leaving("i2", "i0"))
+    world.deliver(2, 0, Leaving("i2", "i0"))
     world.run(2_000.0)
     assert world.epoch() <= before + 1  # The view stays, as no member is left to take the place.
     world.run(11_000.0)
@@ -332,9 +332,9 @@
 
 def test_who_has_promised_another_takes_no_notice_of_being_named() -> None:
     world = Lockstep()
-    world.hear(2, 1, Prepare("i2", "i1", 2))
+    world.deliver(2, 1, Prepare("i2", "i1", 2))
     world.lines.clear()
-    world.hear(0, 1, Succeed("i0", "i1", 1))
+    world.deliver(0, 1, Succeed("i0", "i1", 1))
     assert world.lines == []
 
 
@@ -343,13 +343,13 @@
     world.lost = {"Prepare"}
     world.replicas[0].stop(world.now)
     world.settle()
-    world.hear(0, 1, Succeed("i0", "i1", 1))
+    world.deliver(0, 1, Succeed("i0", "i1", 1))
     assert [line for line in world.lines if line == "1 -> 2 Ask 2"] == ["1 -> 2 Ask 2"]
     world.lost = set()
     world.run(500.0)
     assert world.primary() == 1 and world.epoch() == 2
     world.lines.clear()
-    world.hear(0, 1, Succeed("i0", "i1", 1))
+    world.deliver(0, 1, Succeed("i0", "i1", 1))
     assert world.lines == []
 
 
@@ -362,9 +362,9 @@
     world.run(200.0)
     assert world.primary() == 1 and world.epoch() == 2
     world.lines.clear()
-    world.hear(1, 2, Prepare("i1", "i2", 2))
+    world.deliver(1, 2, Prepare("i1", "i2", 2))
     assert world.lines == ["2 -> 1 Promised 2"]
-    world.hear(0, 2, Prepare("i0", "i2", 2))
+    world.deliver(0, 2, Prepare("i0", "i2", 2))
     assert world.lines[-1].startswith("2 -> 0 Promised 2 no")  # Another candidate does not get the promise.
 
 
@@ -380,7 +380,7 @@
     campaign.installed_slots |= set(campaign.view.holders)
     campaign.stage = campaign.stage.__class__.WON
     world.frozen = set()
-    world.hear(2, 1, Promised("i2", "i1", 2, True, 2, None))
+    world.deliver(2, 1, Promised("i2", "i1", 2, True, 2, None))
     assert world.replicas[1].primary is None and "1 leads 2" not in world.lines
 
 
@@ -388,9 +388,9 @@
     world = Lockstep()
     world.cut(2)
     world.wipe(2, "j2")
-    world.hear(1, 2, Prepare("i1", "i2", 2))  # Addressed to the previous process.
-    world.hear(1, 2, Prepare("i1", "j2", 2))
-    world.hear(1, 2, Install("i1", "j2", View(2, 1, (1,), (None, None, None)), None, False))
+    world.deliver(1, 2, Prepare("i1", "i2", 2))  # Addressed to the previous process.
+    world.deliver(1, 2, Prepare("i1", "j2", 2))
+    world.deliver(1, 2, Install("i1", "j2", View(2, 1, (1,), (None, None, None)), None, False))
     assert world.replicas[2].durable_state.promised == 0 and world.replicas[2].durable_state.view is None
     world.cuts = set()
     world.run(800.0)
@@ -402,7 +402,7 @@
     world = Lockstep()
     world.wipe(2, "j2")
     world.replicas[2].set_seeds(("10.0.77.1",))
-    world.hear(0, 2, Beat("i0", "i2", 1, 1))
+    world.deliver(0, 2, Beat("i0", "i2", 1, 1))
     world.run(700.0)
     assert world.replicas[2].durable_state.slot() == 2
 
@@ -452,7 +452,7 @@
     campaign = world.replicas[1].candidate.campaign
     assert campaign is not None
     world.run(campaign.stage_at + world.spec.stage_timeout_ms - world.now)
-    world.hear(2, 1, Promised("i2", "i1", 2, True, 2, world.replicas[2].durable_state.view))
+    world.deliver(2, 1, Promised("i2", "i1", 2, True, 2, world.replicas[2].durable_state.view))
     world.lost = set()
     world.now += 10.0
     world.replicas[1].tick(world.now)
--- a/tests/test_replica_histories.py
+++ b/tests/test_replica_histories.py
@@ -5,8 +5,8 @@
 import pytest
 
 from mastturn.control_check.history import History, play
-from mastturn.control_check.network import Air
-from mastturn.control_check.shape import STORM_AIR, Shape
+from mastturn.control_check.network import LinkProfile
+from mastturn.control_check.shape import STORM_LINK, Shape
 from mastturn.control_check.world import World
 
 # Machines and seed of histories that have shown a fault.
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize(("machines", "losses"), [(3, 1), (5, 2)])
 def test_nothing_is_lost_when_all_are_killed_again_and_again(machines: int, losses: int) -> None:
     assert_rules_hold(
-        [play(Shape(machines, losses, 20.0, storm=True, air=STORM_AIR), seed) for seed in range(10)]
+        [play(Shape(machines, losses, 20.0, storm=True, air=STORM_LINK), seed) for seed in range(10)]
     )
 
 
@@ -58,14 +58,14 @@
 
 
 def test_a_network_that_loses_and_repeats_a_tenth_breaks_nothing() -> None:
-    air = Air(slow_share=0.1, slow_ms=400.0, lost_share=0.1, repeated_share=0.1)
+    air = LinkProfile(slow_share=0.1, slow_ms=400.0, lost_share=0.1, repeated_share=0.1)
     for machines in (3, 5):
         shape = Shape(machines, (machines - 1) // 2, storm=True, air=air)
         assert [h.broken for h in (play(shape, seed) for seed in range(5)) if h.broken] == []
 
 
 def test_a_history_can_be_played_again() -> None:
-    one, two = (play(Shape(3, 1, length_ms=15_000.0), 7, told=True) for _ in range(2))
+    one, two = (play(Shape(3, 1, length_ms=15_000.0), 7, with_story=True) for _ in range(2))
     assert one == two and len(one.story) > 300
 
 
--- a/tests/test_replica_stalls.py
+++ b/tests/test_replica_stalls.py
@@ -13,12 +13,12 @@
 from consensus.failure_detector import BUCKET_MS, MAX_TIMEOUT_MS, RETENTION_MS, FailureDetector
 from mastturn.control_check.history import play_all
 from mastturn.control_check.machine import Machine
-from mastturn.control_check.network import Air
+from mastturn.control_check.network import LinkProfile
 from mastturn.control_check.shape import Shape
 from mastturn.control_check.world import World
 
 BEAT_MS, USUAL_MS = 150.0, 600.0
-QUIET = Air(slow_share=0.0, lost_share=0.0, repeated_share=0.0)
+QUIET = LinkProfile(slow_share=0.0, lost_share=0.0, repeated_share=0.0)
 
 
 class LeaderDeath:
@@ -33,7 +33,7 @@
     def takeover_ms(self) -> float:
         """Returns the time from the kill until another process leads."""
         self.world.begin()
-        self.world.later(6_000.0 + self.world.chance.uniform(0, 1_000), self._kill)
+        self.world.later(6_000.0 + self.world.rng.uniform(0, 1_000), self._kill)
         self.world.run(self.world.shape.length_ms)
         return self.led_at - self.killed_at
 
