--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -22,7 +22,7 @@
 from mastturn.engines.demand import Asked
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Figures, Job
-from mastturn.engines.upstreams import HEAD_BYTES, Network, SimulatedUpstreams, extra
+from mastturn.engines.wire import HEAD_BYTES, Network, SimulatedUpstreams, extra
 from mastturnd.balancing import HOLDINGS_REPORT_DELAY_S
 from passpost.attempt import OutgoingRequest
 
--- a/mastturn/engines/compare.py
+++ b/mastturn/engines/compare.py
@@ -12,8 +12,8 @@
 from mastturn.engines.choosers import CHOOSERS
 from mastturn.engines.days import own_days
 from mastturn.engines.deployment import Day, Sheet, load
+from mastturn.engines.judge import Worth
 from mastturn.engines.play import play
-from mastturn.engines.scoring import Worth
 from mastturn.files import LabError
 
 
--- a/mastturn/engines/control.py
+++ b/mastturn/engines/control.py
@@ -11,7 +11,7 @@
 from dissemination.follower import STALE_AFTER_S
 from mastturn.engines.balancer import Node, Root
 from mastturn.engines.engine import Engine
-from mastturn.engines.upstreams import Network
+from mastturn.engines.wire import Network
 
 LIST_S = 1.0  # between two readings of the platform's list
 LEASE_S = 3.0
--- a/mastturn/engines/fleet.py
+++ b/mastturn/engines/fleet.py
@@ -17,7 +17,7 @@
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Figures
 from mastturn.engines.records import Record
-from mastturn.engines.upstreams import Network
+from mastturn.engines.wire import Network
 
 GONE_S = 3.0  # an upstream that has crashed stays on the list so long
 DRAIN_MORE_S = 1.0  # an upstream that leaves goes on so long beyond the time it was given
--- a/mastturn/engines/play.py
+++ b/mastturn/engines/play.py
@@ -13,13 +13,13 @@
 from balancer.tiers import Tiers
 from config.configuration import Upstream
 from control.orders import Outcome, Unclear
-from mastturn.engines import faults
+from mastturn.engines import troubles
 from mastturn.engines.clock import SimulatedLoop
 from mastturn.engines.control import LIST_S
 from mastturn.engines.demand import draw
 from mastturn.engines.deployment import Day, Sheet
 from mastturn.engines.fleet import Fleet
-from mastturn.engines.scoring import Worth, judge
+from mastturn.engines.judge import Worth, judge
 
 LEAD_S = 3.0  # long enough for lists, counts and measures to settle
 SETTLE_S = 10.0  # after the last request
@@ -45,7 +45,7 @@
     begin = loop.time()
     for request in asked:
         loop.call_at(begin + request.at, fleet.ask, request)
-    faults.arrange(fleet, day, seed, begin)
+    troubles.arrange(fleet, day, seed, begin)
     await asyncio.sleep(sheet.length(day) + SETTLE_S)
     handshakes = sum(n.all_handshakes() for n in fleet.nodes)
     early = (sheet.lead_s - LEAD_S) / LIST_S  # calls of the list before our clock begins
--- a/tests/test_engines_play.py
+++ b/tests/test_engines_play.py
@@ -17,11 +17,11 @@
 from mastturn.engines.days import own_days, write
 from mastturn.engines.demand import Asked, draw, popular
 from mastturn.engines.deployment import Closing, Day, Trouble, load
-from mastturn.engines.faults import is_modelled
 from mastturn.engines.jobs import Figures
+from mastturn.engines.judge import earned, judge
 from mastturn.engines.play import play
 from mastturn.engines.records import Record
-from mastturn.engines.scoring import earned, judge
+from mastturn.engines.troubles import is_modelled
 from mastturn.files import LabError
 from tests.engines_fixture import sheet
 
