--- a/mastturn/engines/__init__.py
+++ b/mastturn/engines/__init__.py
@@ -1,1 +1,1 @@
-"""An emulator of split model upstreams, with the fleet's own decision code in simulated time."""
+"""Emulator of prefill and decode upstreams: runs the product's own decision code in simulated time."""
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -1,4 +1,4 @@
-"""One balancer in simulated time: the fleet's own data plane and sums of load, without sockets."""
+"""A balancer in simulated time: the product's data plane and load aggregation without sockets."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from dissemination.load_steps import Loads
 from dissemination.loads import ENTRY_BYTES, LoadSum, PeerLoads
 from dissemination.messages import Holding, HoldingNews, HoldingReport, LoadNews, LoadReport, UpstreamLoad
-from mastturn.engines.demand import Asked
+from mastturn.engines.demand import ClientRequest
 from mastturn.engines.engine import Engine
-from mastturn.engines.jobs import Figures, Job
-from mastturn.engines.wire import HEAD_BYTES, Network, SimulatedUpstreams, extra
+from mastturn.engines.jobs import Counters, Job
+from mastturn.engines.wire import HEAD_BYTES, Network, SimulatedUpstreams, stage_headers
 from mastturnd.balancing import HOLDINGS_REPORT_DELAY_S
 from passpost.attempt import OutgoingRequest
 
 MakeTiers = Callable[[random.Random, Callable[[str], bool]], Tiers]
 
 
-PACKET_BYTES, HOLDING_BYTES = 60, 30  # of a message of news beside its entries; of an entry
+PACKET_BYTES, HOLDING_BYTES = 60, 30  # of a dissemination message without its entries; of one entry
 
 
-def size_of(message: Any) -> int:
-    """Bytes of a message of news, about."""
+def message_bytes(message: Any) -> int:
+    """Approximate size of a dissemination message, in bytes."""
     if isinstance(message, LoadNews | LoadReport):
         return PACKET_BYTES + ENTRY_BYTES * len(message.loads)
     return PACKET_BYTES + HOLDING_BYTES * len(message.holdings)
 
 
 class DataPlane(Balancer):
-    """The real one, on simulated connections and with a chooser that can be replaced."""
+    """The product's data plane on simulated connections, with a replaceable upstream chooser."""
 
     def __init__(self, settings: Settings, seed: int, upstreams: Any, tiers: MakeTiers) -> None:
         super().__init__(settings, seed)
@@ -50,7 +50,7 @@
 
 
 class Node:
-    """A balancer of the fleet: its data plane, who tells it the news, and who hears them from it."""
+    """A balancer process: its data plane, its parent and its children in the relay tree."""
 
     def __init__(
         self,
@@ -62,9 +62,9 @@
         slack: float,
         tiers: MakeTiers,
         engine_at: Callable[[str], Engine | None],
-        figures: Figures,
+        counters: Counters,
     ) -> None:
-        self._figures = figures
+        self._counters = counters
         self.name, self.zone, self.network, self._engine_at = name, zone, network, engine_at
         self._seed, self._handshake_ms, self._tiers = seed, handshake_ms, tiers
         self._settings = Settings(
@@ -79,123 +79,129 @@
             bounds=Bounds(retry_slack=slack),
         )
         self.up, self.starting = True, False
-        self._at_door: list[Callable[[], None]] = []
-        self.parent: Node | Root | None = None
+        self._waiting_clients: list[Callable[[], None]] = []
+        self.parent: Node | ControlPrimary | None = None
         self.children: list[Node] = []
         self.handshakes = 0
         self._entries: tuple[Upstream, ...] = ()
-        self._begin()
+        self._start_process()
 
-    def _begin(self) -> None:
-        self._asked: dict[bytes, Asked] = {}
+    def _start_process(self) -> None:
+        self._client_requests: dict[bytes, ClientRequest] = {}
         self.upstreams = SimulatedUpstreams(
-            self.zone, self.network, self._handshake_ms, self._job, self._size_of, self._figures
+            self.zone, self.network, self._handshake_ms, self._job, self._request_bytes, self._counters
         )
         self.plane = DataPlane(self._settings, self._seed, self.upstreams, self._tiers)
-        self._others = PeerLoads()
-        self.loads = LoadSum(self._own, self._loaded)
+        self._peer_loads = PeerLoads()
+        self.loads = LoadSum(self._own_loads, self._on_loads_summed)
         self._reported: Loads = {}
-        self.plane.set_other_loads(self._others.of)
+        self.plane.set_other_loads(self._peer_loads.of)
         self.plane.watch_loads(self.loads.schedule)
-        self.plane.watch_cached_prefixes(self._kept)
+        self.plane.watch_cached_prefixes(self._on_prefix_cached)
         self.holdings = Holdings()
-        self._unsaid: list[Holding] = []
+        self._unsent_holdings: list[Holding] = []
 
     # ---- clients
 
-    def take(self, asked: Asked, name: bytes, left: float, after: int | None, client: Any) -> int | None:
-        """A whole request is there."""
+    def accept_request(
+        self, client_request: ClientRequest, name: bytes, time_left_s: float, after: int | None, client: Any
+    ) -> int | None:
+        """Accept a complete request; returns its number, or None if it can't be routed now."""
         if not self.up or not self.plane.is_ready():
             return None
-        route = self._routes.get(asked.kind.name)
+        route = self._routes.get(client_request.kind.name)
         if route is None:
             return None
-        self._asked[name] = asked
-        shared = sum(t for _, t in asked.chain)
-        subject = asked.chain[-1][0].encode() if asked.chain else b""
+        self._client_requests[name] = client_request
+        shared = sum(t for _, t in client_request.chain)
+        subject = client_request.chain[-1][0].encode() if client_request.chain else b""
         call = RoutedCall(
             route.name,
             name,
             None,
-            left,
+            time_left_s,
             b"POST",
             b"/",
             [],
             route,
-            Prompt(asked.tokens, shared, subject),
+            Prompt(client_request.tokens, shared, subject),
             str(after).encode() if after is not None else None,
         )
         outgoing = UpstreamRequest(b"", b"", None, 0.0, name)
         self._clients[name] = client
-        return self.plane.take_up(call, min(left, route.deadline_ms / 1000), outgoing, client, 0.0)
+        return self.plane.take_up(call, min(time_left_s, route.deadline_ms / 1000), outgoing, client, 0.0)
 
     def is_starting(self) -> bool:
-        """Whether the process listens, and will take requests in a moment."""
+        """Whether the process listens but does not accept requests yet."""
         return self.starting
 
-    def wait(self, then: Callable[[], None]) -> None:
-        """Do that once it takes requests."""
-        self._at_door.append(then)
+    def call_when_ready(self, callback: Callable[[], None]) -> None:
+        """Call back once the process accepts requests."""
+        self._waiting_clients.append(callback)
 
     def listen(self) -> None:
-        """The process has started: clients wait in its socket's queue."""
+        """Mark the process as started; clients wait in the backlog of its listening socket."""
         self.starting = True
 
-    def left(self, number: int) -> None:
-        """A client has gone."""
+    def disconnect_client(self, number: int) -> None:
+        """Handle the disconnection of a client."""
         if self.up:
             self.plane.on_client_disconnected(number)
 
     def _job(self, request: UpstreamRequest, caller: Any, now: float) -> Job:
-        lines = extra(request)
-        asked = self._asked[request.request_id]
+        headers = stage_headers(request)
+        client_request = self._client_requests[request.request_id]
         handle, source = "", None
-        if (told := lines.get(b"Kv-From")) is not None:
-            address, _, handle = told.decode().partition("/")
+        if (kv_from := headers.get(b"Kv-From")) is not None:
+            address, _, handle = kv_from.decode().partition("/")
             source = self._engine_at(address)
         return Job(
             request.request_id.decode(),
             caller,
-            asked.chain,
-            asked.own,
-            asked.pieces,
-            int(lines.get(b"Priority", b"5")),
+            client_request.chain,
+            client_request.own_tokens,
+            client_request.pieces,
+            int(headers.get(b"Priority", b"5")),
             request.deadline,
-            b"Mastturn-Stage" in lines,
-            after=int(lines.get(b"Last-Event-Id", b"0")),
+            b"Mastturn-Stage" in headers,
+            events_sent=int(headers.get(b"Last-Event-Id", b"0")),
             handle=handle,
             source=source,
         )
 
-    def _size_of(self, request: OutgoingRequest) -> float:
-        """Bytes of a request."""
-        asked = self._asked.get(request.request_id) if isinstance(request, UpstreamRequest) else None
-        return HEAD_BYTES + (asked.kind.req_bytes.mean if asked is not None else 0.0)
+    def _request_bytes(self, request: OutgoingRequest) -> float:
+        """Size of a request, in bytes."""
+        client_request = (
+            self._client_requests.get(request.request_id) if isinstance(request, UpstreamRequest) else None
+        )
+        return HEAD_BYTES + (client_request.kind.req_bytes.mean if client_request is not None else 0.0)
 
-    # ---- the control side
+    # ---- control
 
     def configure(self, configuration: Configuration) -> None:
-        """A configuration is in force."""
+        """Put a configuration into force."""
         self._routes = {r.name: r for r in configuration.routes}
         self._clients: dict[bytes, Any] = {}
         self.plane.configure(configuration)
         self.plane.allow_ready(True)
 
     def count(self, balancers: int) -> None:
-        """So many balancers live."""
+        """Set the number of live balancers."""
         self.plane.count_balancers(balancers)
 
     def list_upstreams(self, entries: tuple[Upstream, ...]) -> None:
-        """The list as it is told now."""
+        """Apply the current list of upstreams."""
         if not self.up:
             return
         self._entries = entries
-        self.upstreams.know({e.id: g for e in entries if (g := self._engine_at(e.addr)) is not None})
+        self.upstreams.set_engines(
+            {e.id: engine for e in entries if (engine := self._engine_at(e.addr)) is not None}
+        )
         self.holdings.keep_only({e.id for e in entries})
         self.plane.list_upstreams(entries)
 
     def kill(self) -> None:
-        """The process ends, with all that is open."""
+        """Kill the process; all its connections break."""
         self.up = False
         self.handshakes += self.upstreams.handshakes
         passages = list(self.plane._requests.values())
@@ -208,120 +214,122 @@
             self.parent.loads.remove_child(self)
 
     def start(self, configuration: Configuration, entries: tuple[Upstream, ...], balancers: int) -> None:
-        """A new process in its place."""
+        """Start a new process in place of the killed one."""
         self.up = True
-        self._begin()
+        self._start_process()
         self.configure(configuration)
         self.count(balancers)
         self.list_upstreams(entries)
         self.starting = False
-        waiting, self._at_door = self._at_door, []
-        for then in waiting:
-            then()
+        waiting, self._waiting_clients = self._waiting_clients, []
+        for callback in waiting:
+            callback()
 
     def all_handshakes(self) -> int:
-        """New connections to upstreams, of all its processes."""
+        """Number of connections opened to upstreams by all its processes."""
         return self.handshakes + (self.upstreams.handshakes if self.up else 0)
 
-    def forget_loads(self) -> None:
-        """No news for a while: what others have out is not known."""
-        self._others.clear()
+    def clear_loads(self) -> None:
+        """Drop the loads reported by other balancers after a long gap in dissemination."""
+        self._peer_loads.clear()
 
-    # ---- news
+    # ---- dissemination
 
-    def way_to(self, other: Node | Root) -> float:
-        """One way, in seconds."""
-        return self.network.way(self.zone, other.zone)
+    def one_way_to_s(self, other: Node | ControlPrimary) -> float:
+        """One-way network latency, in seconds."""
+        return self.network.one_way_s(self.zone, other.zone)
 
-    def _own(self) -> Loads:
+    def _own_loads(self) -> Loads:
         self._reported = self.plane.loads()
         return self._reported
 
-    def _loaded(self, loads: tuple[UpstreamLoad, ...]) -> None:
-        self._say(LoadReport(loads))
+    def _on_loads_summed(self, loads: tuple[UpstreamLoad, ...]) -> None:
+        self._send_to_parent(LoadReport(loads))
 
-    def _say(self, message: Any) -> None:
+    def _send_to_parent(self, message: Any) -> None:
         parent = self.parent
         if parent is not None and self.up:
-            self._figures.crossed += size_of(message) * (parent.zone != self.zone)
-            asyncio.get_running_loop().call_later(self.way_to(parent), parent.heard, self, message)
+            self._counters.cross_zone_bytes += message_bytes(message) * (parent.zone != self.zone)
+            asyncio.get_running_loop().call_later(
+                self.one_way_to_s(parent), parent.on_child_message, self, message
+            )
 
-    def _tell(self, message: Any) -> None:
+    def _send_to_children(self, message: Any) -> None:
         for child in self.children:
-            self._figures.crossed += size_of(message) * (child.zone != self.zone)
-            asyncio.get_running_loop().call_later(self.way_to(child), child.told, message)
+            self._counters.cross_zone_bytes += message_bytes(message) * (child.zone != self.zone)
+            asyncio.get_running_loop().call_later(self.one_way_to_s(child), child.on_parent_message, message)
 
-    def heard(self, child: Node, message: Any) -> None:
-        """A word from below."""
+    def on_child_message(self, child: Node, message: Any) -> None:
+        """Handle a message from a child in the relay tree."""
         if not self.up:
             return
         if isinstance(message, LoadReport):
             self.loads.report(child, message)
         elif isinstance(message, HoldingReport):
-            self._say_later(self._hold(message.holdings))
+            self._queue_holdings(self._add_holdings(message.holdings))
 
-    def told(self, message: Any) -> None:
-        """News from above."""
+    def on_parent_message(self, message: Any) -> None:
+        """Handle a message from the parent in the relay tree."""
         if not self.up:
             return
         if isinstance(message, LoadNews):
-            self._others.take(message, self._reported)
-            self._tell(message)
+            self._peer_loads.take(message, self._reported)
+            self._send_to_children(message)
         elif isinstance(message, HoldingNews):
-            self._hold(message.holdings)
+            self._add_holdings(message.holdings)
 
-    def _hold(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
+    def _add_holdings(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
         new = self.holdings.add(holdings)
         for holding in new:
             self.plane.add_cached_prefix(holding.subject, holding.upstream)
         if new:
-            self._tell(HoldingNews(new))
+            self._send_to_children(HoldingNews(new))
         return new
 
-    def _kept(self, subject: bytes, upstream: str) -> None:
-        self._say_later(self.holdings.add((Holding(subject, upstream),), first_hand=True))
+    def _on_prefix_cached(self, subject: bytes, upstream: str) -> None:
+        self._queue_holdings(self.holdings.add((Holding(subject, upstream),), first_hand=True))
 
-    def _say_later(self, new: tuple[Holding, ...]) -> None:
-        if new and not self._unsaid:
-            asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._say_holdings)
-        self._unsaid += new
+    def _queue_holdings(self, new: tuple[Holding, ...]) -> None:
+        if new and not self._unsent_holdings:
+            asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._send_holdings)
+        self._unsent_holdings += new
 
-    def _say_holdings(self) -> None:
-        unsaid, self._unsaid = tuple(self._unsaid), []
-        self._say(HoldingReport(unsaid))
-        self._tell(HoldingNews(unsaid))
+    def _send_holdings(self) -> None:
+        unsent, self._unsent_holdings = tuple(self._unsent_holdings), []
+        self._send_to_parent(HoldingReport(unsent))
+        self._send_to_children(HoldingNews(unsent))
 
 
-class Root:
-    """The primary of the control state: sums of load, what was read, and the list as it is told."""
+class ControlPrimary:
+    """The control primary, root of the relay tree: sums of load and holders of cached prefixes."""
 
-    def __init__(self, zone: str, network: Network, figures: Figures) -> None:
-        self.zone, self._network, self._figures = zone, network, figures
+    def __init__(self, zone: str, network: Network, counters: Counters) -> None:
+        self.zone, self._network, self._counters = zone, network, counters
         self.children: list[Node] = []
         self.silent_until = 0.0
         self._number = 0
-        self.begin_anew()
+        self.reset()
 
-    def begin_anew(self) -> None:
-        """Nothing is known yet."""
-        self.loads = LoadSum(dict, self._loaded)
+    def reset(self) -> None:
+        """Discard all state."""
+        self.loads = LoadSum(dict, self._on_loads_summed)
         self.loaded_by: dict[str, tuple[int, int]] = {}
         self.holdings = Holdings()
 
-    def heard(self, child: Node, message: Any) -> None:
-        """A word from below."""
+    def on_child_message(self, child: Node, message: Any) -> None:
+        """Handle a message from a child in the relay tree."""
         if isinstance(message, LoadReport):
             self.loads.report(child, message)
         elif isinstance(message, HoldingReport) and (new := self.holdings.add(message.holdings)):
-            self._tell(HoldingNews(new))
+            self._send_to_children(HoldingNews(new))
 
-    def _loaded(self, loads: tuple[UpstreamLoad, ...]) -> None:
+    def _on_loads_summed(self, loads: tuple[UpstreamLoad, ...]) -> None:
         self.loaded_by = {e.upstream: (e.calls, e.tokens) for e in loads}
         self._number += 1
-        self._tell(LoadNews(1, self._number, loads))
+        self._send_to_children(LoadNews(1, self._number, loads))
 
-    def _tell(self, message: Any) -> None:
+    def _send_to_children(self, message: Any) -> None:
         loop = asyncio.get_running_loop()
         for child in self.children if loop.time() >= self.silent_until else ():
-            self._figures.crossed += size_of(message) * (child.zone != self.zone)
-            loop.call_later(self._network.way(self.zone, child.zone), child.told, message)
+            self._counters.cross_zone_bytes += message_bytes(message) * (child.zone != self.zone)
+            loop.call_later(self._network.one_way_s(self.zone, child.zone), child.on_parent_message, message)
--- a/mastturn/engines/choosers.py
+++ b/mastturn/engines/choosers.py
@@ -1,6 +1,6 @@
-"""Ways to choose an upstream, to hold the fleet's own against: each takes the place of its tiers.
+"""Baseline upstream choosers to compare the product's own with; each replaces its `Tiers`.
 
-All else stays the fleet's: priorities, admission, retries, who reads by itself, and what counts as ready.
+Priorities, admission, retries, prefill on decode upstreams and readiness stay the product's.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from balancer.tiers import DECODE, PREFILL, Group, Tiers, _rendezvous_weight
 
 
-class _Plain(Tiers):
-    """Any of the ready ones, as `_pick` has it."""
+class _FlatTiers(Tiers):
+    """Chooses among all ready upstreams with `_pick`."""
 
-    def __init__(self, chance: random.Random, has_place: Callable[[str], bool]) -> None:
-        super().__init__(chance, has_place)
-        self._turns = count()
+    def __init__(self, rng: random.Random, has_place: Callable[[str], bool]) -> None:
+        super().__init__(rng, has_place)
+        self._counter = count()
 
     def pick_prefill(self, service: str, prompt: Prompt, avoid: Collection[str], now: float) -> Peer | None:
-        """The prefill upstream that reads a prompt."""
+        """Choose the upstream that prefills a prompt; None if none is eligible."""
         group = self._groups.get((service, PREFILL))
-        able = self._eligible(group, avoid, now)
-        return self._pick(group, able, prompt, now) if group is not None and able else None
+        eligible = self._eligible(group, avoid, now)
+        return self._pick(group, eligible, prompt, now) if group is not None and eligible else None
 
     def pick_decode(
         self,
@@ -36,56 +36,56 @@
         now: float,
         repeatable: bool = True,
     ) -> Peer | None:
-        """The upstream that runs."""
+        """Choose the upstream that decodes; None if none is eligible."""
         group = self._groups.get((service, DECODE))
         if group is None or not group.peers:
             group = self._groups.get((service, ""))
-        able = self._eligible(group, avoid, now)
-        return self._pick(group, able, prompt, now) if group is not None and able else None
+        eligible = self._eligible(group, avoid, now)
+        return self._pick(group, eligible, prompt, now) if group is not None and eligible else None
 
-    def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
+    def _pick(self, group: Group, eligible: list[Peer], prompt: Prompt | None, now: float) -> Peer:
         raise NotImplementedError
 
 
-class RoundRobin(_Plain):
-    """One after the other."""
+class RoundRobin(_FlatTiers):
+    """Round robin."""
 
-    def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        return able[next(self._turns) % len(able)]
+    def _pick(self, group: Group, eligible: list[Peer], prompt: Prompt | None, now: float) -> Peer:
+        return eligible[next(self._counter) % len(eligible)]
 
 
-class LeastInFlight(_Plain):
-    """The one with the fewest of our calls, then at random."""
+class LeastInFlight(_FlatTiers):
+    """The upstream with the fewest calls of this balancer in flight; ties at random."""
 
-    def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        return min(able, key=lambda p: (p.server.in_flight, self._rng.random()))
+    def _pick(self, group: Group, eligible: list[Peer], prompt: Prompt | None, now: float) -> Peer:
+        return min(eligible, key=lambda p: (p.server.in_flight, self._rng.random()))
 
 
-class TwoChoices(_Plain):
-    """The better of two drawn evenly: the plain power of two choices."""
+class TwoChoices(_FlatTiers):
+    """Power of two choices: the less loaded of two uniform draws."""
 
-    def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        drawn = [self._rng.choice(able), self._rng.choice(able)]
+    def _pick(self, group: Group, eligible: list[Peer], prompt: Prompt | None, now: float) -> Peer:
+        drawn = [self._rng.choice(eligible), self._rng.choice(eligible)]
         return min(drawn, key=lambda p: (p.server.in_flight, self._rng.random()))
 
 
-class DrawAlone(_Plain):
-    """The design's draw by learned capacity from all ready ones, without what the fleet narrows them to."""
+class DrawAlone(_FlatTiers):
+    """The product's draw by learned capacity, from all ready upstreams instead of its narrowed set."""
 
-    def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
-        return self._draw(group, able, now)
+    def _pick(self, group: Group, eligible: list[Peer], prompt: Prompt | None, now: float) -> Peer:
+        return self._draw(group, eligible, now)
 
 
-class PrefixOnly(_Plain):
-    """Where the subject's shared parts are, or else where hashing puts them; runs by two choices."""
+class PrefixOnly(_FlatTiers):
+    """The holder of the prompt's cached prefix, else by rendezvous hashing; decode by two choices."""
 
-    def _pick(self, group: Group, able: list[Peer], prompt: Prompt | None, now: float) -> Peer:
+    def _pick(self, group: Group, eligible: list[Peer], prompt: Prompt | None, now: float) -> Peer:
         if prompt is None or not prompt.prefix:
-            drawn = [self._rng.choice(able), self._rng.choice(able)]
+            drawn = [self._rng.choice(eligible), self._rng.choice(eligible)]
             return min(drawn, key=lambda p: p.server.in_flight)
         holders = self.prefix_index.holders(prompt.prefix)
-        keepers = [p for p in able if p.entry.id in holders]
-        return max(keepers or able, key=lambda p: _rendezvous_weight(prompt.prefix, p.id_bytes))
+        cached = [p for p in eligible if p.entry.id in holders]
+        return max(cached or eligible, key=lambda p: _rendezvous_weight(prompt.prefix, p.id_bytes))
 
 
 CHOOSERS: dict[str, Callable[..., Tiers]] = {
--- a/mastturn/engines/clock.py
+++ b/mastturn/engines/clock.py
@@ -1,4 +1,4 @@
-"""An event loop in simulated time: nothing is waited for, the clock moves to the next timer."""
+"""An asyncio event loop in simulated time: the clock jumps to the next timer instead of waiting."""
 
 from __future__ import annotations
 
@@ -12,55 +12,55 @@
 START_S = 1_000.0
 
 
-class _Jumping(selectors.SelectSelector):
+class _SimulatedSelector(selectors.SelectSelector):
     now = START_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Move the clock to the next timer; raises RuntimeError where there is none."""
         if timeout is None:
-            raise RuntimeError("nothing is left that could ever happen")
+            raise RuntimeError("simulated loop is idle: no timer is scheduled")
         if timeout > 0:
             self.now += timeout
         return []
 
 
 class _Timer(asyncio.TimerHandle):
-    """Timers of the same moment run in the order in which they were asked for: asyncio's do not."""
+    """A timer that runs in order of scheduling among those due at the same time, unlike asyncio's."""
 
-    asked = 0
+    sequence = 0
 
     def __lt__(self, other: object) -> bool:
         assert isinstance(other, _Timer)
         mine, others = self.when(), other.when()
-        return mine < others if mine != others else self.asked < other.asked
+        return mine < others if mine != others else self.sequence < other.sequence
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """asyncio on that clock; `faults` holds what was raised in callbacks."""
+    """Event loop on the simulated clock; `faults` collects exceptions raised in callbacks."""
 
     _scheduled: list[asyncio.TimerHandle]
 
     def __init__(self) -> None:
-        self._jumping = _Jumping()
-        super().__init__(self._jumping)
+        self._simulated = _SimulatedSelector()
+        super().__init__(self._simulated)
         self.faults: list[str] = []
-        self._asked = 0
-        self.set_exception_handler(self._fault)
+        self._timers_created = 0
+        self.set_exception_handler(self._on_exception)
 
-    def _fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def time(self) -> float:
-        """Seconds."""
-        return self._jumping.now
+        """Simulated time, in seconds."""
+        return self._simulated.now
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
-        """As asyncio has it, but for the order of what is due at the same moment."""
+        """Schedule a callback; those due at the same time run in order of scheduling."""
         timer = _Timer(when, callback, args, self, context)
-        self._asked += 1
-        timer.asked = self._asked
+        self._timers_created += 1
+        timer.sequence = self._timers_created
         heapq.heappush(self._scheduled, timer)
         timer._scheduled = True  # type: ignore[attr-defined]
         return timer
--- a/mastturn/engines/compare.py
+++ b/mastturn/engines/compare.py
@@ -1,4 +1,4 @@
-"""Choosers side by side in the same days, and the emulator beside what the bench has played."""
+"""Compares choosers on the same days, and the emulator with reports of the bench."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from pathlib import Path
 
 from mastturn.engines.choosers import CHOOSERS
-from mastturn.engines.days import own_days
-from mastturn.engines.deployment import Day, Sheet, load
-from mastturn.engines.judge import Worth
+from mastturn.engines.days import built_in_days
+from mastturn.engines.deployment import Day, Deployment, load
+from mastturn.engines.judge import DayScore
 from mastturn.engines.play import play
 from mastturn.files import LabError
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """One day, one chooser, one seed."""
+class ChooserResult:
+    """Result of one day with one chooser and seed."""
 
     site: str
     day: str
@@ -34,31 +34,31 @@
     faults: tuple[str, ...]
 
 
-def _one(path: Path, day: Day, chooser: str, seed: int) -> Played:
-    sheet = load(path)
-    found = play(sheet, day, seed, CHOOSERS[chooser])
-    return Played(
-        sheet.name,
+def _simulate(path: Path, day: Day, chooser: str, seed: int) -> ChooserResult:
+    deployment = load(path)
+    results = play(deployment, day, seed, CHOOSERS[chooser])
+    return ChooserResult(
+        deployment.name,
         day.name,
         chooser,
         seed,
-        round(found.worth, 4),
-        round(found.first_p99_ms, 1),
-        found.again,
-        round(found.moved_gb, 2),
-        found.refusals,
-        round(found.seconds, 2),
-        tuple(found.faults[:3]),
+        round(results.worth, 4),
+        round(results.first_p99_ms, 1),
+        results.again,
+        round(results.moved_gb, 2),
+        results.refusals,
+        round(results.seconds, 2),
+        tuple(results.faults[:3]),
     )
 
 
-def compare(path: Path, days: Sequence[str], seeds: int, jobs: int) -> list[Played]:
-    """All choosers on days of our own (all if none is named), by as many processes as `jobs`."""
-    sheet = load(path)
+def compare(path: Path, days: Sequence[str], seeds: int, jobs: int) -> list[ChooserResult]:
+    """Run all choosers on the built-in days named (default: all), in `jobs` processes."""
+    deployment = load(path)
     with ProcessPoolExecutor(max_workers=jobs) as pool:
         tasks = [
-            pool.submit(_one, path, day, chooser, seed)
-            for day in own_days(sheet)
+            pool.submit(_simulate, path, day, chooser, seed)
+            for day in built_in_days(deployment)
             if not days or day.name in days
             for chooser in CHOOSERS
             for seed in range(1, seeds + 1)
@@ -67,8 +67,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """A day on the bench and here; `spread`: the deviation of the emulated worth over seeds."""
+class BenchComparison:
+    """Worth of a day on the bench and emulated; `spread` is the standard deviation over seeds."""
 
     site: str
     day: str
@@ -79,84 +79,90 @@
     parts: dict[str, float]
 
 
-def _emulated(path: Path, day: Day, seed: int) -> Worth:
+def _simulate_score(path: Path, day: Day, seed: int) -> DayScore:
     return play(load(path), day, seed)
 
 
-def _day(sheet: Sheet, name: str) -> Day:
-    own = {d.name: d for d in own_days(sheet)}
-    return own[name] if name in own else sheet.day(name)
+def _find_day(deployment: Deployment, name: str) -> Day:
+    built_in = {d.name: d for d in built_in_days(deployment)}
+    return built_in[name] if name in built_in else deployment.day(name)
 
 
-def hold(path: Path, reports: Sequence[Path], seeds: int, jobs: int) -> list[Held]:
-    """The worth of days that the bench has played (`--report`), beside the emulator's mean over seeds.
+def compare_with_bench(path: Path, reports: Sequence[Path], seeds: int, jobs: int) -> list[BenchComparison]:
+    """Compare the worth in reports of the bench (`--report`) with the emulator's mean over seeds.
 
     A report is named DAY.json, or DAY-SEED.json; raises LabError for another file.
     """
-    sheet = load(path)
+    deployment = load(path)
     by_day: dict[str, list[dict[str, object]]] = {}
-    names = [d.name for d in (*own_days(sheet), *sheet.days)]
+    names = [d.name for d in (*built_in_days(deployment), *deployment.days)]
     for report in sorted(reports):
         day = next((n for n in names if report.stem == n or report.stem.startswith(n + "-s")), None)
         if day is None:
-            raise LabError(f"{report} names no day of {sheet.name}: call it DAY.json or DAY-sSEED.json")
+            raise LabError(f"{report} names no day of {deployment.name}: expected DAY.json or DAY-sSEED.json")
         by_day.setdefault(day, []).append(json.loads(report.read_text(encoding="utf-8")))
-    found = []
+    results = []
     with ProcessPoolExecutor(max_workers=jobs) as pool:
-        for name, benches in by_day.items():
-            played = _day(sheet, name)
-            worths = list(pool.map(_emulated, [path] * seeds, [played] * seeds, range(1, seeds + 1)))
-            values = [w.worth for w in worths]
+        for name, bench_reports in by_day.items():
+            day_to_play = _find_day(deployment, name)
+            scores = list(
+                pool.map(_simulate_score, [path] * seeds, [day_to_play] * seeds, range(1, seeds + 1))
+            )
+            values = [score.worth for score in scores]
             means = {
-                part: round(statistics.mean(getattr(w, part) for w in worths), 4)
+                part: round(statistics.mean(getattr(score, part) for score in scores), 4)
                 for part in ("day", "window", "kind", "zone")
             }
-            found.append(
-                Held(
-                    sheet.name,
+            results.append(
+                BenchComparison(
+                    deployment.name,
                     name,
-                    tuple(_number(b["G"]) for b in benches),
+                    tuple(_as_float(b["G"]) for b in bench_reports),
                     round(statistics.mean(values), 4),
                     round(statistics.pstdev(values), 4),
-                    _parts(benches),
+                    _mean_parts(bench_reports),
                     means,
                 )
             )
-    return found
+    return results
 
 
-def _number(value: object) -> float:
+def _as_float(value: object) -> float:
     assert isinstance(value, int | float)
     return float(value)
 
 
-_PARTS = {"whole day": "day", "worst windows": "window", "worst class": "kind", "worst zone": "zone"}
+_PART_FIELDS = {"whole day": "day", "worst windows": "window", "worst class": "kind", "worst zone": "zone"}
 
 
-def _parts(benches: Sequence[dict[str, object]]) -> dict[str, float]:
-    got: dict[str, list[float]] = {}
-    for bench in benches:
+def _mean_parts(bench_reports: Sequence[dict[str, object]]) -> dict[str, float]:
+    values_by_part: dict[str, list[float]] = {}
+    for bench in bench_reports:
         parts = bench["parts"]
         assert isinstance(parts, list)
         for name, _, value in parts:
-            got.setdefault(_PARTS.get(name, name), []).append(value)
-    return {k: round(statistics.mean(v), 4) for k, v in got.items()}
+            values_by_part.setdefault(_PART_FIELDS.get(name, name), []).append(value)
+    return {k: round(statistics.mean(v), 4) for k, v in values_by_part.items()}
 
 
-def save(items: Sequence[Played] | Sequence[Held], path: Path) -> None:
-    """Write them, one a line."""
+def save(items: Sequence[ChooserResult] | Sequence[BenchComparison], path: Path) -> None:
+    """Write results as a JSON array, one item a line."""
     path.parent.mkdir(parents=True, exist_ok=True)
     text = ",\n".join(json.dumps(asdict(item)) for item in items)
     path.write_text(f"[\n{text}\n]\n", encoding="utf-8")
 
 
-def read_played(path: Path) -> list[Played]:
-    """What `save` has written."""
+def read_results(path: Path) -> list[ChooserResult]:
+    """Read results of choosers that `save` has written."""
     return [
-        Played(**{**e, "faults": tuple(e["faults"])}) for e in json.loads(path.read_text(encoding="utf-8"))
+        ChooserResult(**{**e, "faults": tuple(e["faults"])})
+        for e in json.loads(path.read_text(encoding="utf-8"))
     ]
 
 
-def read_held(path: Path) -> list[Held]:
-    """What `save` has written."""
-    return [Held(**{**e, "bench": tuple(e["bench"])}) for e in json.loads(path.read_text(encoding="utf-8"))]
+def read_comparisons(path: Path) -> list[BenchComparison]:
+    """Read comparisons with the bench that `save` has written."""
+    return [
+        BenchComparison(**{**e, "bench": tuple(e["bench"])})
+        for e in json.loads(path.read_text(encoding="utf-8"))
+    ]
--- a/mastturn/engines/days.py
+++ b/mastturn/engines/days.py
@@ -1,6 +1,6 @@
-"""Days of our own for any deployment, each with one kind of trouble: the engines alone, without closings.
+"""Built-in days for any deployment, each with one kind of fault and without a shutdown at the end.
 
-They are played here and, written as files, on the bench.
+They run in the emulator and, written as files, on the bench.
 """
 
 from __future__ import annotations
@@ -9,62 +9,64 @@
 
 import msgspec
 
-from mastturn.engines.deployment import Day, Sheet, Traffic, Trouble
+from mastturn.engines.deployment import Day, Deployment, Fault, Traffic
 
 SEED = 4711
-CALM = 0.6  # of the sheet's traffic
+CALM = 0.6  # share of the deployment's traffic
 
 
-def own_days(sheet: Sheet) -> tuple[Day, ...]:
-    """All of them, for a sheet."""
-    calm = tuple(msgspec.structs.replace(t, per_s=round(t.per_s * CALM, 3)) for t in sheet.traffic)
-    short = Trouble(at=20.0, kind="handle_short", for_s=5.0, share=0.33)
+def built_in_days(deployment: Deployment) -> tuple[Day, ...]:
+    """Return the built-in days of a deployment."""
+    calm = tuple(
+        msgspec.structs.replace(item, per_s=round(item.per_s * CALM, 3)) for item in deployment.traffic
+    )
+    short_handles = Fault(at=20.0, kind="handle_short", for_s=5.0, share=0.33)
     return (
         Day("calm", SEED, traffic=calm),
         Day("full", SEED),
-        Day("burst", SEED, faults=(Trouble(at=9.0, kind="burst", for_s=10.0, x=1.9),)),
-        Day("crash", SEED, faults=(Trouble(at=11.0, kind="srv_crash", for_s=4.5, share=0.17),)),
-        Day("dark", SEED, faults=(Trouble(at=11.0, kind="srv_crash", for_s=4.5, share=0.17, how="dark"),)),
-        Day("links", SEED, faults=(Trouble(at=9.0, kind="kv_slow", for_s=10.0, share=0.33), short)),
+        Day("burst", SEED, faults=(Fault(at=9.0, kind="burst", for_s=10.0, x=1.9),)),
+        Day("crash", SEED, faults=(Fault(at=11.0, kind="srv_crash", for_s=4.5, share=0.17),)),
+        Day("dark", SEED, faults=(Fault(at=11.0, kind="srv_crash", for_s=4.5, share=0.17, how="dark"),)),
+        Day("links", SEED, faults=(Fault(at=9.0, kind="kv_slow", for_s=10.0, share=0.33), short_handles)),
         Day(
             "kills",
             SEED,
             faults=(
-                Trouble(at=9.0, kind="node_kill", for_s=3.5, share=0.3, how="power"),
-                Trouble(at=20.0, kind="herd_kill", for_s=2.0, share=0.55),
+                Fault(at=9.0, kind="node_kill", for_s=3.5, share=0.3, how="power"),
+                Fault(at=20.0, kind="herd_kill", for_s=2.0, share=0.55),
             ),
         ),
     )
 
 
-def write(sheet: Sheet, folder: Path) -> list[Path]:
-    """Write them as the bench reads a day; which files."""
+def write(deployment: Deployment, folder: Path) -> list[Path]:
+    """Write the days in the format of the bench; returns the files."""
     folder.mkdir(parents=True, exist_ok=True)
-    found = []
-    for day in own_days(sheet):
+    paths = []
+    for day in built_in_days(deployment):
         lines = [f'name = "{day.name}"', 'slot = "trouble"', f"seed = {day.seed}", "plan = []", "faults = ["]
-        lines += [f"  {_trouble(t)}," for t in day.faults]
+        lines += [f"  {_format_fault(item)}," for item in day.faults]
         lines.append("]")
         if day.traffic:
-            lines += ["traffic = [", *(f"  {_traffic(t)}," for t in day.traffic), "]"]
+            lines += ["traffic = [", *(f"  {_format_traffic(item)}," for item in day.traffic), "]"]
         path = folder / f"{day.name}.toml"
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
-        found.append(path)
-    return found
+        paths.append(path)
+    return paths
 
 
-def _trouble(trouble: Trouble) -> str:
-    pairs = [f'kind = "{trouble.kind}"', f"at = {trouble.at}", f"for_s = {trouble.for_s}"]
-    if trouble.share is not None:
-        pairs.append(f"share = {trouble.share}")
-    if trouble.x is not None:
-        pairs.append(f"x = {trouble.x}")
-    if trouble.how:
-        pairs.append(f'how = "{trouble.how}"')
+def _format_fault(fault: Fault) -> str:
+    pairs = [f'kind = "{fault.kind}"', f"at = {fault.at}", f"for_s = {fault.for_s}"]
+    if fault.share is not None:
+        pairs.append(f"share = {fault.share}")
+    if fault.x is not None:
+        pairs.append(f"x = {fault.x}")
+    if fault.how:
+        pairs.append(f'how = "{fault.how}"')
     return "{ " + ", ".join(pairs) + " }"
 
 
-def _traffic(traffic: Traffic) -> str:
+def _format_traffic(traffic: Traffic) -> str:
     shape = traffic.shape
     mix = ", ".join(f"{k} = {v}" for k, v in traffic.mix.items())
     wave = (
--- a/mastturn/engines/deployment.py
+++ b/mastturn/engines/deployment.py
@@ -1,6 +1,6 @@
-"""A deployment's sheet (a site file, TOML): engines, kinds of request, traffic, prices, days.
+"""Schema of a deployment file (a site, TOML): engines, request classes, traffic, prices, days.
 
-Spans are in milliseconds unless a name ends in `_s`. Fields that nothing here models are left out.
+Durations are in milliseconds unless a name ends in `_s`. Fields that the emulator does not model are omitted.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from mastturn.files import LabError
 
-RECOVERY_S = 16.0  # traffic goes on so long after a closing
+RECOVERY_S = 16.0  # traffic continues this long after a shutdown
 
 
 class Size(msgspec.Struct, frozen=True):
-    """A log-normal size: `spread` is its deviation over its mean; cut off at `max`."""
+    """A log-normal size: `spread` is the standard deviation over the mean; capped at `max`."""
 
     mean: float
     spread: float = 0.0
@@ -24,7 +24,7 @@
 
 
 class Part(msgspec.Struct, frozen=True):
-    """One shared part of prompts: `things` different ones, of which some are asked for more often."""
+    """A shared part of prompts: `things` variants, with popularity by Zipf's law of exponent `skew`."""
 
     tokens: Size
     things: int = 1
@@ -32,7 +32,7 @@
 
 
 class Stream(msgspec.Struct, frozen=True):
-    """What a kind of request reads and writes; a piece is an event of a stream."""
+    """Prompt and answer of a request class; a piece is one event of the stream."""
 
     pieces: Size
     prompt_tokens: Size
@@ -43,7 +43,7 @@
 
 
 class RequestClass(msgspec.Struct, frozen=True):
-    """A kind of request."""
+    """A request class."""
 
     name: str
     aim_ms: float
@@ -59,36 +59,36 @@
 
 
 class Llm(msgspec.Struct, frozen=True):
-    """An engine: how long a step takes, how fast it reads, what it remembers and what moves cost."""
+    """Engine parameters: step times, prefill speed, KV cache and transfers."""
 
     batch: int
     step_ms: float
     step_ms_per_slot: float
-    context_ms_per_k: float  # for each 1,000 tokens that running requests hold
+    context_ms_per_k: float  # for each 1,000 tokens of context of running requests
     prefill_tokens_per_ms: float
-    pairs_ms_per_m: float  # for each million pairs of a token that is read and one before it
-    first_ms: float  # from a prompt's last piece to its answer
+    pairs_ms_per_m: float  # for each million pairs of a prefilled token and an earlier one
+    first_ms: float  # from a prompt's last chunk to its answer
     stride: int  # tokens in an event of a stream
     chunk: int
     block: int
     kv_tokens: int
-    kv_bytes: float  # of a token
+    kv_bytes: float  # per token
     link_mbps: float
-    setup_ms: float  # of a move
-    prefill: float  # share of the upstreams that read prompts
+    setup_ms: float  # per transfer
+    prefill: float  # share of prefill upstreams
     handle_s: float
     switch_s: float
 
 
 class Servers(msgspec.Struct, frozen=True):
-    """Upstreams of a zone."""
+    """Number of upstreams in a zone."""
 
     zone: str
     count: int
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A pool of upstreams, all of one kind but for their speeds (a factor of their times)."""
+    """A pool of upstreams that differ only in speed (a factor on their times)."""
 
     name: str
     servers: tuple[Servers, ...]
@@ -101,7 +101,7 @@
 
 
 class Machines(msgspec.Struct, frozen=True):
-    """Machines of a kind in one zone; `front` ones are balancers."""
+    """Machines of a class in one zone; balancers run on the class `front`."""
 
     count: int
     zone: str
@@ -109,7 +109,7 @@
 
 
 class Shape(msgspec.Struct, frozen=True):
-    """How a zone's traffic swings; requests come in clumps of so many in the mean."""
+    """Periodic shape of a zone's traffic; `clump` is the mean number of simultaneous requests."""
 
     swing: float = 0.0
     period_s: float = 10.0
@@ -118,7 +118,7 @@
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """What the clients of a zone ask for."""
+    """Traffic of a zone: request classes by weight, rate and number of clients."""
 
     zone: str
     mix: dict[str, float]
@@ -128,7 +128,7 @@
 
 
 class Net(msgspec.Struct, frozen=True):
-    """One way, in milliseconds."""
+    """One-way network latencies, in milliseconds."""
 
     in_zone_ms: float
     cross_zone_ms: float
@@ -137,7 +137,7 @@
 
 
 class Prices(msgspec.Struct, frozen=True):
-    """In units of worth."""
+    """Prices, in units of worth."""
 
     machine_s: float = 0.0
     memory_gb_s: float = 0.0
@@ -146,13 +146,13 @@
     late_refusal: float = 0.0
     cloud_call: float = 0.0
     kv_gb: float = 0.0
-    read_waste: float = 0.0  # of 1,000 tokens
+    read_waste: float = 0.0  # per 1,000 tokens
     order: float = 0.0
-    read: float = 0.0  # of 1,000 tokens
+    read: float = 0.0  # per 1,000 tokens
 
 
 class Goal(msgspec.Struct, frozen=True):
-    """How the parts of the worth weigh."""
+    """Weights of the parts of a day's worth."""
 
     mean: float = 1.0
     window: float = 0.0
@@ -160,8 +160,8 @@
     zone: float = 0.0
 
 
-class Trouble(msgspec.Struct, frozen=True):
-    """Something that goes wrong; `at` and `for_s` in seconds of traffic."""
+class Fault(msgspec.Struct, frozen=True):
+    """An injected fault; `at` and `for_s` are in seconds of traffic."""
 
     at: float
     kind: str
@@ -177,39 +177,39 @@
 
 
 class Closing(msgspec.Struct, frozen=True):
-    """All machines of the system are stopped at the end, and traffic goes on."""
+    """Shutdown of all machines of the system at the end of a day, while traffic continues."""
 
     kind: str
     down_s: float = 1.0
 
 
 class Day(msgspec.Struct, frozen=True):
-    """One day: its troubles, and its traffic where that differs."""
+    """One day: its faults, and its traffic if it differs from the deployment's."""
 
     name: str
     seed: int = 1
     slot: str = ""
     traffic: tuple[Traffic, ...] = ()
-    faults: tuple[Trouble, ...] = ()
-    plan: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
+    plan: tuple[Fault, ...] = ()
     closing: Closing | None = None
 
 
 class Discovery(msgspec.Struct, frozen=True):
-    """How late the platform's list is."""
+    """Lag of the platform's list."""
 
     lag_ms: float = 800.0
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What the balancers share."""
+    """Limits shared by the balancers."""
 
     budget_slack: float = 50.0
     drain_ms: float = 3000.0
 
 
-class Sheet(msgspec.Struct, frozen=True):
-    """A deployment."""
+class Deployment(msgspec.Struct, frozen=True):
+    """A deployment file."""
 
     name: str
     services: tuple[Service, ...]
@@ -217,7 +217,7 @@
     traffic: tuple[Traffic, ...]
     net: Net
     machines: tuple[Machines, ...]
-    thin: float = 1.0  # traffic and upstreams are played at this share
+    thin: float = 1.0  # scale of traffic and upstreams
     lead_s: float = 12.0
     length_s: float = 34.0
     prices: Prices = Prices()
@@ -227,46 +227,46 @@
     days: tuple[Day, ...] = msgspec.field(default=(), name="day")
 
     def length(self, day: Day) -> float:
-        """Seconds of traffic on a day."""
+        """Duration of a day's traffic, in seconds."""
         return self.length_s + (RECOVERY_S if day.closing is not None else 0.0)
 
     @property
     def service(self) -> Service:
-        """The one that is emulated."""
+        """The emulated service."""
         return self.services[0]
 
     def day(self, name: str) -> Day:
-        """A day by its name; raises LabError."""
+        """Return the day of a name; raises LabError if there is none."""
         for day in self.days:
             if day.name == name:
                 return day
         raise LabError(f"no day {name!r}: name one of {', '.join(d.name for d in self.days)}")
 
     def upstreams(self) -> list[tuple[str, float, str]]:
-        """Zone, speed and part of each upstream, as they are played.
+        """Zone, speed and phase of each emulated upstream.
 
-        The parts are spread over the zones in turn, so that no zone has only one of them where it has more.
+        Phases are assigned round robin over the zones, so that a zone with several upstreams has both.
         """
-        placed: list[str] = []
-        exact, llm = 0.0, self.service.llm
+        zones: list[str] = []
+        cumulative, llm = 0.0, self.service.llm
         for group in self.service.servers:
-            exact += group.count * self.thin
-            placed += [group.zone] * (int(exact + 0.5) - len(placed))
+            cumulative += group.count * self.thin
+            zones += [group.zone] * (int(cumulative + 0.5) - len(zones))
         speeds = self.service.speeds or (1.0,)
         return [
-            (zone, speeds[i % len(speeds)], "prefill" if _steps(i, llm.prefill) else "decode")
-            for i, zone in enumerate(placed)
+            (zone, speeds[i % len(speeds)], "prefill" if _is_prefill(i, llm.prefill) else "decode")
+            for i, zone in enumerate(zones)
         ]
 
 
-def _steps(place: int, share: float) -> bool:
-    return -(-(place + 1) * share // 1) > -(-place * share // 1)
+def _is_prefill(index: int, share: float) -> bool:
+    return -(-(index + 1) * share // 1) > -(-index * share // 1)
 
 
-def load(path: Path) -> Sheet:
-    """Read a sheet; raises LabError."""
+def load(path: Path) -> Deployment:
+    """Read a deployment file; raises LabError."""
     try:
-        return msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Sheet)
+        return msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Deployment)
     except OSError as error:
         raise LabError(f"{path}: {error.strerror}; name a site file") from error
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
--- a/mastturn/engines/fleet.py
+++ b/mastturn/engines/fleet.py
@@ -1,4 +1,4 @@
-"""All of a day in simulated time: engines, the platform's list, balancers, the mover of parts, clients."""
+"""Assembles a simulated day: engines, the platform's list, balancers, control primary and clients."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 from dissemination.messages import Present
 from dissemination.relay_tree import parent_of
 from mastturn.emulator.chance import Stream
-from mastturn.engines.balancer import MakeTiers, Node, Root
-from mastturn.engines.clients import User
+from mastturn.engines.balancer import ControlPrimary, MakeTiers, Node
+from mastturn.engines.clients import Client
 from mastturn.engines.control import SERVICE, Control, Platform
-from mastturn.engines.demand import Asked
-from mastturn.engines.deployment import Sheet
+from mastturn.engines.demand import ClientRequest
+from mastturn.engines.deployment import Deployment
 from mastturn.engines.engine import Engine
-from mastturn.engines.jobs import Figures
+from mastturn.engines.jobs import Counters
 from mastturn.engines.records import Record
 from mastturn.engines.wire import Network
 
-GONE_S = 3.0  # an upstream that has crashed stays on the list so long
-DRAIN_MORE_S = 1.0  # an upstream that leaves goes on so long beyond the time it was given
-READY_S = 1.0  # the platform asks balancers so often whether they are ready
-ELECTED_S = 0.8  # after all have stopped, until the control state tells anything
-LISTEN_S = 0.15  # from the start of a balancer's process until it listens
-READY_AFTER_S = 0.15  # and from then until it has the news and takes clients
+CRASHED_LISTED_S = 3.0  # a crashed upstream stays on the list this long
+DRAIN_EXTRA_S = 1.0  # a drained upstream runs this long beyond its drain period
+READINESS_POLL_S = 1.0  # interval of the platform's readiness checks
+ELECTION_S = 0.8  # from a restart of all machines until the control primary sends anything
+LISTEN_S = 0.15  # from the start of a balancer process until it listens
+READY_AFTER_S = 0.15  # and from then until it has its state and accepts requests
 
 
 class Fleet:
-    """Everything that is there on a day."""
-
-    def __init__(self, sheet: Sheet, seed: int, tiers: MakeTiers) -> None:
-        self.sheet, service = sheet, sheet.service
-        self._chance = Stream(seed, "fleet")
-        self.network = Network(sheet.net.in_zone_ms, sheet.net.cross_zone_ms)
-        self.figures = Figures()
-        self.platform = Platform(sheet.discovery.lag_ms / 1000)
+    """All simulated processes of a day."""
+
+    def __init__(self, deployment: Deployment, seed: int, tiers: MakeTiers) -> None:
+        self.deployment, service = deployment, deployment.service
+        self._rng = Stream(seed, "fleet")
+        self.network = Network(deployment.net.in_zone_ms, deployment.net.cross_zone_ms)
+        self.counters = Counters()
+        self.platform = Platform(deployment.discovery.lag_ms / 1000)
         self.engines: list[Engine] = []
         self._replaced = 0
         self._by_address: dict[str, Engine] = {}
-        for index, (zone, speed, phase) in enumerate(sheet.upstreams()):
+        for index, (zone, speed, phase) in enumerate(deployment.upstreams()):
             engine = Engine(
-                f"10.0.64.{index}:80", f"i-{seed}-{index}", zone, speed, phase, service, self.figures
+                f"10.0.64.{index}:80", f"i-{seed}-{index}", zone, speed, phase, service, self.counters
             )
             self._add(engine)
-        self.configuration = _configuration(sheet)
-        core = next((m.zone for m in sheet.machines if m.kind == "core"), sheet.machines[0].zone)
-        self.root = Root(core, self.network, self.figures)
+        self.configuration = _configuration(deployment)
+        core = next((m.zone for m in deployment.machines if m.kind == "core"), deployment.machines[0].zone)
+        self.primary = ControlPrimary(core, self.network, self.counters)
         self.nodes = [
             Node(
                 f"edge-{m.zone}-{i + 1}",
@@ -54,18 +54,18 @@
                 seed * 1000 + n * 10 + i,
                 self.network,
                 service.handshake_ms,
-                sheet.bounds.budget_slack,
+                deployment.bounds.budget_slack,
                 tiers,
                 self._by_address.get,
-                self.figures,
+                self.counters,
             )
-            for n, m in enumerate(m for m in sheet.machines if m.kind == "front")
+            for n, m in enumerate(m for m in deployment.machines if m.kind == "front")
             for i in range(m.count)
         ]
-        self._plant()
-        self.control = Control(self.root, self.platform, self.network, self.nodes)
-        self._homes = {
-            (t.zone, c): self._chance.uniform() for t in sheet.traffic for c in range(max(t.clients, 1))
+        self._build_relay_tree()
+        self.control = Control(self.primary, self.platform, self.network, self.nodes)
+        self._client_positions = {
+            (t.zone, c): self._rng.uniform() for t in deployment.traffic for c in range(max(t.clients, 1))
         }
         self.records: list[Record] = []
         self._listed_ready = list(self.nodes)
@@ -73,119 +73,123 @@
             node.configure(self.configuration)
             node.count(len(self.nodes))
         self.control.start()
-        self._look_ready()
+        self._poll_readiness()
 
-    def _plant(self) -> None:
-        """The tree of relays, as the balancers work it out themselves."""
+    def _build_relay_tree(self) -> None:
+        """Build the relay tree with the balancers' own algorithm."""
         present = [Present(n.name, n.name, n.zone) for n in self.nodes]
         by_name = {n.name: n for n in self.nodes}
         for node in self.nodes:
             parent = parent_of(node.name, node.zone, present)
-            above: Node | Root = self.root if parent is None else by_name[parent.node]
-            node.parent = above
-            above.children.append(node)
+            upper: Node | ControlPrimary = self.primary if parent is None else by_name[parent.node]
+            node.parent = upper
+            upper.children.append(node)
 
-    # ---- the list and the parts that upstreams play
+    # ---- the list and the upstreams' phases
 
-    def list_anew(self, engine: Engine) -> None:
-        """An engine plays another part, or is there anew."""
-        self.platform.put(engine, engine.ident, self.sheet.service.slots)
+    def update_listing(self, engine: Engine) -> None:
+        """Update the list after a phase change or restart of an engine."""
+        self.platform.put(engine, engine.upstream_id, self.deployment.service.slots)
 
     async def order(self, upstream: Upstream, phase: str) -> Outcome:
-        """What `control.orders.change_phase` does on sockets."""
+        """Order a phase change, as `control.orders.change_phase` does on sockets."""
         engine = self._by_address[upstream.addr]
-        await asyncio.sleep(2 * self.network.way(self.root.zone, engine.zone))
+        await asyncio.sleep(2 * self.network.one_way_s(self.primary.zone, engine.zone))
         return Taken() if engine.order(phase) else Rejected(409)
 
-    def leave(self, engine: Engine) -> None:
-        """An upstream is drained and ends."""
+    def drain(self, engine: Engine) -> None:
+        """Drain an upstream and stop it."""
         if engine.draining or engine.down:
             return
         engine.draining = True
-        self.platform.put(engine, engine.ident, self.sheet.service.slots, "draining")
-        wait = self.sheet.bounds.drain_ms / 1000 + DRAIN_MORE_S
-        asyncio.get_running_loop().call_later(wait, self._gone, engine)
+        self.platform.put(engine, engine.upstream_id, self.deployment.service.slots, "draining")
+        wait = self.deployment.bounds.drain_ms / 1000 + DRAIN_EXTRA_S
+        asyncio.get_running_loop().call_later(wait, self._on_drained, engine)
 
-    def _gone(self, engine: Engine) -> None:
-        self.platform.drop(engine.ident)
+    def _on_drained(self, engine: Engine) -> None:
+        self.platform.remove(engine.upstream_id)
         engine.crash(dark=False)
 
     def replace(self, engine: Engine) -> None:
-        """Another upstream starts in its place, and it leaves."""
+        """Start a replacement of an upstream and drain the old one."""
         if engine.draining:
             return
         self._replaced += 1
         address = f"10.0.65.{self._replaced}:80"
-        ident = f"{engine.ident}r{self._replaced}"
-        phase = engine.switching or engine.phase
-        self._add(Engine(address, ident, engine.zone, engine.speed, phase, self.sheet.service, self.figures))
-        self.leave(engine)
+        upstream_id = f"{engine.upstream_id}r{self._replaced}"
+        phase = engine.next_phase or engine.phase
+        self._add(
+            Engine(
+                address, upstream_id, engine.zone, engine.speed, phase, self.deployment.service, self.counters
+            )
+        )
+        self.drain(engine)
 
     def _add(self, engine: Engine) -> None:
-        engine.changed = lambda: self.list_anew(engine)
+        engine.changed = lambda: self.update_listing(engine)
         self.engines.append(engine)
         self._by_address[engine.address] = engine
-        self.platform.put(engine, engine.ident, self.sheet.service.slots)
+        self.platform.put(engine, engine.upstream_id, self.deployment.service.slots)
 
     # ---- clients
 
-    def _look_ready(self) -> None:
+    def _poll_readiness(self) -> None:
         self._listed_ready = [n for n in self.nodes if n.up and n.plane.is_ready()]
-        asyncio.get_running_loop().call_later(READY_S, self._look_ready)
+        asyncio.get_running_loop().call_later(READINESS_POLL_S, self._poll_readiness)
 
-    def choose(self, asked: Asked, tries: int) -> Node | None:
-        """The balancer that a client's connection reaches; later tries reach others."""
-        zone = [n for n in self.nodes if n.zone == asked.zone]
+    def choose(self, client_request: ClientRequest, attempt: int) -> Node | None:
+        """Choose the balancer that a client connects to; each further attempt goes to another one."""
+        zone = [n for n in self.nodes if n.zone == client_request.zone]
         ready = [n for n in zone if n in self._listed_ready]
         if 2 * len(ready) < len(zone):
             ready = zone
         if not ready:
             return None
-        place = self._homes.get((asked.zone, asked.client), 0.0) * len(ready)
-        return ready[(int(place) + tries - 1) % len(ready)]
+        position = self._client_positions.get((client_request.zone, client_request.client), 0.0) * len(ready)
+        return ready[(int(position) + attempt - 1) % len(ready)]
 
-    def ask(self, asked: Asked) -> None:
-        """A client asks."""
-        record = Record(asked)
+    def submit(self, client_request: ClientRequest) -> None:
+        """Start the client of a request."""
+        record = Record(client_request)
         self.records.append(record)
-        User(record, self.choose, self.sheet.net.client_ms / 1000, lambda r: None).begin()
+        Client(record, self.choose, self.deployment.net.client_ms / 1000, lambda closed: None).start_attempt()
 
-    # ---- troubles
+    # ---- faults
 
     def crash(self, engine: Engine, dark: bool, for_s: float) -> None:
-        """An upstream is lost for a while, and comes back as another."""
+        """Crash an upstream for `for_s` seconds; it returns under a new id."""
         loop = asyncio.get_running_loop()
         engine.crash(dark)
-        old = engine.ident
-        loop.call_later(GONE_S, self.platform.drop, old)
-        loop.call_later(for_s, self._back, engine)
+        old = engine.upstream_id
+        loop.call_later(CRASHED_LISTED_S, self.platform.remove, old)
+        loop.call_later(for_s, self._restart_engine, engine)
 
-    def _back(self, engine: Engine) -> None:
-        engine.ident += "n"
-        engine.come_back()
-        self.list_anew(engine)
+    def _restart_engine(self, engine: Engine) -> None:
+        engine.upstream_id += "n"
+        engine.restart()
+        self.update_listing(engine)
 
     def kill(self, node: Node, for_s: float, ready_s: float = READY_AFTER_S) -> None:
-        """A balancer's process is killed; once it listens again it takes requests after `ready_s`."""
+        """Kill a balancer for `for_s` seconds; `ready_s` after it listens again it accepts requests."""
         loop = asyncio.get_running_loop()
         if node.up:
             node.kill()
             loop.call_later(for_s + LISTEN_S, node.listen)
-            loop.call_later(for_s + LISTEN_S + ready_s, self._start, node)
+            loop.call_later(for_s + LISTEN_S + ready_s, self._start_node, node)
 
     def kill_all(self, for_s: float) -> None:
-        """All machines of the system stop at once; what was known of loads and prompts is gone."""
-        self.control.silence(for_s + LISTEN_S + ELECTED_S)
-        self.root.begin_anew()
+        """Stop all machines at once; known loads and cached prefixes are lost."""
+        self.control.silence(for_s + LISTEN_S + ELECTION_S)
+        self.primary.reset()
         for node in self.nodes:
-            self.kill(node, for_s, ELECTED_S)
+            self.kill(node, for_s, ELECTION_S)
 
-    def _start(self, node: Node) -> None:
+    def _start_node(self, node: Node) -> None:
         node.start(self.configuration, self.control.entries, len(self.nodes))
 
 
-def _configuration(sheet: Sheet) -> Configuration:
-    service = sheet.service
+def _configuration(deployment: Deployment) -> Configuration:
+    service = deployment.service
     routes = tuple(
         Route(
             k.name,
@@ -201,6 +205,6 @@
             resumable=k.stream.resume,
             gap_aim_ms=k.stream.gap_aim_ms,
         )
-        for k in sheet.classes
+        for k in deployment.classes
     )
     return Configuration(1, routes, (Service(SERVICE, max_conns=service.conn_cap),))
--- a/mastturn/engines/jobs.py
+++ b/mastturn/engines/jobs.py
@@ -1,4 +1,4 @@
-"""One call at an engine, who hears of it, and what all engines of a day did."""
+"""A call at an engine, the interfaces around it, and the counters of all engines."""
 
 from __future__ import annotations
 
@@ -12,89 +12,89 @@
 
 
 class Caller(Protocol):
-    """Whoever sent a call, at the engine's side of the network."""
+    """The caller as an engine sees it; notified of the progress of its call."""
 
-    def read(self, handle: str) -> None:
-        """The prompt is read."""
+    def prompt_read(self, handle: str) -> None:
+        """Notify of a finished prefill and its handle."""
 
-    def rejected(self, why: str) -> None:
-        """It did not run and never will."""
+    def rejected(self, reason: str) -> None:
+        """Notify of the rejection of a call that has not run."""
 
-    def begun(self, number: int) -> None:
-        """An event of the answer."""
+    def event_sent(self, number: int) -> None:
+        """Notify of an event of the answer."""
 
-    def ended(self) -> None:
-        """The answer is whole."""
+    def completed(self) -> None:
+        """Notify of the end of the answer."""
 
-    def cut(self) -> None:
-        """The connection broke."""
+    def connection_lost(self) -> None:
+        """Notify of a broken connection."""
 
 
 class Holder(Protocol):
-    """An engine that holds memory for another."""
+    """An engine that holds a KV cache for another."""
 
     @property
     def zone(self) -> str:
-        """Where it is."""
+        """Zone of the engine."""
 
     @property
     def move_x(self) -> float:
-        """Moves take so many times as long."""
+        """Factor on the duration of transfers."""
 
-    def held(self, ref: str) -> Handle | None:
-        """The memory behind a handle, unless it is gone or the engine is down."""
+    def find_handle(self, ref: str) -> Handle | None:
+        """Look up a handle; None if it is gone or the engine is down."""
 
-    def fetched(self, ref: str) -> None:
-        """Somebody has fetched it."""
+    def on_fetched(self, ref: str) -> None:
+        """Release a handle whose KV cache has been fetched."""
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One call at an engine; `pieces`: events of the whole answer, of which `after` are there already."""
+    """A call at an engine; its answer has `pieces` events, of which `events_sent` are out already."""
 
     name: str
     caller: Caller
     chain: tuple[Part, ...]
-    own: int
+    own_tokens: int
     pieces: int
     priority: int
-    ends: float
-    reads_only: bool
-    after: int = 0
-    handle: str = ""  # to be fetched
+    deadline: float
+    prefill_only: bool
+    events_sent: int = 0
+    handle: str = ""  # of the KV cache to fetch
     source: Holder | None = None
     seq: int = 0
-    left: int = 0  # tokens of the prompt still to be read
-    seen: int = 0  # tokens of it that are there
-    written: int = 0  # tokens of the answer
-    held: tuple[Part, ...] = ()
+    remaining_tokens: int = 0  # of the prompt, not yet prefilled
+    processed_tokens: int = 0  # of the prompt, cached or prefilled
+    generated_tokens: int = 0  # of the answer
+    held_parts: tuple[Part, ...] = ()
     over: bool = False
-    had: int = 0  # shared parts that were there when it was let in
-    run: int = 0  # counts admissions, so that what was due before a preemption is dropped
+    cached_parts: int = 0  # shared parts found in the cache on admission
+    admission: int = 0  # number of admissions; events scheduled before a preemption are dropped by it
 
     @property
     def parts(self) -> tuple[Part, ...]:
-        """All parts of the prompt, the own one last."""
-        return (*self.chain, (self.name, self.own))
+        """All parts of the prompt, the unshared one last."""
+        return (*self.chain, (self.name, self.own_tokens))
 
     @property
     def tokens(self) -> int:
-        """Of the whole prompt."""
-        return sum(t for _, t in self.chain) + self.own
+        """Length of the prompt."""
+        return sum(t for _, t in self.chain) + self.own_tokens
 
 
 @dataclass(slots=True)
-class Figures:
-    """What all engines of a day did."""
-
-    read: int = 0  # tokens
-    again: int = 0  # of shared parts that some engine had read before
-    wasted: int = 0  # read, and never fetched
-    kept: int = 0
-    moves: int = 0
-    moved_gb: float = 0.0  # as it is priced
+class Counters:
+    """Counters over all engines of a day."""
+
+    prefill_tokens: int = 0  # tokens prefilled
+    reread_tokens: int = 0  # tokens of shared parts that some engine had prefilled before
+    wasted_tokens: int = 0  # tokens prefilled and never fetched
+    cached: int = 0
+    transfers: int = 0
+    transferred_gb: float = 0.0  # weighted as priced
     preempted: int = 0
     rejected: int = 0
     orders: int = 0
-    crossed: float = 0.0  # bytes between zones, of requests, answers and news
-    known: set[str] = field(default_factory=set)  # shared parts that were read
+    cross_zone_bytes: float = 0.0  # of requests, answers and dissemination
+    seen_parts: set[str] = field(default_factory=set)  # ids of shared parts that were prefilled
--- a/mastturn/engines/judge.py
+++ b/mastturn/engines/judge.py
@@ -1,9 +1,9 @@
-"""What a day was worth (RULES, "The score"), as far as it is modelled.
+"""Scores a day by the rules of the bench (RULES, "The score"), as far as they are modelled.
 
-Modelled: aims, late worth, sizes, a refusal and then an answer in time, the worst windows, kind (the largest
-tenth of one and the fifth below it too) and zone, what is refused again or put behind, and the prices of
-machines, memory of machines, calls of the list, connections, bytes between zones, moves, prompts read for
-nothing, orders, shared parts that are read again. Not modelled: processor time, refusals that come late.
+Modelled: objectives, late worth, sizes, an answer in time after a refusal, the worst windows, the worst class
+(also by its largest tenth and the fifth below it) and zone, repeated refusals, priority inversion, and the
+prices of machines, their memory, calls of the list, connections, bytes between zones, KV transfers, unused
+prefills, phase orders and repeated prefills of shared parts. Not modelled: processor time, late refusals.
 """
 
 from __future__ import annotations
@@ -13,21 +13,22 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from mastturn.engines.deployment import Sheet
-from mastturn.engines.jobs import Figures
+from mastturn.engines.deployment import Deployment
+from mastturn.engines.jobs import Counters
 from mastturn.engines.records import Record
 
 WINDOW_S = 2.0
-OUT_WEIGHT = 10  # of a token out against one in
-TAIL_S = 8.2  # machines run on after the last request, about the longest deadline
-REFUSED_AGAIN, BEHIND, BEHIND_ALLOWED = 0.3, 0.5, 0.05  # shares of the worth, and of what is served
-LEAST_OF_SIZE = 30  # requests that a tenth by size has to have to count by itself
-MACHINE_GB = 0.0209  # of memory that one program takes on the bench
+OUTPUT_TOKEN_WEIGHT = 10  # weight of an output token relative to an input token
+TAIL_S = 8.2  # machines are paid this long after the last request, about the longest deadline
+# Factors on the worth, and the allowed difference in the served share.
+REPEATED_REFUSAL_FACTOR, INVERSION_FACTOR, INVERSION_ALLOWED = 0.3, 0.5, 0.05
+MIN_SIZE_GROUP = 30  # smallest group by size that counts on its own
+MACHINE_GB = 0.0209  # memory of one program on the bench
 
 
 @dataclass(slots=True)
-class Worth:
-    """What a day was worth and what it cost."""
+class DayScore:
+    """Score of a day: its worth, the parts of it and what it cost."""
 
     worth: float
     day: float
@@ -38,13 +39,13 @@
     asked: int
     in_aim: int
     late: int
-    refused: int  # at the end
+    refused: int  # final outcome, after all attempts
     failed: int
     refusals: int
     first_p50_ms: float
     first_p99_ms: float
     read: int
-    again: int  # tokens of shared parts
+    again: int  # tokens of shared parts prefilled again
     wasted: int
     moved_gb: float
     handshakes: int
@@ -52,80 +53,96 @@
     orders: int
     kinds: dict[str, float] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
-    seconds: float = 0.0  # of a core that the play took
+    seconds: float = 0.0  # processor time of the simulation
 
 
-def weigh(sheet: Sheet, records: Sequence[Record]) -> dict[int, float]:
-    """The worth that each request is owed, by number: by its size against the mean of its kind."""
+def worth_by_request(deployment: Deployment, records: Sequence[Record]) -> dict[int, float]:
+    """Worth of each request, by number: scaled by its size relative to the mean of its class."""
     sizes: dict[str, list[float]] = defaultdict(list)
     for record in records:
-        sizes[record.asked.kind.name].append(_size(sheet, record))
-    found = {}
+        sizes[record.client_request.kind.name].append(_size(deployment, record))
+    results = {}
     for record in records:
-        kind = record.asked.kind
+        kind = record.client_request.kind
         mean = sum(sizes[kind.name]) / len(sizes[kind.name])
-        share = min(0.3 + 0.7 * _size(sheet, record) / mean, 4.0)
-        found[record.asked.number] = kind.worth * share
-    return found
+        share = min(0.3 + 0.7 * _size(deployment, record) / mean, 4.0)
+        results[record.client_request.number] = kind.worth * share
+    return results
 
 
-def _size(sheet: Sheet, record: Record) -> float:
-    return record.asked.tokens + OUT_WEIGHT * record.asked.pieces * sheet.service.llm.stride
+def _size(deployment: Deployment, record: Record) -> float:
+    return (
+        record.client_request.tokens
+        + OUTPUT_TOKEN_WEIGHT * record.client_request.pieces * deployment.service.llm.stride
+    )
 
 
-def is_in_aim(record: Record, since_try: bool = False) -> bool:
-    """Whether an answer came whole, in time and without long pauses."""
-    kind, first = record.asked.kind, record.again_first if since_try else record.first
+def meets_objective(record: Record, since_try: bool = False) -> bool:
+    """Whether the answer was complete, in time and without long pauses."""
+    kind, first = (
+        record.client_request.kind,
+        record.retry_first_event_s if since_try else record.first_event_s,
+    )
     in_time = first is not None and first * 1000 <= kind.aim_ms
-    return record.whole and in_time and record.pause * 1000 <= kind.stream.gap_aim_ms
+    return record.is_complete and in_time and record.longest_pause_s * 1000 <= kind.stream.gap_aim_ms
 
 
-def earned(record: Record) -> float:
-    """The share of its worth that a request earns."""
-    kind = record.asked.kind
-    if not record.whole:
+def earned_share(record: Record) -> float:
+    """Share of its worth that a request earns."""
+    kind = record.client_request.kind
+    if not record.is_complete:
         return 0.0
     late = kind.late_worth / kind.worth
-    if is_in_aim(record):
+    if meets_objective(record):
         return 1.0
     offered = record.refused is not None and record.refused * 1000 <= kind.aim_ms / 4
-    if offered and is_in_aim(record, since_try=True):
+    if offered and meets_objective(record, since_try=True):
         return (1.0 + late) / 2
     return late
 
 
-def judge(
-    sheet: Sheet, length: float, records: Sequence[Record], figures: Figures, handshakes: int, calls: int
-) -> Worth:
-    """Weigh a day of so many seconds of traffic; `calls` of the platform's list."""
-    owed = weigh(sheet, records)
+def score_day(
+    deployment: Deployment,
+    length: float,
+    records: Sequence[Record],
+    counters: Counters,
+    handshakes: int,
+    calls: int,
+) -> DayScore:
+    """Score a day of `length` seconds of traffic; `calls` counts calls of the platform's list."""
+    request_worth = worth_by_request(deployment, records)
 
     def parts(key: Callable[[Record], str]) -> dict[str, float]:
-        got: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
+        totals: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
         for record in records:
-            entry = got[key(record)]
-            entry[0] += owed[record.asked.number] * earned(record)
-            entry[1] += owed[record.asked.number]
-        return {k: v[0] / v[1] for k, v in got.items()}
+            entry = totals[key(record)]
+            entry[0] += request_worth[record.client_request.number] * earned_share(record)
+            entry[1] += request_worth[record.client_request.number]
+        return {k: v[0] / v[1] for k, v in totals.items()}
 
-    total = sum(owed.values())
+    total = sum(request_worth.values())
     day = parts(lambda r: "")[""]
-    windows = sorted(parts(lambda r: str(int(r.asked.at // WINDOW_S))).values())
-    kinds, zones = parts(lambda r: r.asked.kind.name), parts(lambda r: r.asked.zone)
+    windows = sorted(parts(lambda r: str(int(r.client_request.at // WINDOW_S))).values())
+    kinds, zones = parts(lambda r: r.client_request.kind.name), parts(lambda r: r.client_request.zone)
     window = sum(windows[:2]) / len(windows[:2])
-    goal = sheet.goal
-    prices = {k: v / total for k, v in _prices(sheet, length, figures, handshakes, calls).items()}
+    goal = deployment.goal
+    prices = {k: v / total for k, v in _prices(deployment, length, counters, handshakes, calls).items()}
     prices["refused again"] = (
-        REFUSED_AGAIN * sum(owed[r.asked.number] for r in records if _in_vain(r)) / total
+        REPEATED_REFUSAL_FACTOR
+        * sum(request_worth[r.client_request.number] for r in records if _is_refused_again(r))
+        / total
+    )
+    prices["put behind"] = INVERSION_FACTOR * _inverted_worth(records, request_worth) / total
+    kind, zone = (
+        min([*kinds.values(), *_size_group_shares(deployment, records, request_worth)]),
+        min(zones.values()),
     )
-    prices["put behind"] = BEHIND * _behind(records, owed) / total
-    kind, zone = min([*kinds.values(), *_sizes(sheet, records, owed)]), min(zones.values())
     worth = goal.mean * day + goal.window * window + goal.kind * kind + goal.zone * zone
-    firsts = sorted(r.first for r in records if r.first is not None)
-    in_aim = sum(is_in_aim(r) for r in records)
-    served = sum(r.whole for r in records)
+    firsts = sorted(r.first_event_s for r in records if r.first_event_s is not None)
+    in_aim = sum(meets_objective(r) for r in records)
+    served = sum(r.is_complete for r in records)
     refused = sum(r.end == "refused" for r in records)
-    return Worth(
+    return DayScore(
         worth - sum(prices.values()),
         day,
         window,
@@ -140,69 +157,73 @@
         sum(r.refusals for r in records),
         quantile(firsts, 0.5) * 1000,
         quantile(firsts, 0.99) * 1000,
-        figures.read,
-        figures.again,
-        figures.wasted,
-        figures.moved_gb,
+        counters.prefill_tokens,
+        counters.reread_tokens,
+        counters.wasted_tokens,
+        counters.transferred_gb,
         handshakes,
-        figures.preempted,
-        figures.orders,
+        counters.preempted,
+        counters.orders,
         kinds,
     )
 
 
-def _in_vain(record: Record) -> bool:
-    """It came back after a refusal and was refused."""
+def _is_refused_again(record: Record) -> bool:
+    """Whether a request was refused, retried and refused again."""
     return record.end == "refused" and record.refusals > 1
 
 
-def _behind(records: Sequence[Record], owed: dict[int, float]) -> float:
-    """Worth of kinds that are served less often than a less urgent one, beyond what is allowed."""
-    found: dict[int, list[Record]] = defaultdict(list)
+def _inverted_worth(records: Sequence[Record], request_worth: dict[int, float]) -> float:
+    """Worth of classes that are served less often than one of lower priority, beyond the allowance."""
+    results: dict[int, list[Record]] = defaultdict(list)
     for record in records:
-        found[record.asked.kind.priority].append(record)
-    served = {k: sum(r.whole for r in v) / len(v) for k, v in found.items()}
+        results[record.client_request.kind.priority].append(record)
+    served = {k: sum(r.is_complete for r in v) / len(v) for k, v in results.items()}
     worth = 0.0
-    for priority, mine in found.items():
+    for priority, group_records in results.items():
         best = max((s for k, s in served.items() if k > priority), default=0.0)
-        over = best - served[priority] - BEHIND_ALLOWED
-        worth += max(over, 0.0) * sum(owed[r.asked.number] for r in mine)
+        over = best - served[priority] - INVERSION_ALLOWED
+        worth += max(over, 0.0) * sum(request_worth[r.client_request.number] for r in group_records)
     return worth
 
 
-def _sizes(sheet: Sheet, records: Sequence[Record], owed: dict[int, float]) -> list[float]:
-    """Worth of the largest tenth of each kind, and of the fifth below it, where those are many enough."""
+def _size_group_shares(
+    deployment: Deployment, records: Sequence[Record], request_worth: dict[int, float]
+) -> list[float]:
+    """Earned share of the largest tenth of each class, and of the fifth below it, if large enough."""
     kinds: dict[str, list[Record]] = defaultdict(list)
     for record in records:
-        kinds[record.asked.kind.name].append(record)
-    found = []
-    for mine in kinds.values():
-        mine.sort(key=lambda r: -_size(sheet, r))
-        tenth = len(mine) // 10
-        for group in (mine[:tenth], mine[tenth : 3 * tenth]):
-            if len(group) >= LEAST_OF_SIZE:
-                weights = [owed[r.asked.number] for r in group]
-                got = sum(w * earned(r) for w, r in zip(weights, group, strict=True))
-                found.append(got / sum(weights))
-    return found
-
-
-def _prices(sheet: Sheet, length: float, figures: Figures, handshakes: int, calls: int) -> dict[str, float]:
-    prices, machines = sheet.prices, sum(m.count for m in sheet.machines)
-    span = sheet.lead_s + length + TAIL_S
+        kinds[record.client_request.kind.name].append(record)
+    results = []
+    for group_records in kinds.values():
+        group_records.sort(key=lambda r: -_size(deployment, r))
+        tenth = len(group_records) // 10
+        for group in (group_records[:tenth], group_records[tenth : 3 * tenth]):
+            if len(group) >= MIN_SIZE_GROUP:
+                weights = [request_worth[r.client_request.number] for r in group]
+                totals = sum(w * earned_share(r) for w, r in zip(weights, group, strict=True))
+                results.append(totals / sum(weights))
+    return results
+
+
+def _prices(
+    deployment: Deployment, length: float, counters: Counters, handshakes: int, calls: int
+) -> dict[str, float]:
+    prices, machines = deployment.prices, sum(m.count for m in deployment.machines)
+    span = deployment.lead_s + length + TAIL_S
     return {
-        "machines": machines * span * prices.machine_s * sheet.thin,
-        "memory": machines * span * MACHINE_GB * prices.memory_gb_s * sheet.thin,
-        "list": calls * prices.cloud_call * sheet.thin,
-        "between zones": figures.crossed / 1e9 * prices.cross_zone_gb,
+        "machines": machines * span * prices.machine_s * deployment.thin,
+        "memory": machines * span * MACHINE_GB * prices.memory_gb_s * deployment.thin,
+        "list": calls * prices.cloud_call * deployment.thin,
+        "between zones": counters.cross_zone_bytes / 1e9 * prices.cross_zone_gb,
         "connections": handshakes * prices.handshake,
-        "moves": figures.moved_gb * prices.kv_gb,
-        "read for nothing": figures.wasted / 1000 * prices.read_waste,
-        "read again": figures.again / 1000 * prices.read,
-        "orders": figures.orders * prices.order,
+        "moves": counters.transferred_gb * prices.kv_gb,
+        "read for nothing": counters.wasted_tokens / 1000 * prices.read_waste,
+        "read again": counters.reread_tokens / 1000 * prices.read,
+        "orders": counters.orders * prices.order,
     }
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Of sorted values; nan where there are none."""
+    """Quantile of sorted values; nan if there are none."""
     return values[min(int(len(values) * share), len(values) - 1)] if values else math.nan
--- a/mastturn/engines/memory.py
+++ b/mastturn/engines/memory.py
@@ -1,7 +1,7 @@
-"""The memory of one engine: blocks of tokens, parts of prompts that are kept, and what gives way.
+"""KV cache of one engine: reference-counted prompt parts with LRU eviction.
 
-A part is held by as many requests and handles as use it; one that nobody uses is kept until room is needed,
-and those unused longest give way first. Sizes in tokens, rounded up to blocks.
+Requests and handles hold references to parts; unreferenced parts stay cached until room is needed, and the
+least recently used are evicted first. Sizes are in tokens, rounded up to blocks.
 """
 
 from __future__ import annotations
@@ -15,100 +15,98 @@
 
 @dataclass(slots=True)
 class Handle:
-    """Memory of a prompt that was read."""
+    """KV cache of a prefilled prompt, held for a decode upstream."""
 
     parts: tuple[Part, ...]
     tokens: int
-    taken: bool = False
+    is_claimed: bool = False
 
 
 class Memory:
-    """What an engine holds."""
+    """The KV cache of an engine."""
 
     def __init__(self, size: int, block: int) -> None:
         self._size, self._block = size, block
-        self._held: dict[str, list[int]] = {}  # id: how many use it, its tokens in blocks
-        self._idle: OrderedDict[str, int] = (
-            OrderedDict()
-        )  # id: its tokens in blocks; the longest unused first
-        self._read = set[str]()  # those, held or idle, that are there: others are still being read
-        self.used = 0  # by what can't give way
-        self._kept = 0  # by what can
+        self._in_use: dict[str, list[int]] = {}  # id: references, size
+        self._idle: OrderedDict[str, int] = OrderedDict()  # id: size; least recently used first
+        self._computed = set[str]()  # computed parts, in use or idle; others are still in prefill
+        self.used = 0  # size of what can't be evicted
+        self._idle_size = 0  # size of idle parts
 
     def blocks(self, tokens: int) -> int:
-        """So many tokens, in whole blocks."""
+        """Round tokens up to whole blocks."""
         return -(-tokens // self._block) * self._block
 
-    def kept(self, parts: Sequence[Part]) -> tuple[int, int]:
-        """How many of the parts are there without a gap, from the first on, and their tokens."""
-        found = count = 0
+    def cached(self, parts: Sequence[Part]) -> tuple[int, int]:
+        """Length of the computed prefix of `parts`: number of parts and tokens."""
+        total = count = 0
         for name, tokens in parts:
-            if name not in self._read:
+            if name not in self._computed:
                 break
-            found += tokens
+            total += tokens
             count += 1
-        return count, found
+        return count, total
 
-    def read(self, parts: Iterable[Part]) -> None:
-        """These parts, which are held, have been read or fetched."""
-        self._read.update(name for name, _ in parts)
+    def mark_computed(self, parts: Iterable[Part]) -> None:
+        """Mark parts in use as computed or fetched."""
+        self._computed.update(name for name, _ in parts)
 
-    def fits_ever(self, tokens: int) -> bool:
-        """Whether an engine with nothing else to hold could."""
+    def can_ever_fit(self, tokens: int) -> bool:
+        """Whether an empty cache could hold this many tokens."""
         return self.blocks(tokens) <= self._size
 
-    def has(self, tokens: int) -> bool:
-        """Whether so much room can be made."""
+    def has_room(self, tokens: int) -> bool:
+        """Whether this much room is free or can be freed by eviction."""
         return self.used + tokens <= self._size
 
-    def hold(self, parts: Iterable[Part]) -> bool:
-        """Hold these parts, whether they are there or are to be read; False if there is no room."""
+    def acquire(self, parts: Iterable[Part]) -> bool:
+        """Reference parts, computed or not; False if there is no room."""
         parts = tuple(parts)
-        new = sum(self.blocks(t) for n, t in parts if n not in self._held)
-        if not self.has(new):
+        new_size = sum(self.blocks(t) for n, t in parts if n not in self._in_use)
+        if not self.has_room(new_size):
             return False
         for name, tokens in parts:
-            entry = self._held.get(name)
+            entry = self._in_use.get(name)
             if entry is not None:
                 entry[0] += 1
                 continue
             size = self._idle.pop(name, 0)
-            self._kept -= size
+            self._idle_size -= size
             size = size or self.blocks(tokens)
-            self._held[name] = [1, size]
+            self._in_use[name] = [1, size]
             self.used += size
-        self._give_way()
+        self._evict()
         return True
 
-    def release(self, parts: Iterable[Part], keep: bool = True) -> None:
-        """One that used these parts has ended; with `keep` they stay until room is needed."""
+    def release(self, parts: Iterable[Part], cache: bool = True) -> None:
+        """Drop references to parts; with `cache`, unreferenced computed parts stay cached."""
         for name, _ in parts:
-            entry = self._held[name]
+            entry = self._in_use[name]
             entry[0] -= 1
             if entry[0]:
                 continue
-            del self._held[name]
+            del self._in_use[name]
             self.used -= entry[1]
-            if keep and name in self._read:
+            if cache and name in self._computed:
                 self._idle[name] = entry[1]
-                self._kept += entry[1]
+                self._idle_size += entry[1]
             else:
-                self._read.discard(name)
+                self._computed.discard(name)
 
     def grow(self, tokens: int) -> bool:
-        """Room for tokens that are written; False if there is none."""
-        if not self.has(tokens):
+        """Reserve room for generated tokens; False if there is none."""
+        if not self.has_room(tokens):
             return False
         self.used += tokens
-        self._give_way()
+        self._evict()
         return True
 
     def shrink(self, tokens: int) -> None:
-        """Room for written tokens is given back."""
+        """Give back room of generated tokens."""
         self.used -= tokens
 
-    def _give_way(self) -> None:
-        while self.used + self._kept > self._size:
+    def _evict(self) -> None:
+        while self.used + self._idle_size > self._size:
             name, size = self._idle.popitem(last=False)
-            self._read.discard(name)
-            self._kept -= size
+            self._computed.discard(name)
+            self._idle_size -= size
--- a/mastturn/engines/play.py
+++ b/mastturn/engines/play.py
@@ -1,4 +1,4 @@
-"""One day of a deployment, played in simulated time."""
+"""Runs one day of a deployment in simulated time."""
 
 from __future__ import annotations
 
@@ -15,65 +15,69 @@
 from control.orders import Outcome, Unclear
 from mastturn.engines import troubles
 from mastturn.engines.clock import SimulatedLoop
-from mastturn.engines.control import LIST_S
+from mastturn.engines.control import LIST_INTERVAL_S
 from mastturn.engines.demand import draw
-from mastturn.engines.deployment import Day, Sheet
+from mastturn.engines.deployment import Day, Deployment
 from mastturn.engines.fleet import Fleet
-from mastturn.engines.judge import Worth, judge
+from mastturn.engines.judge import DayScore, score_day
 
-LEAD_S = 3.0  # long enough for lists, counts and measures to settle
-SETTLE_S = 10.0  # after the last request
+WARM_UP_S = 3.0  # warm-up: long enough for lists, counts and load measurements to settle
+SETTLE_S = 10.0  # simulated time after the end of traffic
 
 
-class _Orders:
-    """Stands in for `control.orders.change_phase` once a fleet is there."""
+class _PhaseOrders:
+    """Replacement of `control.orders.change_phase`; usable once `fleet` is set."""
 
     def __init__(self) -> None:
         self.fleet: Fleet | None = None
 
-    async def give(self, upstream: Upstream, phase: str, owner: str, fence: int) -> Outcome:
-        """Order an engine to play another part."""
+    async def change_phase(self, upstream: Upstream, phase: str, owner: str, fence: int) -> Outcome:
+        """Order an engine to change its phase."""
         return await self.fleet.order(upstream, phase) if self.fleet is not None else Unclear("no fleet")
 
 
-async def _play(sheet: Sheet, day: Day, seed: int, tiers: Callable[..., Tiers], orders: _Orders) -> Worth:
+async def _run_day(
+    deployment: Deployment, day: Day, seed: int, tiers: Callable[..., Tiers], orders: _PhaseOrders
+) -> DayScore:
     loop = asyncio.get_running_loop()
-    asked = draw(sheet, day, seed)
-    fleet = Fleet(sheet, seed, tiers)
+    requests = draw(deployment, day, seed)
+    fleet = Fleet(deployment, seed, tiers)
     orders.fleet = fleet
-    await asyncio.sleep(LEAD_S)
+    await asyncio.sleep(WARM_UP_S)
     begin = loop.time()
-    for request in asked:
-        loop.call_at(begin + request.at, fleet.ask, request)
-    troubles.arrange(fleet, day, seed, begin)
-    await asyncio.sleep(sheet.length(day) + SETTLE_S)
+    for request in requests:
+        loop.call_at(begin + request.at, fleet.submit, request)
+    troubles.schedule(fleet, day, seed, begin)
+    await asyncio.sleep(deployment.length(day) + SETTLE_S)
     handshakes = sum(n.all_handshakes() for n in fleet.nodes)
-    early = (sheet.lead_s - LEAD_S) / LIST_S  # calls of the list before our clock begins
-    calls = fleet.platform.calls + round(early)
-    return judge(sheet, sheet.length(day), fleet.records, fleet.figures, handshakes, calls)
+    earlier_calls = (
+        deployment.lead_s - WARM_UP_S
+    ) / LIST_INTERVAL_S  # calls of the list in the bench's longer lead
+    calls = fleet.platform.calls + round(earlier_calls)
+    return score_day(deployment, deployment.length(day), fleet.records, fleet.counters, handshakes, calls)
 
 
-def play(sheet: Sheet, day: Day, seed: int, tiers: Callable[..., Tiers] = Tiers) -> Worth:
-    """Play a day; `faults` of the outcome holds what was raised in it."""
-    began = time.process_time()
+def play(deployment: Deployment, day: Day, seed: int, tiers: Callable[..., Tiers] = Tiers) -> DayScore:
+    """Simulate a day and score it; `faults` of the score lists exceptions raised in callbacks."""
+    cpu_start = time.process_time()
     loop = SimulatedLoop()
     state = random.getstate()
-    orders = _Orders()
+    orders = _PhaseOrders()
     logger.disable("balancer")
     logger.disable("consensus")
     logger.disable("control")
     try:
         with (
             mock.patch("time.monotonic", loop.time),
-            mock.patch("control.phase_controller.change_phase", orders.give),
+            mock.patch("control.phase_controller.change_phase", orders.change_phase),
         ):
-            outcome = loop.run_until_complete(_play(sheet, day, seed, tiers, orders))
+            score = loop.run_until_complete(_run_day(deployment, day, seed, tiers, orders))
     finally:
         logger.enable("balancer")
         logger.enable("consensus")
         logger.enable("control")
         random.setstate(state)
         loop.close()
-    outcome.faults = list(loop.faults)
-    outcome.seconds = time.process_time() - began
-    return outcome
+    score.faults = list(loop.faults)
+    score.seconds = time.process_time() - cpu_start
+    return score
--- a/mastturn/engines/records.py
+++ b/mastturn/engines/records.py
@@ -1,25 +1,25 @@
-"""What became of each request, as its client saw it. Spans in seconds from the first try."""
+"""Outcome of each request as its client saw it. Durations are in seconds, from the first attempt."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from mastturn.engines.demand import Asked
+from mastturn.engines.demand import ClientRequest
 
 
 @dataclass(slots=True)
 class Record:
-    """One request of a client, over all its tries."""
+    """A request of a client, over all its attempts."""
 
-    asked: Asked
-    first: float | None = None  # until the first piece
-    again_first: float | None = None  # the same, from the try that was served
-    pause: float = 0.0  # the longest between two pieces
-    refused: float | None = None  # until its first refusal
+    client_request: ClientRequest
+    first_event_s: float | None = None  # time to the first event
+    retry_first_event_s: float | None = None  # the same, from the start of the attempt that was served
+    longest_pause_s: float = 0.0  # longest gap between two events
+    refused: float | None = None  # time to the first refusal
     refusals: int = 0
-    whole: bool = False
+    is_complete: bool = False
     end: str = "open"
-    at_work: bool = False  # an engine was offered it
-    last: float = 0.0
+    at_work: bool = False  # sent to an engine
+    closed_after_s: float = 0.0
     tries: int = 0
     pieces: int = 0
--- a/tests/engines_fixture.py
+++ b/tests/engines_fixture.py
@@ -1,4 +1,4 @@
-"""A small deployment for the tests of `mastturn.engines`: round figures, so that times can be told."""
+"""A small deployment and a test bench for `mastturn.engines`; round figures make exact times predictable."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import msgspec
 
 from mastturn.engines.clock import START_S, SimulatedLoop
-from mastturn.engines.deployment import Sheet
+from mastturn.engines.deployment import Deployment
 from mastturn.engines.engine import Engine
-from mastturn.engines.jobs import Figures, Job
+from mastturn.engines.jobs import Counters, Job
 
 LLM: dict[str, Any] = {
     "batch": 4,
@@ -86,80 +86,82 @@
     }
 
 
-def sheet(**llm: Any) -> Sheet:
-    return msgspec.convert(raw(**llm), Sheet)
+def deployment(**llm: Any) -> Deployment:
+    return msgspec.convert(raw(**llm), Deployment)
 
 
 @dataclass(eq=False)
-class Heard:
-    """What one call has heard, with times in ms from the loop's start."""
+class RecordingCaller:
+    """Caller that records its notifications, with times in ms from the loop's start."""
 
-    said: list[tuple[float, str]] = field(default_factory=list)
+    events: list[tuple[float, str]] = field(default_factory=list)
     handle: str = ""
 
-    def _say(self, what: str) -> None:
+    def _record(self, event: str) -> None:
         now = asyncio.get_running_loop().time()
-        self.said.append((round((now - START_S) * 1000, 3), what))
+        self.events.append((round((now - START_S) * 1000, 3), event))
 
-    def read(self, handle: str) -> None:
+    def prompt_read(self, handle: str) -> None:
         self.handle = handle
-        self._say("read")
+        self._record("read")
 
-    def rejected(self, why: str) -> None:
-        self._say(why)
+    def rejected(self, reason: str) -> None:
+        self._record(reason)
 
-    def begun(self, number: int) -> None:
-        self._say(f"event {number}")
+    def event_sent(self, number: int) -> None:
+        self._record(f"event {number}")
 
-    def ended(self) -> None:
-        self._say("end")
+    def completed(self) -> None:
+        self._record("end")
 
-    def cut(self) -> None:
-        self._say("cut")
+    def connection_lost(self) -> None:
+        self._record("cut")
 
 
 class Bench:
-    """Engines on a simulated clock, and calls at them at given milliseconds."""
+    """Engines on a simulated clock, and calls to them at given times in milliseconds."""
 
     def __init__(self, **llm: Any) -> None:
-        self.loop, self.figures = SimulatedLoop(), Figures()
-        self.sheet = sheet(**llm)
+        self.loop, self.counters = SimulatedLoop(), Counters()
+        self.deployment = deployment(**llm)
         self._count = 0
 
     def engine(self, phase: str, zone: str = "a", speed: float = 1.0) -> Engine:
         self._count += 1
         name = f"e{self._count}"
-        return Engine(name, name, zone, speed, phase, self.sheet.service, self.figures)
+        return Engine(name, name, zone, speed, phase, self.deployment.service, self.counters)
 
     def call(
         self,
         at_ms: float,
         engine: Engine,
-        own: int,
+        own_tokens: int,
         chain: tuple[tuple[str, int], ...] = (),
         pieces: int = 2,
         priority: int = 5,
         ends_ms: float = 1e6,
-        after: Heard | None = None,
+        after: RecordingCaller | None = None,
         source: Engine | None = None,
-        reads: bool | None = None,
-    ) -> Heard:
-        """A call; with `source` a run whose handle `after` has heard; `reads`: of that stage."""
+        prefill_only: bool | None = None,
+    ) -> RecordingCaller:
+        """Make a call; `source` and `after`: decode with the handle that `after` got from `source`."""
         self._count += 1
-        heard, name = Heard(), f"j{self._count}"
+        caller, name = RecordingCaller(), f"j{self._count}"
 
-        def go() -> None:
+        def arrive() -> None:
             handle = after.handle if after is not None else ""
-            stage = engine.phase == "prefill" if reads is None else reads
+            stage = engine.phase == "prefill" if prefill_only is None else prefill_only
             ends = START_S + ends_ms / 1000
-            job = Job(name, heard, chain, own, pieces, priority, ends, stage, handle=handle, source=source)
-            engine.take(job)
+            job = Job(
+                name, caller, chain, own_tokens, pieces, priority, ends, stage, handle=handle, source=source
+            )
+            engine.accept(job)
 
-        self.do(at_ms, go)
-        return heard
+        self.do(at_ms, arrive)
+        return caller
 
-    def do(self, at_ms: float, what: Callable[[], object]) -> None:
-        self.loop.call_at(START_S + at_ms / 1000, what)
+    def do(self, at_ms: float, event: Callable[[], object]) -> None:
+        self.loop.call_at(START_S + at_ms / 1000, event)
 
     def run(self, ms: float = 60_000.0) -> None:
         async def wait() -> None:
