--- a/mastturn/capacity/clockwork.py
+++ b/mastturn/capacity/clockwork.py
@@ -17,7 +17,7 @@
 
 from mastturn.capacity.network import Network, Owner
 from mastturn.capacity.sources import as_quiet, spin_ns
-from mastturn.jumping import JumpingLoop
+from mastturn.jumping import SimulatedTimeLoop
 
 LOOK_NS = 20_000_000  # how fast this core is at the moment is looked at so often
 BESIDE = 20_000  # turns of the plain loop that tell it
@@ -124,7 +124,7 @@
         self.ends.clear()
 
 
-class Loop(JumpingLoop):
+class Loop(SimulatedTimeLoop):
     """An event loop on the fleet's clock and network."""
 
     def __init__(self, charge: float = 0.0) -> None:
--- a/mastturn/cli.py
+++ b/mastturn/cli.py
@@ -373,14 +373,14 @@
       mastturn lab listing --agents 200 --out pictures
     """
     from mastturn.lab.listing import SWEEPS, sweep
-    from mastturn.report.pictures import convergence
+    from mastturn.report.pictures import plot_convergence
 
     for what in SWEEPS:
         points = sweep(what, agents, seed)
         for at, outcome in points:
             click.echo(f"{what} {at:g}: {outcome.describe()}")
         if out is not None:
-            figure = convergence("", what, [(at, o.median_ms, o.p99_ms) for at, o in points])
+            figure = plot_convergence("", what, [(at, o.median_ms, o.p99_ms) for at, o in points])
             try:
                 out.mkdir(parents=True, exist_ok=True)
                 figure.savefig(out / f"listing-{what.split()[0]}.png", dpi=110)
@@ -412,7 +412,7 @@
       mastturn lab members --processes 40
     """
     from mastturn.lab.members import METRICS, measure
-    from mastturn.report.pictures import sizes_of_fleet
+    from mastturn.report.pictures import plot_by_fleet_size
 
     found = []
     for size in sizes:
@@ -423,7 +423,7 @@
         try:
             out.mkdir(parents=True, exist_ok=True)
             for name, words in METRICS.items():
-                sizes_of_fleet(words, found, name).savefig(out / f"members-{name}.png", dpi=110)
+                plot_by_fleet_size(words, found, name).savefig(out / f"members-{name}.png", dpi=110)
         except OSError as error:
             raise LabError(f"{out}: {error.strerror}") from None
 
--- a/mastturn/files.py
+++ b/mastturn/files.py
@@ -19,7 +19,7 @@
     """Something that was asked for can't be had, in one plain line."""
 
 
-def place_and_words(error: msgspec.ValidationError) -> tuple[str, str]:
+def split_validation_error(error: msgspec.ValidationError) -> tuple[str, str]:
     """Where a fault of a value stands, empty for the whole, and what is wrong there."""
     text = str(error)
     place = _PLACE.search(text)
@@ -29,7 +29,7 @@
 
 def _plain(error: msgspec.ValidationError, kind: Any) -> str:
     """A fault of a value in words: where it stands, what is wrong, what is allowed."""
-    where, said = place_and_words(error)
+    where, said = split_validation_error(error)
     unknown, missing = _UNKNOWN.search(said), _MISSING.search(said)
     if unknown:
         key = f"{where}.{unknown['field']}".lstrip(".")
--- a/mastturn/jumping.py
+++ b/mastturn/jumping.py
@@ -42,7 +42,7 @@
         return []
 
 
-class JumpingLoop(asyncio.SelectorEventLoop):
+class SimulatedTimeLoop(asyncio.SelectorEventLoop):
     """An event loop on a clock of its own and a network in memory, whose work belongs to programs."""
 
     network: Any  # with `connect(factory, host, port)` and `listen(factory, host, port)`
--- a/mastturn/registry/form.py
+++ b/mastturn/registry/form.py
@@ -12,7 +12,7 @@
 
 from fleet.registry.entries import PHASES, Entry, InvalidEntryError, Lifecycle
 from fleet.registry.history import Changes
-from mastturn.files import place_and_words
+from mastturn.files import split_validation_error
 
 MOST_ENTRIES = 20_000  # of one answer: more is no list of ours
 MOST_BYTES = 16 * 1024 * 1024
@@ -95,7 +95,7 @@
 
 
 def _plain(error: msgspec.ValidationError) -> str:
-    where, said = place_and_words(error)
+    where, said = split_validation_error(error)
     return f"{where or 'body'}: {said}"
 
 
--- a/mastturn/report/pictures.py
+++ b/mastturn/report/pictures.py
@@ -149,7 +149,7 @@
     return figure
 
 
-def convergence(title: str, what: str, points: list[tuple[float, float, float]]) -> Figure:
+def plot_convergence(title: str, what: str, points: list[tuple[float, float, float]]) -> Figure:
     """How long changes take to agents, median and 99%, against one figure; points are (it, ms, ms)."""
     figure = Figure(figsize=(WIDTH_IN / 2, 3.2), layout="constrained")
     axes = figure.subplots()
@@ -161,7 +161,7 @@
     return figure
 
 
-def sizes_of_fleet(title: str, rows: Sequence[Any], figure_name: str) -> Figure:
+def plot_by_fleet_size(title: str, rows: Sequence[Any], figure_name: str) -> Figure:
     """One figure of each run against the size of the fleet, a line for each kind and trouble.
 
     `rows`: `kind`, `size`, `trouble` and the figure under its name, None where there is none.
--- a/tests/fabric.py
+++ b/tests/fabric.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from mastturn.jumping import JumpingLoop
+from mastturn.jumping import SimulatedTimeLoop
 
 WINDOW = 64 * 1024  # bytes that a peer accepts before its program reads them
 OUTSIDE = "10.99.0.1"  # source IP of clients that are no simulated process
@@ -24,7 +24,7 @@
 PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar("PROCESS", default=None)
 
 
-class Loop(JumpingLoop):
+class Loop(SimulatedTimeLoop):
     """An event loop with the simulated clock and network."""
 
     def __init__(self) -> None:
