--- a/mastturn/emulator/__init__.py
+++ b/mastturn/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The systems that the balancer serves, in simulated time; docs/emulator.md says what is modelled."""
+"""Discrete-event simulation of the systems around the balancer; docs/emulator.md says what is modelled."""
--- a/mastturn/emulator/attempts.py
+++ b/mastturn/emulator/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one balancer: each goes out over a connection, and has one end that the module is told."""
+"""Sends one balancer's attempts over connections and reports the single outcome of each to the module."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Sender(Protocol):
-    """The balancer that sends them."""
+    """The balancer that sends the attempts."""
 
     world: Any
     tier: int
@@ -26,39 +26,39 @@
     known_servers: KnownServers
 
     def dispatch(self, event: Any) -> None:
-        """Give the module an event and carry out what it returns."""
+        """Pass an event to the decision module and execute the actions that it returns."""
 
     def find_open_call(self, action: Any) -> Call | None:
-        """The request that an action is about, unless it is concluded."""
+        """Return the request that an action refers to, or None if it has been concluded."""
 
     def release(self, call: Call) -> None:
-        """Let go of a request that is concluded, once all of its attempts are over."""
+        """Drop a concluded request once all of its attempts have ended."""
 
     def is_cut_from(self, box: Box) -> bool:
-        """Whether nothing passes between it and a box."""
+        """Whether the network between this balancer and a box is cut."""
 
 
 def may_have_executed(call: Call) -> bool:
-    """Whether some attempt of a request may have been run by an upstream."""
+    """Whether an upstream may have executed some attempt of a request."""
     return any(attempt.outcome not in NOT_EXECUTED for attempt in call.attempts)
 
 
 class Attempts:
-    """Carries out what the module decides about attempts."""
+    """Executes the module's decisions about attempts."""
 
     def __init__(self, balancer: Sender, idle_ms: float, interface: Any) -> None:
-        """`idle_ms`: a connection is kept so long; `face`: the types of the module's contract."""
+        """`idle_ms`: idle timeout of a connection; `interface`: the types of the module's contract."""
         self._balancer, self._interface = balancer, interface
         self.pool = Pool(idle_ms)
-        self.out = 0  # attempts that are under way
+        self.in_flight = 0  # attempts in flight
 
     def drop_all(self) -> None:
-        """The process is gone, and all of its connections."""
-        self.out = 0
+        """Discard all connections and attempts: the process has ended."""
+        self.in_flight = 0
         self.pool.drop_all()
 
     def send(self, action: Any) -> None:
-        """The module sends a request to an upstream; raises Fault where it may not."""
+        """Send a request to an upstream; raises ContractViolation if the request or server is not valid."""
         world = self._balancer.world
         now, judge = world.events.now, world.judge
         call = self._balancer.find_open_call(action)
@@ -79,11 +79,11 @@
                 "duplicate", f"{self._balancer.name}: {call.number} sent again, though it may have run"
             )
         self._check_drain(action.server, now)
-        left = call.deadline_ms - now
-        ends = now + (min(action.timeout_ms, left) if action.timeout_ms > 0 else left)
+        time_left_ms = call.deadline_ms - now
+        ends = now + (min(action.timeout_ms, time_left_ms) if action.timeout_ms > 0 else time_left_ms)
         attempt = Attempt(call, len(earlier), box, now, ends, self._balancer.life)
         earlier.append(attempt)
-        self.out += 1
+        self.in_flight += 1
         if len(earlier) > world.day.site.rules.max_attempts:
             world.events.after(0.0, self._not_sent, attempt)
             return
@@ -106,27 +106,27 @@
             self._balancer.world.judge.record_violation("drain", text)
 
     def _connect(self, attempt: Attempt, box: Box) -> None:
-        """Take a kept connection or open one: refused at once, never up, or up after its round trips."""
+        """Reuse an idle connection or open one, which is established, refused, or times out."""
         world = self._balancer.world
         events, network = world.events, world.network
-        way = network.delay_ms(self._balancer.zone, box.zone)
+        one_way_ms = network.delay_ms(self._balancer.zone, box.zone)
         epoch = self.pool.acquire(box, events.now)
         if epoch is not None:
             attempt.box_epoch = epoch
             attempt.connected = True
-            events.after(way, self._arrive, attempt)
+            events.after(one_way_ms, self._arrive, attempt)
         elif box.silent or self._balancer.is_cut_from(box):
             events.after(box.tier.connect_timeout_ms, self._connect_failed, attempt)
-        elif not box.up or box.connections >= box.figures.connection_cap:
-            events.after(2 * way, self._connect_failed, attempt)
+        elif not box.up or box.connections >= box.parameters.connection_cap:
+            events.after(2 * one_way_ms, self._connect_failed, attempt)
         else:
             self.pool.opened(box)
             attempt.connected = attempt.handshake = True
             world.judge.handshakes[self._balancer.tier] += 1
-            events.after((2 * box.tier.handshake_round_trips + 1) * way, self._arrive, attempt)
+            events.after((2 * box.tier.handshake_round_trips + 1) * one_way_ms, self._arrive, attempt)
 
     def probe(self, action: Any) -> None:
-        """Open a connection and keep it, as `passpost` does."""
+        """Open a connection and keep it in the pool, as `passpost` does."""
         world = self._balancer.world
         box = world.boxes.get(action.server)
         if (
@@ -135,17 +135,17 @@
             or box.number != self._balancer.tier
         ):
             raise ContractViolation(f"{action!r} at a server that its list has not named")
-        way = world.network.delay_ms(self._balancer.zone, box.zone)
+        one_way_ms = world.network.delay_ms(self._balancer.zone, box.zone)
         silent = box.silent or self._balancer.is_cut_from(box)
-        reached = box.up and not silent and box.connections < box.figures.connection_cap
+        reached = box.up and not silent and box.connections < box.parameters.connection_cap
         world.judge.counts["probes by connection"] += 1
         if reached:
             self.pool.opened(box)
             self.pool.keep(box, box.epoch, world.events.now)
             world.judge.handshakes[self._balancer.tier] += 1
-            wait = 2 * box.tier.handshake_round_trips * way
+            wait = 2 * box.tier.handshake_round_trips * one_way_ms
         else:
-            wait = box.tier.connect_timeout_ms if silent else 2 * way
+            wait = box.tier.connect_timeout_ms if silent else 2 * one_way_ms
         world.events.after(wait, self._probed, (self._balancer.life, action.server, reached))
 
     def _probed(self, found: tuple[int, str, bool]) -> None:
@@ -154,25 +154,25 @@
             self._balancer.dispatch(self._interface.Probed(server, reached))
 
     def _arrive(self, attempt: Attempt) -> None:
-        """Its last byte is at the box."""
+        """Deliver the attempt: its last byte has reached the box."""
         if attempt.over:
             return
         world, box = self._balancer.world, attempt.box
         if self._balancer.is_cut_from(box) or (box.silent and not box.up):
-            return  # nothing is said, ever
-        way = world.network.delay_ms(self._balancer.zone, box.zone)
+            return  # a silent box neither answers nor resets
+        one_way_ms = world.network.delay_ms(self._balancer.zone, box.zone)
         if attempt.box_epoch != box.epoch or not box.up:
-            world.events.after(way, self.on_reset, attempt)
+            world.events.after(one_way_ms, self.on_reset, attempt)
             return
         attempt.arrived = True
         turned_away = world.deliver_request(attempt)
         if turned_away:
-            world.events.after(way, self._rejected, attempt)
+            world.events.after(one_way_ms, self._rejected, attempt)
         elif world.network.resets():
-            world.events.after(way + world.reset_wait_ms(), self.on_reset, attempt)
+            world.events.after(one_way_ms + world.reset_wait_ms(), self.on_reset, attempt)
 
     def on_response(self, answer: tuple[Attempt, bool, Loss | None, LoadReport | None, float]) -> None:
-        """An upstream's answer has come."""
+        """Handle an upstream's response."""
         attempt, served, loss, report, useful_ms = answer
         if served and not attempt.over:
             attempt.call.useful_ms += useful_ms
@@ -196,7 +196,7 @@
         self._end(attempt, "NOT_SENT", Loss(self._balancer.tier, LossCause.TURNED_AWAY), None)
 
     def on_reset(self, attempt: Attempt) -> None:
-        """Its connection is reset; the box's process may have died with the request in it."""
+        """Handle a connection reset, possibly because the box's process ended with the request in it."""
         self._end(attempt, "BROKEN", Loss(self._balancer.tier, LossCause.RESET), None)
 
     def _timed_out(self, attempt: Attempt) -> None:
@@ -205,7 +205,7 @@
             self._end(attempt, outcome, locate_loss(attempt, self._balancer.is_cut_from(attempt.box)), None)
 
     def cancel(self, action: Any) -> None:
-        """The module gives an attempt up."""
+        """Cancel an attempt on behalf of the module."""
         call = self._balancer.calls.get(action.request)
         if call is not None and 0 <= action.attempt < len(call.attempts):
             self._balancer.world.events.after(0.0, self._cancelled, call.attempts[action.attempt])
@@ -216,18 +216,18 @@
             self._end(attempt, "CANCELLED", where, None)
 
     def close_connection(self, attempt: Attempt) -> None:
-        """Close the connection of an attempt that has one."""
+        """Close the attempt's connection, if it has one."""
         if attempt.connected:
             self.pool.closed(attempt.box, attempt.box_epoch)
 
     def _end(self, attempt: Attempt, outcome: str, loss: Loss | None, report: LoadReport | None) -> None:
-        """An attempt's one end: its connection is kept or closed, and the module told."""
+        """Record an attempt's outcome once, keep or close its connection, and notify the module."""
         if attempt.over or attempt.life != self._balancer.life:
             return
         world, call = self._balancer.world, attempt.call
         now = world.events.now
         attempt.over, attempt.outcome, attempt.ended_ms = True, outcome, now
-        self.out -= 1
+        self.in_flight -= 1
         world.judge.outcomes[self._balancer.tier][outcome] += 1
         if outcome in ("SERVED", "ERROR", "TURNED_AWAY"):
             if attempt.box_epoch == attempt.box.epoch:
--- a/mastturn/emulator/baselines.py
+++ b/mastturn/emulator/baselines.py
@@ -1,9 +1,10 @@
-"""Plain policies in the same world, spoken to through the same contract, to hold a module against.
+"""Implements simple load-balancing policies behind the module's contract, as baselines for comparison.
 
-They send each request at once, try again elsewhere while an attempt proves not to have run, and refuse
-nothing for want of room. Only the oracles see the true state of the boxes: `oracle` as it is, `oracle-late`
-as it was `LATE_MS` ago. `known-capacity` is Algorithm 1 of the paper: d servers drawn with probability c_i /
-C, the lowest (m_i + 1) / c_i, ties to the larger capacity, the capacities known.
+Each baseline sends a request at once, retries on another server while attempts provably did not execute,
+and never refuses a request for lack of capacity. Only the oracles see the true state of the boxes: `oracle`
+the present state, `oracle-late` a state up to `LATE_MS` old. `known-capacity` is Algorithm 1 of the paper:
+d servers drawn with probability c_i / C, the lowest (m_i + 1) / c_i, ties to the larger capacity, the
+capacities known.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 from mastturn.emulator.contract import BoxState, Truth, Version, installed
 
 DRAWS = 2  # d of the paper's experiments
-LATE_MS = 1_000.0  # how old the state is that the late oracle sees
+LATE_MS = 1_000.0  # refresh interval of the state that the late oracle sees
 NOT_EXECUTED = ("TURNED_AWAY", "UNREACHED", "NOT_SENT")
 
 
 class Baseline:
-    """A balancer that picks by one plain rule; subclasses say which."""
+    """Base class of balancers that select servers by a single rule, which subclasses define."""
 
     def __init__(self, interface: Any, settings: Any, seed: int, truth: Truth) -> None:
         self.interface, self.settings, self.truth = interface, settings, truth
         self.chance = random.Random(seed)
         self.ready: list[str] = []
-        self.out: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}
         self.now = 0.0
         self._members: dict[str, Any] = {}
         self._open: dict[int, tuple[Any, float, int]] = {}  # class, deadline, attempts made
         self._subscribed = False
 
-    def pick(self, able: list[str]) -> str:
-        """One of the servers, of which there is at least one."""
+    def select(self, candidates: list[str]) -> str:
+        """Select one of the available servers; the list is never empty."""
         raise NotImplementedError
 
     def handle(self, event: Any, now: float) -> list[Any]:
-        """Take one event and return the actions, in order."""
+        """Handle one event and return the resulting actions in order."""
         self.now = now
         interface, actions = self.interface, []
         if not self._subscribed:
@@ -50,11 +51,11 @@
             self._open[event.request] = (cls, now + event.remaining_ms, 0)
             actions += self._send(event.request, None)
         elif isinstance(event, interface.AttemptEnded):
-            self.out[event.server] = self.out.get(event.server, 1) - 1
+            self.in_flight[event.server] = self.in_flight.get(event.server, 1) - 1
             if event.answered:
                 self._open.pop(event.request, None)
             else:
-                actions += self._after(event)
+                actions += self._on_attempt_failed(event)
         elif isinstance(event, interface.ClientLeft):
             self._open.pop(event.request, None)
         elif isinstance(event, interface.ListUpdate):
@@ -75,17 +76,17 @@
         return []
 
     def _send(self, request: int, tried: str | None) -> list[Any]:
-        cls, deadline, made = self._open[request]
-        able = [s for s in self.ready if s != tried] or self.ready
-        if not able or deadline <= self.now or made >= self.settings.max_attempts:
+        cls, deadline, attempts_made = self._open[request]
+        candidates = [s for s in self.ready if s != tried] or self.ready
+        if not candidates or deadline <= self.now or attempts_made >= self.settings.max_attempts:
             del self._open[request]
             return [self.interface.Refuse(request)]
-        self._open[request] = (cls, deadline, made + 1)
-        server = self.pick(able)
-        self.out[server] = self.out.get(server, 0) + 1
+        self._open[request] = (cls, deadline, attempts_made + 1)
+        server = self.select(candidates)
+        self.in_flight[server] = self.in_flight.get(server, 0) + 1
         return [self.interface.Send(request, server, deadline - self.now)]
 
-    def _after(self, event: Any) -> list[Any]:
+    def _on_attempt_failed(self, event: Any) -> list[Any]:
         known = self._open.get(event.request)
         if known is None:
             return []
@@ -97,78 +98,84 @@
 
 
 class Random(Baseline):
-    """Any server, evenly."""
+    """Selects a server uniformly at random."""
 
-    def pick(self, able: list[str]) -> str:
-        """One drawn evenly."""
-        return able[int(self.chance.random() * len(able))]
+    def select(self, candidates: list[str]) -> str:
+        """Select a server uniformly at random."""
+        return candidates[int(self.chance.random() * len(candidates))]
 
 
 class RoundRobin(Baseline):
-    """One after another."""
+    """Selects servers in turn."""
 
     _next = 0
 
-    def pick(self, able: list[str]) -> str:
-        """The next one."""
+    def select(self, candidates: list[str]) -> str:
+        """Select the next server in turn."""
         self._next += 1
-        return able[self._next % len(able)]
+        return candidates[self._next % len(candidates)]
 
 
 class LeastOutstanding(Baseline):
-    """The server with the fewest of our calls, ties at random."""
+    """Selects the server with the fewest outstanding calls of this balancer, ties at random."""
 
-    def pick(self, able: list[str]) -> str:
-        """The least of all."""
-        return min(able, key=lambda s: (self.out.get(s, 0), self.chance.random()))
+    def select(self, candidates: list[str]) -> str:
+        """Select the server with the fewest outstanding calls."""
+        return min(candidates, key=lambda s: (self.in_flight.get(s, 0), self.chance.random()))
 
 
 class TwoChoices(Baseline):
-    """Two drawn evenly, the one with fewer of our calls."""
+    """Draws two servers uniformly and selects the one with fewer outstanding calls of this balancer."""
 
-    def pick(self, able: list[str]) -> str:
-        """The less loaded of two."""
-        drawn = [able[int(self.chance.random() * len(able))] for _ in range(DRAWS)]
-        return min(drawn, key=lambda s: self.out.get(s, 0))
+    def select(self, candidates: list[str]) -> str:
+        """Select the less loaded of two random servers."""
+        drawn = [candidates[int(self.chance.random() * len(candidates))] for _ in range(DRAWS)]
+        return min(drawn, key=lambda s: self.in_flight.get(s, 0))
 
 
 class KnownCapacity(Baseline):
-    """The paper's Algorithm 1, with the machines' own capacities."""
+    """Implements the paper's Algorithm 1 with the true machine capacities."""
 
-    def pick(self, able: list[str]) -> str:
-        """The least load after taking the call of DRAWS drawn by capacity."""
-        power = [self.truth(s).power for s in able]
+    def select(self, candidates: list[str]) -> str:
+        """Select the lowest load after the call among DRAWS servers drawn by capacity."""
+        power = [self.truth(s).power for s in candidates]
         sums = list(accumulate(power))
-        drawn = [min(bisect(sums, self.chance.random() * sums[-1]), len(able) - 1) for _ in range(DRAWS)]
+        drawn = [
+            min(bisect(sums, self.chance.random() * sums[-1]), len(candidates) - 1) for _ in range(DRAWS)
+        ]
         best = min(
             drawn,
-            key=lambda i: ((self.out.get(able[i], 0) + 1) / power[i], -power[i], self.chance.random()),
+            key=lambda i: (
+                (self.in_flight.get(candidates[i], 0) + 1) / power[i],
+                -power[i],
+                self.chance.random(),
+            ),
         )
-        return able[best]
+        return candidates[best]
 
 
 class Oracle(Baseline):
-    """The box that is in truth the least loaded for its power, among those that in truth can serve."""
+    """Selects the ready box with the lowest true load relative to its power."""
 
-    late_ms = 0.0
+    refresh_ms = 0.0
 
     def __init__(self, interface: Any, settings: Any, seed: int, truth: Truth) -> None:
         super().__init__(interface, settings, seed, truth)
         self._seen: dict[str, BoxState] = {}
         self._seen_at = -1e18
 
-    def pick(self, able: list[str]) -> str:
-        """The least loaded that serves; any if none does."""
-        if self.now - self._seen_at >= self.late_ms:
+    def select(self, candidates: list[str]) -> str:
+        """Select the least loaded ready box, or any box if none is ready."""
+        if self.now - self._seen_at >= self.refresh_ms:
             self._seen_at = self.now
             self._seen = {s: self.truth(s) for s in self.ready}
-        states = [(s, self._seen.get(s) or self.truth(s)) for s in able]
+        states = [(s, self._seen.get(s) or self.truth(s)) for s in candidates]
         serving = [(s, state) for s, state in states if state.ready and state.power > 0] or states
-        mine = self.out if self.late_ms else {}
+        own_in_flight = self.in_flight if self.refresh_ms else {}
         least = min(
             serving,
             key=lambda item: (
-                (item[1].held + mine.get(item[0], 0) + 1) / max(item[1].power, 1e-9),
+                (item[1].held + own_in_flight.get(item[0], 0) + 1) / max(item[1].power, 1e-9),
                 self.chance.random(),
             ),
         )
@@ -176,9 +183,9 @@
 
 
 class LateOracle(Oracle):
-    """The same, with a state that is `LATE_MS` old, and our own calls since then unseen."""
+    """An oracle whose view of the box states is refreshed every `LATE_MS`."""
 
-    late_ms = LATE_MS
+    refresh_ms = LATE_MS
 
 
 BASELINES: dict[str, type[Baseline]] = {
@@ -197,6 +204,6 @@
 
 
 def baseline(name: str) -> Version:
-    """A baseline by name, on the installed contract; KeyError if there is none of that name."""
+    """Return the named baseline on the installed contract; raises KeyError for an unknown name."""
     interface = installed().interface
     return Version(name, interface, _maker(BASELINES[name], interface))
--- a/mastturn/emulator/calls.py
+++ b/mastturn/emulator/calls.py
@@ -1,4 +1,4 @@
-"""Requests and attempts, as the world keeps them; what a balancer thinks of them is its own affair."""
+"""Defines requests, attempts and their outcomes, independent of any balancer's own state."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from mastturn.emulator.day import ClassFigures
+from mastturn.emulator.day import ClassParameters
 from mastturn.emulator.machine import BalancerHandle, Box
 
 
 class FinalOutcome(enum.Enum):
-    """How a request ended for whoever asked."""
+    """Final outcome of a request for its caller."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
     RESET = "reset"  # its balancer died
-    UNREACHED = "unreached"  # no balancer there
+    UNREACHED = "unreached"  # no balancer accepted the connection
 
 
 class LossCause(enum.Enum):
-    """Why an answer was not had."""
+    """Why a request got no successful response."""
 
     ROOM = "refused for room"
     TURNED_AWAY = "turned away"
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Where an answer was lost: the tier that was being called, and why."""
+    """Where a response was lost: the tier that was being called, and the cause."""
 
     tier: int
     cause: LossCause
 
 
 class VisitState(Protocol):
-    """An attempt's time in its box, as far as others ask."""
+    """State of an attempt at its box that other modules read."""
 
     answered: bool
     waits: bool
@@ -55,38 +55,38 @@
 
 
 class Caller(Protocol):
-    """Whoever asked a balancer."""
+    """The caller of a balancer."""
 
     def on_final_outcome(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
-        """Take the final answer; `advice_ms`: how long to stay away after a refusal, 0 for no advice."""
+        """Handle the final outcome; `retry_after_ms`: minimum wait after a refusal, 0 for none."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's first try, with all its later ones: what the judge counts."""
+    """A client's request with all its tries; the unit that is scored."""
 
     number: int
     arrived_ms: float
-    cls: ClassFigures
+    cls: ClassParameters
     class_number: int
     brand: int
     zone: str
-    work_ms: float  # of the whole request, on a yardstick core; a tier's call does its share of it
+    work_ms: float  # of the whole request on a reference core; each tier's call does its share
     honours_retry_after: bool
-    leaves_ms: float  # moment at which an impatient client leaves; inf for all others
+    leaves_ms: float  # time at which an impatient client leaves; inf for all others
     over_share: bool
     worth: float
-    calls: tuple[int, ...]  # that a box of each tier but the last makes to the next one for it
+    calls: tuple[int, ...]  # calls that a box of each tier but the last makes to the next tier
     tries: int = 0
-    served_ms: float = -1.0  # moment of the answer; -1: none
-    ended_ms: float = -1.0  # moment at which the client had its last answer or gave up
-    loss: Loss | None = None  # why the last try was not served
-    useful_ms: float = 0.0  # work done for the answer that the client got
+    served_ms: float = -1.0  # time of the response; -1: none
+    ended_ms: float = -1.0  # time at which the client got its last response or gave up
+    loss: Loss | None = None  # why the last try failed
+    useful_ms: float = 0.0  # work done for the response that the client received
     received: int = 0  # attempts at boxes of any tier
 
 
 class Call:
-    """One request at one balancer."""
+    """A request at one balancer."""
 
     __slots__ = (
         "attempts",
@@ -126,7 +126,7 @@
 
 
 class Attempt:
-    """One send of a call to a box."""
+    """One attempt to run a call on a box."""
 
     __slots__ = ("arrived", "box", "box_epoch", "call", "connected", "ended_ms", "ends_ms", "handshake",
                  "index", "life", "outcome", "over", "sent_ms", "visit")  # fmt: skip
@@ -141,7 +141,7 @@
 
 
 def locate_loss(attempt: Attempt, cut: bool) -> Loss:
-    """Where an attempt hangs that has had no answer: at its box, or at one that its box has called."""
+    """Return where an unanswered attempt is stuck: at its box, or at a box that its box has called."""
     visit, box = attempt.visit, attempt.box
     if cut or box.silent or box.epoch != attempt.box_epoch:
         return Loss(box.number, LossCause.SILENT)
@@ -151,8 +151,8 @@
         return Loss(box.number, LossCause.QUEUED)
     inner = visit.call
     if inner is not None and not inner.done:
-        out = next((a for a in inner.attempts if not a.over), None)
-        if out is not None:
-            return locate_loss(out, out.call.balancer.is_cut_from(out.box))
+        in_flight = next((a for a in inner.attempts if not a.over), None)
+        if in_flight is not None:
+            return locate_loss(in_flight, in_flight.call.balancer.is_cut_from(in_flight.box))
         return inner.loss or Loss(box.number + 1, LossCause.ROOM)
     return Loss(box.number, LossCause.WORKING)
--- a/mastturn/emulator/chance.py
+++ b/mastturn/emulator/chance.py
@@ -1,7 +1,8 @@
-"""Random numbers: a stream of its own for each part of the world, all from one seed.
+"""Provides an independent random stream for each component of a simulation, all derived from one seed.
 
-A part's stream is named by its path ("machine", 12), so that another part may draw more, less or not at all
-without moving this one's draws. The name is hashed with CRC-32, which no run or platform changes.
+A component's stream is named by its path ("machine", 12), so that a change in the number of draws of one
+component does not affect the others. The path is hashed with CRC-32, which is stable across runs and
+platforms.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 
 import numpy as np
 
-BLOCK = 256  # draws fetched at once: one draw at a time costs some ten times as much
+BLOCK = 256  # draws fetched at once; single draws cost about ten times as much
 
 Draw = Literal["uniform", "normal"]
 
 
 def generator(seed: int, *path: str | int) -> np.random.Generator:
-    """The random numbers of one part."""
+    """Return the random generator of one component."""
     key = zlib.crc32("/".join(map(str, path)).encode())
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed, spawn_key=(key,))))
 
 
 class Stream:
-    """Single draws from a part's random numbers."""
+    """Draws single values from a component's random generator."""
 
     def __init__(self, seed: int, *path: str | int) -> None:
         self._generator = generator(seed, *path)
@@ -31,33 +32,33 @@
         self._normal: list[float] = []
 
     def uniform(self) -> float:
-        """A number from 0 up to but not including 1."""
+        """Return a uniform draw from [0, 1)."""
         if not self._uniform:
             self._uniform = self._generator.random(BLOCK).tolist()
         return self._uniform.pop()
 
     def normal(self) -> float:
-        """A number around 0 with deviation 1."""
+        """Return a standard normal draw."""
         if not self._normal:
             self._normal = self._generator.standard_normal(BLOCK).tolist()
         return self._normal.pop()
 
     def between(self, low: float, high: float) -> float:
-        """A number from a range, evenly."""
+        """Return a uniform draw from a range."""
         return low + (high - low) * self.uniform()
 
     def factor(self, spread: float) -> float:
-        """A factor around 1, never under a fifth: noise of `spread` on a measure."""
+        """Return a noise factor around 1 with standard deviation `spread`, at least 0.2."""
         return max(1.0 + spread * self.normal(), 0.2)
 
     def below(self, count: int) -> int:
-        """A whole number from 0 up to but not including `count`."""
+        """Return a uniform integer from 0 to `count` - 1."""
         return int(self.uniform() * count)
 
     def order(self, of: int) -> list[int]:
-        """All numbers below `of`, shuffled."""
+        """Return the integers below `of` in random order."""
         return [int(i) for i in self._generator.permutation(of)]
 
     def some(self, count: int, of: int) -> list[int]:
-        """`count` different numbers below `of`, in ascending order."""
+        """Return `count` distinct integers below `of` in ascending order."""
         return sorted(self.order(of)[: max(0, count)])
--- a/mastturn/emulator/clients.py
+++ b/mastturn/emulator/clients.py
@@ -1,9 +1,8 @@
-"""Clients (BRIEF, "What clients do"; WIRE, "Client behaviour"): arrivals drawn ahead, later tries, early
-leaving.
+"""Simulates clients (BRIEF, "What clients do"; WIRE, "Client behaviour"): arrivals, retries, departures.
 
-Arrivals don't wait for answers. A try is given up after a share of the class's deadline; the whole request
-at its deadline. What failed is tried again if its class may repeat, what was refused or met no balancer in
-any case.
+Arrivals are drawn in advance and do not wait for responses (open loop). A try times out after a share of
+the class's deadline, the whole request at its deadline. A failed try is retried only if its class is
+repeatable; a refused try, or one that reached no balancer, is always retried.
 """
 
 from __future__ import annotations
@@ -22,21 +21,21 @@
 from mastturn.emulator.network import Network
 from mastturn.emulator.watch import Trace
 
-TENANT_BURST_MS = 2_000.0  # of its rate, that a tenant may use at once before it counts as over its share
-UNREACHED_MS = 1.0  # until a client knows that its connection was refused
-BURST_STEPS_MS = (3_000.0, 8_000.0)  # how long a bursty day keeps one rate
-MIN_RETRY_MS = 20.0  # a client with less time than this does not try again
+TENANT_BURST_MS = 2_000.0  # burst of a tenant, in ms of its rate, before it counts as over its share
+UNREACHED_MS = 1.0  # until a client detects a refused connection
+BURST_STEPS_MS = (3_000.0, 8_000.0)  # duration of one rate on a bursty day
+MIN_RETRY_MS = 20.0  # a client with less time left does not retry
 
 
 class RateWindow:
-    """A stretch of the day in which clients come at another rate."""
+    """A time window in which the arrival rate is multiplied by a factor."""
 
     def __init__(self, start_ms: float, end_ms: float, factor: float, zone: int | None = None) -> None:
         self.start_ms, self.end_ms, self.factor, self.zone = start_ms, end_ms, factor, zone
 
 
 class ClientEnvironment(Protocol):
-    """What clients need of the world."""
+    """The parts of the world that clients use."""
 
     day: Day
     events: Events
@@ -46,21 +45,21 @@
     watch: Trace | None
 
     def next_number(self) -> int:
-        """A number for a request."""
+        """Return a new request number."""
 
 
 class Clients:
-    """All clients of a day."""
+    """Simulates all clients of a day."""
 
     def __init__(self, world: ClientEnvironment, windows: list[RateWindow]) -> None:
         self._world = world
         self._chance = Stream(world.day.seed, "clients")
         self._firsts = draw_arrivals(world.day, windows)
         self._next = 0
-        self.leave_share = 0.0  # set by a trouble: clients that give up early
+        self.leave_share = 0.0  # share of clients that give up early; set by a trouble
 
     def begin(self) -> None:
-        """Come one after another."""
+        """Schedule the first arrival; each arrival schedules the next."""
         if self._firsts:
             self._world.events.at(self._firsts[0].arrived_ms, self._arrive)
 
@@ -80,9 +79,9 @@
         world = self._world
         now = world.events.now
         client_request.tries += 1
-        left = client_request.arrived_ms + client_request.cls.deadline_ms - now
-        remaining = min(world.day.clients.try_share * client_request.cls.deadline_ms, left)
-        balancer = world.front.pick(client_request.zone)
+        time_left_ms = client_request.arrived_ms + client_request.cls.deadline_ms - now
+        remaining = min(world.day.clients.try_share * client_request.cls.deadline_ms, time_left_ms)
+        balancer = world.front.select(client_request.zone)
         if balancer is None or (not balancer.alive):
             client_request.loss = Loss(0, LossCause.BALANCER_DIED)
             world.judge.counts["unreached by clients"] += 1
@@ -100,7 +99,7 @@
             call.balancer.on_client_left(call)
 
     def on_final_outcome(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
-        """A balancer's answer is on its way to the client."""
+        """Schedule the delivery of a balancer's response to the client."""
         client_request = call.client_request
         if client_request.loss is not None and client_request.loss.cause is LossCause.LEFT:
             return
@@ -124,23 +123,23 @@
             if not is_served(client_request):
                 client_request.loss = Loss(0, LossCause.ON_THE_WAY)
             return
-        figures = world.day.clients
+        parameters = world.day.clients
         harmless = final in (FinalOutcome.REFUSED, FinalOutcome.UNREACHED) or not client_request.cls.once
-        if not harmless or client_request.tries > figures.retries:
+        if not harmless or client_request.tries > parameters.retries:
             return
-        wait = figures.backoff_ms
+        wait = parameters.backoff_ms
         if final is FinalOutcome.REFUSED and client_request.honours_retry_after:
-            wait = max(wait, min(retry_after_ms, figures.max_retry_after_ms))
+            wait = max(wait, min(retry_after_ms, parameters.max_retry_after_ms))
         if now + wait < client_request.arrived_ms + client_request.cls.deadline_ms - MIN_RETRY_MS:
             world.judge.counts["later tries"] += 1
             world.events.after(wait, self._try, client_request)
 
 
-# ---- what is drawn ahead ---------------------------------------------------------------------------
+# ---- arrivals drawn in advance -----------------------------------------------------------------------
 
 
 def draw_arrivals(day: Day, windows: list[RateWindow]) -> list[ClientRequest]:
-    """All first tries of a day, in order; each figure has random numbers of its own."""
+    """Return all client requests of a day by arrival time; each attribute has its own random stream."""
     seed, length = day.seed, day.fleet.length_ms
     times, zones = _times(day, windows, generator(seed, "arrivals"))
     count = len(times)
@@ -151,15 +150,17 @@
     leaving = generator(seed, "leaving")
     leaves = leaving.random(count) < day.clients.impatient_share
     patience = leaving.uniform(0.1, 0.9, count)
-    means = np.array([tier.calls for tier in day.tiers[1:]])  # each drawn as a whole number beside its mean
+    means = np.array(
+        [tier.calls for tier in day.tiers[1:]]
+    )  # each rounded randomly to an integer next to its mean
     calls = np.maximum(1, np.floor(means + generator(seed, "calls").random((count, len(means)))))
-    over = _over_share(times, brands, [b.quota_per_s for b in day.brands])
+    is_over_share = _over_share(times, brands, [b.quota_per_s for b in day.brands])
     client_requests = []
     for i in range(count):
         cls = day.classes[int(classes[i])]
         arrived = START_MS + float(times[i])
         worth = cls.worth * float(works[i]) / cls.work_ms
-        if over[i]:
+        if is_over_share[i]:
             worth *= day.clients.over_share_worth
         client_requests.append(
             ClientRequest(
@@ -172,7 +173,7 @@
                 work_ms=float(works[i]),
                 honours_retry_after=bool(honours_retry_after[i]),
                 leaves_ms=arrived + cls.aim_ms * float(patience[i]) if leaves[i] else math.inf,
-                over_share=bool(over[i]),
+                over_share=bool(is_over_share[i]),
                 worth=worth,
                 calls=tuple(int(n) for n in calls[i]),
             )
@@ -182,10 +183,10 @@
 
 
 def _times(day: Day, windows: list[RateWindow], chance: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
-    """Moments and zones of a Poisson process whose rate follows the day: more are drawn, then thinned."""
-    length, figures = day.fleet.length_ms, day.clients
-    most = (1.0 + figures.swing) * math.prod(max(w.factor, 1.0) for w in windows)
-    count = int(chance.poisson(day.requests_per_s * most * length / 1000))
+    """Return times and zones of a Poisson process with a varying rate, by thinning."""
+    length, parameters = day.fleet.length_ms, day.clients
+    max_rate = (1.0 + parameters.swing) * math.prod(max(w.factor, 1.0) for w in windows)
+    count = int(chance.poisson(day.requests_per_s * max_rate * length / 1000))
     times = np.sort(chance.uniform(0.0, length, count))
     zones = chance.choice(len(day.network.zones), count, p=list(day.zone_weights))
     rates = _shape(times, day, chance)
@@ -194,51 +195,51 @@
         if window.zone is not None:
             inside &= zones == window.zone % len(day.network.zones)
         rates = np.where(inside, rates * window.factor, rates)
-    kept = chance.random(count) * most < rates
+    kept = chance.random(count) * max_rate < rates
     return times[kept], zones[kept]
 
 
 def _shape(times: np.ndarray, day: Day, chance: np.random.Generator) -> np.ndarray:
-    """The rate at each moment, around 1: a wave, or steps up and down."""
-    figures = day.clients
-    if not figures.bursty:
+    """Return the relative rate at each time, around 1: a sine wave or random steps."""
+    parameters = day.clients
+    if not parameters.bursty:
         phase = chance.uniform(0.0, 2 * math.pi)
-        return np.asarray(1.0 + figures.swing * np.sin(2 * math.pi * times / figures.period_ms + phase))
+        return np.asarray(1.0 + parameters.swing * np.sin(2 * math.pi * times / parameters.period_ms + phase))
     ends, levels, at = [], [], 0.0
     while at < day.fleet.length_ms:
         at += float(chance.uniform(*BURST_STEPS_MS))
         ends.append(at)
-        levels.append(1.0 + figures.swing * float(chance.uniform(-1.0, 1.0)))
+        levels.append(1.0 + parameters.swing * float(chance.uniform(-1.0, 1.0)))
     return np.asarray(np.array(levels)[np.searchsorted(np.array(ends), times, side="right")])
 
 
 def _works(day: Day, which: np.ndarray, chance: np.random.Generator) -> np.ndarray:
-    """The work of each request: the class's mean and deviation by its kind of spread, cut at the most."""
+    """Return the work of each request, drawn from its class's distribution and capped at `most_work`."""
     normals, uniforms = chance.standard_normal(len(which)), chance.random(len(which))
     works = np.empty(len(which))
     for number, cls in enumerate(day.classes):
-        mine = which == number
+        in_class = which == number
         if cls.spread == "pareto":
             shape = 1.0 + math.sqrt(1.0 + 1.0 / cls.variation**2)
             least = cls.work_ms * (shape - 1.0) / shape
-            works[mine] = least * (1.0 - uniforms[mine]) ** (-1.0 / shape)
+            works[in_class] = least * (1.0 - uniforms[in_class]) ** (-1.0 / shape)
         else:
             variance = math.log(1.0 + cls.variation**2)
-            works[mine] = cls.work_ms * np.exp(math.sqrt(variance) * normals[mine] - variance / 2)
-    most = day.site.most_work * np.array([cls.work_ms for cls in day.classes])
-    return np.asarray(np.minimum(works, most[which]))
+            works[in_class] = cls.work_ms * np.exp(math.sqrt(variance) * normals[in_class] - variance / 2)
+    max_rate = day.site.most_work * np.array([cls.work_ms for cls in day.classes])
+    return np.asarray(np.minimum(works, max_rate[which]))
 
 
 def _over_share(times: np.ndarray, brands: np.ndarray, quotas: list[float]) -> list[bool]:
-    """Which requests go beyond their tenant's share, over the whole fleet."""
+    """Return which requests exceed their tenant's quota over the whole fleet."""
     rates = [quota / 1000 for quota in quotas]
     levels = [rate * TENANT_BURST_MS for rate in rates]
-    seen = [0.0] * len(rates)
-    over = []
+    updated_ms = [0.0] * len(rates)
+    is_over_share = []
     for time, brand in zip(times.tolist(), brands.tolist(), strict=True):
         rate = rates[brand]
-        level = min(rate * TENANT_BURST_MS, levels[brand] + (time - seen[brand]) * rate)
-        seen[brand] = time
-        over.append(level < 1.0)
+        level = min(rate * TENANT_BURST_MS, levels[brand] + (time - updated_ms[brand]) * rate)
+        updated_ms[brand] = time
+        is_over_share.append(level < 1.0)
         levels[brand] = level if level < 1.0 else level - 1.0
-    return over
+    return is_over_share
--- a/mastturn/emulator/cold.py
+++ b/mastturn/emulator/cold.py
@@ -1,20 +1,19 @@
-"""A machine that has just started (WIRE, rule 4): how much of its capacity it has, and what makes it fall
-over.
+"""Models a machine that has just started (WIRE, rule 4): its capacity while cold, and its overload.
 
-The rule is a budget over any window: the work sent within it must stay under multiple x present capacity x
-window, with a little slack for chance. A bucket that holds one window's budget and drains at the rate that
-the budget grows overflows if, and only if, some stretch that ends now went over.
+The rule limits the work sent within any window to multiple x present capacity x window, with some tolerance
+for chance. A leaky bucket that holds one window's budget and drains at the rate at which the budget grows
+overflows exactly if some window that ends now exceeded it.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SLACK = 1.1  # of the budget, for chance: one heavy call more than expected is no fault of anybody's
+SLACK = 1.1  # tolerance on the budget: one heavy call more than expected is not a violation
 
 
 def warmth(age_ms: float, cold_from: float, cold_ms: float) -> float:
-    """The share of its capacity that a machine of this age has."""
+    """Return the share of its capacity that a machine of this age has."""
     if age_ms >= cold_ms:
         return 1.0
     return cold_from + (1.0 - cold_from) * max(age_ms, 0.0) / cold_ms
@@ -22,7 +21,7 @@
 
 @dataclass(slots=True)
 class ColdBudget:
-    """What has been sent to one cold machine, in yardstick milliseconds of work."""
+    """Leaky bucket of the work sent to one cold machine, in milliseconds of a reference core."""
 
     multiple: float
     window_ms: float
@@ -32,10 +31,10 @@
     informed_work: float = 0.0
 
     def add_work(self, work_ms: float, sender_told: bool, power: float, now: float) -> bool:
-        """Book work that has reached it; whether it falls over. `power`: work it can do a millisecond."""
+        """Add received work; return whether the budget is exceeded. `power`: work per millisecond."""
         drained = (now - self.seen_ms) * self.multiple * power
         kept = max(0.0, 1.0 - drained / self.level) if self.level > 0 else 0.0
-        # What drains away leaves in the proportions in which it came.
+        # Drained work is removed in proportion from informed and uninformed senders.
         self.total, self.informed_work = (
             self.total * kept + work_ms,
             self.informed_work * kept + work_ms * sender_told,
@@ -45,5 +44,5 @@
         return self.level > SLACK * self.multiple * power * self.window_ms
 
     def informed_share(self) -> float:
-        """The part of the work at hand that came from balancers which had been told of its start."""
+        """Return the share of the current work sent by balancers that knew of the machine's start."""
         return self.informed_work / self.total if self.total else 0.0
--- a/mastturn/emulator/day.py
+++ b/mastturn/emulator/day.py
@@ -1,8 +1,7 @@
-"""One day of a site: every range drawn, every machine named. Frozen; nothing here changes while a day runs.
+"""Draws the parameters of one day from a site's ranges; the result is immutable.
 
-`stretch` makes work, aims and deadlines that much longer, so that a fleet of many machines is asked that
-much less often: real days on many balancers are played thin in the same way (FLEET, "traffic is spread
-thin").
+`stretch` multiplies work, aims and deadlines, so that a fleet of many machines gets proportionally fewer
+requests: real days on many balancers are thinned in the same way (FLEET, "traffic is spread thin").
 """
 
 from __future__ import annotations
@@ -14,26 +13,26 @@
 from mastturn.emulator.chance import Stream
 from mastturn.emulator.site import Clients, Discovery, Kind, Network, Range, RequestKind, Site, Tier, span
 
-_Sampler = Callable[[Range], float]  # draws one figure from a range
+_Sampler = Callable[[Range], float]  # draws one value from a range
 CELL_SIZE = 4  # machines of one cell (site file, `cell_size` 3 to 5)
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """How many of what there are, and how hard they are used."""
+    """Sizes of the fleet and its load."""
 
     balancers_front: int
     machines_front: int
-    load_share: float  # of the capacity of the tier that runs out first
+    load_share: float  # of the capacity of the bottleneck tier
     stretch: float
     length_ms: float
-    uneven: float  # spread of the balancers' parts of the traffic, as the deviation of their logarithm
-    seen: float = 1.0  # the number of balancers that each goes by, as a part of the true one
+    uneven: float  # standard deviation of the log of the balancers' traffic shares
+    seen: float = 1.0  # number of balancers that each assumes, as a share of the true number
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One machine; work is in milliseconds of a yardstick core, `speed` in yardstick cores."""
+    """One machine; work is in milliseconds of a reference core, `speed` in reference cores."""
 
     name: str
     tier: int
@@ -55,8 +54,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChokeFigures:
-    """When a crowded machine turns slower, and when it recovers."""
+class ChokeParameters:
+    """Thresholds at which a crowded machine becomes slower and recovers."""
 
     waiting_per_core: float
     over_ms: float
@@ -68,8 +67,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TierFigures:
-    """What all machines of a tier have in common."""
+class TierParameters:
+    """Parameters shared by all machines of a tier."""
 
     name: str
     work_share: float
@@ -82,11 +81,11 @@
     idle_ms: float
     connect_timeout_ms: float
     full_tax: float
-    choke: ChokeFigures | None
+    choke: ChokeParameters | None
 
 
 @dataclass(frozen=True, slots=True)
-class ClassFigures:
+class ClassParameters:
     """A class of requests."""
 
     name: str
@@ -103,8 +102,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrandFigures:
-    """A tenant; its quota is over all balancers."""
+class BrandParameters:
+    """A tenant; its quota applies to all balancers together."""
 
     name: str
     sent_share: float
@@ -112,8 +111,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientFigures:
-    """What callers do on this day."""
+class ClientParameters:
+    """Client behavior on this day."""
 
     retries: int
     try_share: float
@@ -128,8 +127,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NetworkFigures:
-    """One-way delays."""
+class NetworkParameters:
+    """Network delays, one way."""
 
     zones: tuple[str, ...]
     same_zone_ms: float
@@ -140,8 +139,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiscoveryFigures:
-    """How late the list is."""
+class DiscoveryParameters:
+    """Delays of the server list."""
 
     notice_ms: tuple[float, float]
     silent_notice_ms: tuple[float, float]
@@ -154,25 +153,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """Everything that is drawn before a day begins."""
+    """All parameters drawn before a day begins."""
 
     seed: int
     site: Site
     fleet: Fleet
-    tiers: tuple[TierFigures, ...]
+    tiers: tuple[TierParameters, ...]
     machines: tuple[tuple[Machine, ...], ...]  # for each tier
-    classes: tuple[ClassFigures, ...]
-    brands: tuple[BrandFigures, ...]
-    clients: ClientFigures
-    network: NetworkFigures
-    discovery: DiscoveryFigures
+    classes: tuple[ClassParameters, ...]
+    brands: tuple[BrandParameters, ...]
+    clients: ClientParameters
+    network: NetworkParameters
+    discovery: DiscoveryParameters
     passes_deadline: bool
     zone_weights: tuple[float, ...]
     requests_per_s: float
 
 
 def draw(site: Site, fleet: Fleet, seed: int) -> Day:
-    """Draw a day; each part has random numbers of its own."""
+    """Draw a day from a site; each component has its own random stream."""
     day = Stream(seed, "day")
 
     def sample(value: Range) -> float:
@@ -204,20 +203,20 @@
         machines=machines,
         classes=classes,
         brands=tuple(
-            BrandFigures(b.name, u / sum(usage), quota * b.portion)
+            BrandParameters(b.name, u / sum(usage), quota * b.portion)
             for b, u in zip(site.brands, usage, strict=True)
         ),
-        clients=_client_figures(clients, at_once, sample, day),
-        network=_network_figures(site.network, zones, sample),
-        discovery=_discovery_figures(site.discovery, sample),
+        clients=_client_parameters(clients, at_once, sample, day),
+        network=_network_parameters(site.network, zones, sample),
+        discovery=_discovery_parameters(site.discovery, sample),
         passes_deadline=day.uniform() < site.passes_deadline_share,
         zone_weights=tuple(w / sum(weights) for w in weights),
         requests_per_s=fleet.load_share * capacity,
     )
 
 
-def _client_figures(clients: Clients, at_once: bool, sample: _Sampler, day: Stream) -> ClientFigures:
-    return ClientFigures(
+def _client_parameters(clients: Clients, at_once: bool, sample: _Sampler, day: Stream) -> ClientParameters:
+    return ClientParameters(
         retries=round(sample(clients.retries)),
         try_share=sample(clients.try_share),
         backoff_ms=0.0 if at_once else sample(clients.backoff_ms),
@@ -231,8 +230,8 @@
     )
 
 
-def _network_figures(network: Network, zones: tuple[str, ...], sample: _Sampler) -> NetworkFigures:
-    return NetworkFigures(
+def _network_parameters(network: Network, zones: tuple[str, ...], sample: _Sampler) -> NetworkParameters:
+    return NetworkParameters(
         zones,
         sample(network.same_zone_ms),
         sample(network.cross_zone_ms),
@@ -242,8 +241,8 @@
     )
 
 
-def _discovery_figures(discovery: Discovery, sample: _Sampler) -> DiscoveryFigures:
-    return DiscoveryFigures(
+def _discovery_parameters(discovery: Discovery, sample: _Sampler) -> DiscoveryParameters:
+    return DiscoveryParameters(
         _span_ms(discovery.notice_s),
         _span_ms(discovery.silent_notice_s),
         _span_ms(discovery.add_s),
@@ -259,7 +258,7 @@
     return low * 1000, high * 1000
 
 
-def _classes(site: Site, fleet: Fleet, sample: _Sampler) -> tuple[ClassFigures, ...]:
+def _classes(site: Site, fleet: Fleet, sample: _Sampler) -> tuple[ClassParameters, ...]:
     portions = [sample(cls.portion) for cls in site.classes]
     return tuple(
         _class(cls, portion / sum(portions), fleet.stretch, sample)
@@ -267,8 +266,8 @@
     )
 
 
-def _class(cls: RequestKind, portion: float, stretch: float, sample: _Sampler) -> ClassFigures:
-    return ClassFigures(
+def _class(cls: RequestKind, portion: float, stretch: float, sample: _Sampler) -> ClassParameters:
+    return ClassParameters(
         cls.name,
         portion,
         sample(cls.work_ms) * stretch,
@@ -283,9 +282,9 @@
     )
 
 
-def _tier(tier: Tier, sample: _Sampler, day: Stream) -> TierFigures:
+def _tier(tier: Tier, sample: _Sampler, day: Stream) -> TierParameters:
     choke = tier.choke
-    figures = ChokeFigures(
+    parameters = ChokeParameters(
         sample(choke.waiting_per_core),
         sample(choke.over_s) * 1000,
         sample(choke.slower),
@@ -294,7 +293,7 @@
         sample(choke.most_s) * 1000,
         choke.price,
     )
-    return TierFigures(
+    return TierParameters(
         tier.name,
         tier.work_share,
         sample(tier.calls),
@@ -306,12 +305,12 @@
         tier.connections.idle_s * 1000,
         tier.connections.connect_timeout_ms,
         sample(tier.connections.full_tax_share),
-        figures if day.uniform() < choke.day_share else None,
+        parameters if day.uniform() < choke.day_share else None,
     )
 
 
 def _count(site: Site, tier: int, fleet: Fleet, sample: _Sampler) -> int:
-    """How many machines a tier has; the ratio is drawn for each."""
+    """Return the number of machines of a tier; the ratio is drawn per tier."""
     return max(
         1, round(fleet.machines_front * (sample(site.tiers[tier].machines_per_first) if tier else 1.0))
     )
@@ -320,20 +319,20 @@
 def _machines(tier: Tier, number: int, count: int, zones: tuple[str, ...], seed: int) -> tuple[Machine, ...]:
     stream = Stream(seed, "machines", number)
     portions = [stream.between(*span(kind.portion)) for kind in tier.kinds]
-    figures = [_Kind(kind, stream) for kind in tier.kinds]
+    parameters = [_Kind(kind, stream) for kind in tier.kinds]
     cap = stream.between(*span(tier.connections.cap_per_core))
-    made = []
+    machines = []
     for i in range(count):
-        part = (i + 0.5) / count * sum(portions)  # kinds in their shares exactly, spread over the zones
+        part = (i + 0.5) / count * sum(portions)  # exact shares of the kinds, distributed over the zones
         chosen = 0
         while part > sum(portions[: chosen + 1]):
             chosen += 1
-        made.append(figures[chosen].machine(f"{tier.name}-{i}", number, i, zones, cap, stream))
-    return tuple(made)
+        machines.append(parameters[chosen].machine(f"{tier.name}-{i}", number, i, zones, cap, stream))
+    return tuple(machines)
 
 
 class _Kind:
-    """One kind's own draw of its ranges."""
+    """Values drawn for one kind of machine."""
 
     def __init__(self, kind: Kind, stream: Stream) -> None:
         def sample(value: Range) -> float:
@@ -350,7 +349,7 @@
     def machine(
         self, name: str, tier: int, i: int, zones: tuple[str, ...], cap: float, stream: Stream
     ) -> Machine:
-        """The `i`th machine of its tier, with a speed of its own."""
+        """Return the `i`th machine of its tier, with its own speed."""
         kind = self.kind
         return Machine(
             name,
@@ -375,14 +374,14 @@
 
 def _capacity_per_s(
     machines: tuple[tuple[Machine, ...], ...],
-    tiers: tuple[TierFigures, ...],
-    classes: tuple[ClassFigures, ...],
+    tiers: tuple[TierParameters, ...],
+    classes: tuple[ClassParameters, ...],
 ) -> float:
-    """Requests a second from clients that the tier which runs out first can do (BENCH, "This kind")."""
+    """Return the client requests per second that the bottleneck tier can serve (BENCH, "This kind")."""
     work = sum(c.portion * c.work_ms for c in classes)
     rate, calls = math.inf, 1.0
     for tier, boxes in zip(tiers, machines, strict=True):
         calls *= tier.calls
-        power = sum(m.cores * m.speed for m in boxes)  # yardstick milliseconds a millisecond
+        power = sum(m.cores * m.speed for m in boxes)  # reference-core milliseconds per millisecond
         rate = min(rate, power * 1000 / (tier.work_share * work * calls))
     return rate
--- a/mastturn/emulator/discovery.py
+++ b/mastturn/emulator/discovery.py
@@ -1,10 +1,9 @@
-"""The list of servers (PROTOCOL, "Discovery"; site file, `discovery`): late, pushed in steps, silent at
-times.
+"""Simulates server discovery (PROTOCOL, "Discovery"; site file, `discovery`) with delays and outages.
 
 A registry holds a tier's entries. A change is noticed some time after it happened, published at the next
-step, and reaches each balancer's agent with a delay of its own. While discovery is silent nothing is told
-and a watch fails when its wait is over; what was missed comes afterwards. What has been published counts as
-told at the latest `told_within_ms` later, whether it arrived or not.
+interval, and reaches each balancer's agent with its own delay. During an outage no update is sent and a
+watch fails when its wait ends; missed changes are sent afterwards. Balancers count as informed of a
+published change at the latest `told_within_ms` later, whether it arrived or not.
 """
 
 from __future__ import annotations
@@ -15,15 +14,15 @@
 from typing import Any, Protocol
 
 from mastturn.emulator.chance import Stream
-from mastturn.emulator.day import DiscoveryFigures
+from mastturn.emulator.day import DiscoveryParameters
 from mastturn.emulator.events import Events
 
-ANSWER_MS = 0.3  # of the agent, which is on the balancer's own machine
-LATE_MS = 200.0  # by which a watch that is never answered fails after its wait
+ANSWER_MS = 0.3  # response time of the agent, which runs on the balancer's machine
+LATE_MS = 200.0  # from the end of an unanswered watch's wait to its failure
 
 
 class Phase(enum.Enum):
-    """What the list says of a process."""
+    """State of a process in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One server as the list shows it, and when that was published."""
+    """One server in the list, with the time of its publication."""
 
     server: str
     phase: Phase
@@ -43,12 +42,14 @@
 
 
 class Registry:
-    """One tier's list."""
+    """The server list of one tier."""
 
-    def __init__(self, figures: DiscoveryFigures, events: Events, chance: Stream) -> None:
-        self._figures, self._events, self._chance = figures, events, chance
+    def __init__(self, parameters: DiscoveryParameters, events: Events, chance: Stream) -> None:
+        self._parameters, self._events, self._chance = parameters, events, chance
         self.entries: dict[str, Entry] = {}
-        self._order: dict[str, int] = {}  # of the latest news of each server: news may be noticed out of turn
+        self._order: dict[
+            str, int
+        ] = {}  # number of each server's latest change: changes may be noticed out of order
         self._change_count = 0
         self._changed: dict[str, Entry] = {}
         self._planned = False
@@ -57,11 +58,11 @@
         self.added_delay_ms = 0.0
 
     def set_initial_entries(self, entries: list[Entry]) -> None:
-        """Everything that runs when the day begins."""
+        """Set the servers that run when the day begins."""
         self.entries = {entry.server: entry for entry in entries}
 
     def report_change(self, entry: Entry, wait_ms: tuple[float, float]) -> None:
-        """Something has happened; discovery notices it after a wait drawn from this range."""
+        """Report a change, which discovery notices after a wait drawn from the range `wait_ms`."""
         self._change_count += 1
         wait = self._chance.between(*wait_ms) + self.added_delay_ms
         self._events.after(wait, self._on_noticed, (self._change_count, entry))
@@ -74,7 +75,7 @@
         self._changed[entry.server] = entry
         if not self._planned:
             self._planned = True
-            self._events.after(self._figures.period_ms * self._chance.uniform(), self._publish)
+            self._events.after(self._parameters.period_ms * self._chance.uniform(), self._publish)
 
     def _publish(self, _: Any) -> None:
         now = self._events.now
@@ -87,50 +88,50 @@
         for entry in changed:
             self.entries[entry.server] = entry
         for agent in self.agents:
-            agent.push(changed, self._chance.uniform() * self._figures.spread_ms)
+            agent.push(changed, self._chance.uniform() * self._parameters.spread_ms)
 
     def go_silent(self, until_ms: float) -> None:
-        """Answer nobody until then; open watches fail when their wait is over."""
+        """Stop answering until `until_ms`; open watches fail when their wait ends."""
         self.silent_until = max(self.silent_until, until_ms)
         for agent in self.agents:
-            agent.fail_watch(self._chance.uniform() * self._figures.watch_ms + LATE_MS)
+            agent.fail_watch(self._chance.uniform() * self._parameters.watch_ms + LATE_MS)
 
     @property
     def watch_ms(self) -> float:
-        """How long a call waits for news."""
-        return self._figures.watch_ms
+        """Maximum wait of a watch for changes."""
+        return self._parameters.watch_ms
 
     def known_at_latest_ms(self, entry: Entry) -> float:
-        """The moment from which an entry counts as told."""
-        return entry.published_ms + self._figures.told_within_ms
+        """Return the time from which all balancers count as informed of an entry."""
+        return entry.published_ms + self._parameters.told_within_ms
 
 
 class Listener(Protocol):
-    """The balancer that an agent passes the list on to."""
+    """The balancer that receives the list from an agent."""
 
     def on_list_update(self, entries: tuple[Entry, ...], gone: tuple[Entry, ...], whole: bool) -> None:
-        """News of the list; what is missing from a whole list is gone."""
+        """Handle a list update; servers missing from a whole list are gone."""
 
     def on_list_failed(self) -> None:
-        """A call for the list has failed."""
+        """Handle a failed list request."""
 
 
 class Agent:
-    """What stands beside one balancer and passes the list on."""
+    """The local discovery agent of one balancer, which forwards list updates."""
 
     def __init__(self, registry: Registry, balancer: Listener, events: Events) -> None:
         self._registry, self._balancer, self._events = registry, balancer, events
         self._subscribed = False
-        self._life = 0  # of the balancer: what was on its way to one that has died is gone
+        self._life = 0  # of the balancer: updates in flight to an earlier process are discarded
         registry.agents.append(self)
 
     def reset(self) -> None:
-        """The balancer is a new process."""
+        """Reset the subscription: the balancer is a new process."""
         self._life += 1
         self._subscribed = False
 
     def subscribe(self) -> None:
-        """The balancer asks for the list and for what changes."""
+        """Subscribe the balancer to the list and its changes."""
         silent = self._events.now < self._registry.silent_until
         wait = self._registry.watch_ms + LATE_MS if silent else ANSWER_MS
         self._events.after(wait, self._answer, self._life)
@@ -148,7 +149,7 @@
         self._balancer.on_list_update(entries, gone, whole=True)
 
     def push(self, changed: tuple[Entry, ...], wait_ms: float) -> None:
-        """News for a balancer that watches."""
+        """Send changes to the balancer if it is subscribed."""
         if self._subscribed:
             self._events.after(wait_ms, self._deliver, (self._life, changed))
 
@@ -158,7 +159,7 @@
             self._balancer.on_list_update(changed, (), whole=False)
 
     def fail_watch(self, wait_ms: float) -> None:
-        """Discovery has fallen silent: the open watch fails unless it is back by then."""
+        """Fail the open watch after `wait_ms` unless discovery answers again by then."""
         if self._subscribed:
             self._events.after(wait_ms, self._watch_failed, self._life)
 
--- a/mastturn/emulator/events.py
+++ b/mastturn/emulator/events.py
@@ -1,7 +1,7 @@
-"""Simulated time: what is due, in order.
+"""Implements the simulated clock and its event queue.
 
-Times are milliseconds of one clock. Two events at the same moment happen in the order in which they were
-asked for, so that nothing depends on how a heap or a hash table lays things out.
+Times are milliseconds of one clock. Events at the same time run in the order in which they were scheduled, so
+that the result does not depend on the layout of a heap or hash table.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from heapq import heappop, heappush
 from typing import Any
 
-START_MS = 100_000.0  # where the clock begins: 0 stands for "long ago" in the list of servers
+START_MS = 100_000.0  # initial clock value; 0 means "long ago" in the list of servers
 
 
 class Events:
-    """The queue of events, and the clock that they move."""
+    """Event queue and simulated clock."""
 
     def __init__(self) -> None:
         self.now = START_MS
@@ -23,21 +23,21 @@
         self._sequence = 0
 
     def at(self, when_ms: float, action: Callable[[Any], None], subject: Any = None) -> None:
-        """Do `action(subject)` at a moment; one that is past happens next."""
+        """Schedule `action(subject)` at a time; a time in the past runs next."""
         self._sequence += 1
         heappush(self._queue, (when_ms, self._sequence, action, subject))
 
     def after(self, wait_ms: float, action: Callable[[Any], None], subject: Any = None) -> None:
-        """Do `action(subject)` after a wait."""
+        """Schedule `action(subject)` after a delay."""
         self._sequence += 1
         heappush(self._queue, (self.now + wait_ms, self._sequence, action, subject))
 
     def run(self, until_ms: float) -> None:
-        """Let everything happen that is due before `until_ms`, and end there."""
-        due = self._queue
+        """Run all events due before `until_ms` and set the clock to it."""
+        queue = self._queue
         handled = 0
-        while due and due[0][0] < until_ms:
-            when, _, action, subject = heappop(due)
+        while queue and queue[0][0] < until_ms:
+            when, _, action, subject = heappop(queue)
             if when > self.now:
                 self.now = when
             handled += 1
--- a/mastturn/emulator/front.py
+++ b/mastturn/emulator/front.py
@@ -1,7 +1,8 @@
-"""The plain front (BRIEF, PROTOCOL): it spreads clients over the balancers of their zone, as far as it knows.
+"""Simulates the front proxy (BRIEF, PROTOCOL), which spreads clients over the balancers of their zone.
 
-It admits a balancer once it is ready, and learns some seconds late that one has died; clients that it still
-sends there find nobody. Some balancers get several times the mean: their clients' connections are not alike.
+It admits a balancer once it is ready and detects a dead one some seconds late; until then clients routed
+there fail to connect. Some balancers get several times the mean load, because their clients' connections
+differ.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from mastturn.emulator.events import Events
 from mastturn.emulator.host import Balancer
 
-READY_MS = 300.0  # from a balancer's start until the front sends it clients
+READY_MS = 300.0  # from a balancer's start until the front routes clients to it
 
 
 class Front:
-    """Which balancer a client of a zone is connected to."""
+    """Routes clients of a zone to a balancer."""
 
     def __init__(self, balancers: list[Balancer], uneven: float, chance: Stream) -> None:
         self._balancers, self._chance = balancers, chance
@@ -27,19 +28,19 @@
         self._by_zone: dict[str, tuple[list[int], list[float]]] = {}
 
     def admit(self, balancer: Balancer) -> None:
-        """It is ready."""
+        """Route clients to a balancer that is ready."""
         self._set(balancer, True)
 
     def remove(self, balancer: Balancer) -> None:
-        """It is known to be gone, or to be leaving."""
+        """Stop routing clients to a balancer that is down or draining."""
         self._set(balancer, False)
 
     def _set(self, balancer: Balancer, known: bool) -> None:
         self._known[balancer.number] = known
         self._by_zone.clear()
 
-    def pick(self, zone: str) -> Balancer | None:
-        """A balancer of the zone, of any zone if it has none, or nobody."""
+    def select(self, zone: str) -> Balancer | None:
+        """Select a balancer of the zone, of any zone if it has none, or None if there is none."""
         numbers, sums = self._by_zone.get(zone) or self._table(zone)
         if not numbers:
             return None
@@ -55,21 +56,21 @@
 
 
 class Restarts:
-    """Balancers of the front that die and start again; the front knows it some time later."""
+    """Kills and restarts front balancers; the front notices with a delay."""
 
     def __init__(self, front: Front, events: Events, notice_ms: tuple[float, float], chance: Stream) -> None:
-        """`notice_ms`: the least and the most until the front notices that one has died."""
+        """`notice_ms`: minimum and maximum delay until the front notices a dead balancer."""
         self._front, self._events, self._notice_ms, self._chance = front, events, notice_ms, chance
 
     def kill(self, balancer: Balancer) -> None:
-        """Killed; the front learns of it some seconds later."""
+        """Kill a balancer; the front notices some seconds later."""
         if balancer.alive:
             balancer.stop()
             wait = self._chance.between(*self._notice_ms)
             self._events.after(wait, self._on_death_noticed, (balancer, balancer.life))
 
     def start(self, balancer: Balancer) -> None:
-        """It starts again from nothing; the front admits it once it is ready."""
+        """Restart a balancer without state; the front admits it once it is ready."""
         if not balancer.alive:
             balancer.start()
             self._events.after(READY_MS, self._on_ready, (balancer, balancer.life))
--- a/mastturn/emulator/host.py
+++ b/mastturn/emulator/host.py
@@ -1,9 +1,8 @@
-"""One balancer process: an instance of the module, its connections, its calls; it carries out what is
-decided.
+"""Simulates one balancer process: an instance of the module, its connections and its calls.
 
-The stand-in for `passpost`: it sends nothing that the decisions did not ask for, and tells them of each
-attempt's one end. Costs of its own processor time are not modelled; docs/emulator.md says what that leaves
-out.
+It stands in for `passpost`: it sends only what the module decided, and reports the single outcome of each
+attempt to it. The processor time of the balancer itself is not modelled; docs/emulator.md describes the
+effect.
 """
 
 from __future__ import annotations
@@ -24,11 +23,11 @@
 from mastturn.emulator.told import KnownServers
 from mastturn.emulator.watch import Trace
 
-SWEEP_MS = 1_000.0  # how often idle connections are looked at
+SWEEP_MS = 1_000.0  # interval of the sweep for idle connections
 
 
 class BalancerEnvironment(Protocol):
-    """What a balancer's process needs of the world."""
+    """The parts of the world that a balancer uses."""
 
     day: Day
     events: Events
@@ -39,26 +38,26 @@
     boxes: dict[str, Box]
 
     def settings(self, tier: int) -> Any:
-        """What an instance that calls a tier is told."""
+        """Return the settings of an instance that calls a tier."""
 
     def module_seed(self, tier: int, number: int, life: int) -> int:
-        """An instance's own seed."""
+        """Return the seed of an instance."""
 
     def member(self, entry: Entry) -> Any:
-        """A list entry in the words of the module's contract."""
+        """Convert a list entry to the module's contract type."""
 
     def truth(self, server: str) -> BoxState:
-        """The true state of a box."""
+        """Return the true state of a box."""
 
     def deliver_request(self, attempt: Attempt) -> bool:
-        """A request's last byte is at its box; whether it is turned away."""
+        """Deliver a complete request to its box; return whether the box rejects it."""
 
     def reset_wait_ms(self) -> float:
-        """How long a request is under way before its connection breaks."""
+        """Return the time until the connection of a request is reset."""
 
 
 class Balancer:
-    """One balancer, over all the processes that it has had."""
+    """One balancer across its successive processes."""
 
     def __init__(
         self, world: BalancerEnvironment, tier: int, number: int, zone: str, registry: Registry
@@ -87,10 +86,10 @@
         if hasattr(interface, "Probe"):
             self._do[interface.Probe] = self.attempts.probe
 
-    # ---- its process -----------------------------------------------------------------------------
+    # ---- process -----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """A new process, which knows the list as this balancer last had it (DEPLOY, `known`)."""
+        """Start a new process with the balancer's last known server list (DEPLOY, `known`)."""
         world = self.world
         self.life += 1
         self.alive, self.leaving = True, False
@@ -107,7 +106,7 @@
         world.events.after(SWEEP_MS, self._sweep, self.life)
 
     def stop(self) -> None:
-        """Killed: whatever it holds is gone, and its callers' connections are reset."""
+        """Kill the process: its requests are lost and its callers' connections are reset."""
         self.alive = False
         self.life += 1
         calls = list(self.calls.values())
@@ -132,26 +131,26 @@
             self.world.events.after(SWEEP_MS, self._sweep, life)
 
     @property
-    def out(self) -> int:
-        """Attempts that are under way."""
-        return self.attempts.out
+    def in_flight(self) -> int:
+        """Attempts in flight."""
+        return self.attempts.in_flight
 
     def on_response(self, answer: tuple[Attempt, bool, Loss | None, LoadReport | None, float]) -> None:
-        """An upstream's answer has come."""
+        """Handle an upstream's response."""
         self.attempts.on_response(answer)
 
     def on_box_reset(self, attempt: Attempt) -> None:
-        """The box's process has died with the request in it."""
+        """Handle the reset of an attempt whose box's process has ended."""
         self.attempts.on_reset(attempt)
 
     def is_cut_from(self, box: Box) -> bool:
-        """Whether nothing passes between it and a box."""
+        """Whether the network between this balancer and a box is cut."""
         return self.world.network.is_cut(self.zone, box.zone)
 
     # ---- the module ------------------------------------------------------------------------------
 
     def dispatch(self, event: Any) -> None:
-        """Give the module an event and carry out what it returns."""
+        """Pass an event to the decision module and execute the actions that it returns."""
         module = self._module
         if module is None:
             return
@@ -191,24 +190,24 @@
     # ---- the list --------------------------------------------------------------------------------
 
     def on_list_update(self, entries: tuple[Entry, ...], gone: tuple[Entry, ...], whole: bool) -> None:
-        """News of the list; what is missing from a whole list is gone."""
+        """Handle a list update; servers missing from a whole list are gone."""
         self.known_servers.record(entries + gone, self.world.events.now)
         kind = self._interface.ListKind.WHOLE if whole else self._interface.ListKind.CHANGES
         self.dispatch(self._interface.ListUpdate(kind, tuple(map(self.world.member, entries))))
 
     def on_list_failed(self) -> None:
-        """A call for the list has failed."""
+        """Handle a failed list request."""
         self.world.judge.counts["list calls failed"] += 1
         self.dispatch(self._interface.ListUpdate(self._interface.ListKind.FAILED))
 
     def is_start_known(self, box: Box) -> bool:
-        """Whether it has been told, or counts as told, of a box's latest start (WIRE, rule 4)."""
+        """Whether the balancer knows, or counts as knowing, of a box's latest start (WIRE, rule 4)."""
         return self.known_servers.is_start_known(box, self.world.events.now)
 
     # ---- requests --------------------------------------------------------------------------------
 
     def on_request(self, call: Call) -> None:
-        """A request has come in whole."""
+        """Handle a request that has been received completely."""
         world = self.world
         now = world.events.now
         if not self.alive:
@@ -224,9 +223,9 @@
             call.deadline_ms + world.day.site.rules.answer_slack_ms, self._answer_overdue, (self.life, call)
         )
         if world.watch is not None:
-            left = call.deadline_ms - now
+            time_left_ms = call.deadline_ms - now
             world.watch.line(
-                now, client_request, self.name, "", f"request {call.number} taken, {left:.0f} ms left"
+                now, client_request, self.name, "", f"request {call.number} taken, {time_left_ms:.0f} ms left"
             )
         brand = world.day.brands[client_request.brand].name
         self.dispatch(
@@ -236,7 +235,7 @@
         )
 
     def on_client_left(self, call: Call) -> None:
-        """The caller has gone away."""
+        """Handle a caller that has disconnected."""
         if not call.done and self.calls.get(call.number) is call:
             call.done = True
             call.loss = Loss(self.tier, LossCause.LEFT)
@@ -257,19 +256,19 @@
         self.release(call)
 
     def release(self, call: Call) -> None:
-        """Let go of a request that is concluded, once all of its attempts are over."""
+        """Drop a concluded request once all of its attempts have ended."""
         if call.done and all(a.over for a in call.attempts):
             self.calls.pop(call.number, None)
 
     def find_open_call(self, action: Any) -> Call | None:
-        """The request that an action is about, unless it is concluded."""
+        """Return the request that an action refers to, or None if it has been concluded."""
         call = self.calls.get(action.request)
         return None if call is None or call.done else call
 
     def _refuse(self, action: Any) -> None:
         call = self.find_open_call(action)
         if call is None:
-            return  # about something concluded: ignored (WIRE, "Error conditions")
+            return  # actions on a concluded request are ignored (WIRE, "Error conditions")
         if call.client_request.cls.once and may_have_executed(call):
             self.world.judge.record_violation(
                 "duplicate", f"{self.name}: refused {call.number}, which may have run"
--- a/mastturn/emulator/judge.py
+++ b/mastturn/emulator/judge.py
@@ -1,8 +1,8 @@
-"""What counts: the four rules, the worth served, the goal's mix and the prices (BRIEF, "How we count";
-BENCH).
+"""Scores a day by rules, worth served, weighted goal and prices (BRIEF, "How we count"; BENCH).
 
-G is the worth answered within the aim over the worth asked, mixed from the whole day, the worst 10 s, the
-worst class and the worst tenant within its share, less the prices. A broken rule makes the day 0.
+G is the worth answered within the aim over the worth requested, mixed from the whole day, the worst 10 s,
+the worst class and the worst tenant within its share, less the prices. A rule violation makes the score of
+the day 0.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from mastturn.emulator.events import START_MS
 
 RULES = ("lost", "duplicate", "drain", "cold")
-FIRST_COUNTED_MS = 1_000.0  # worth counts from the first second on
+FIRST_COUNTED_MS = 1_000.0  # requests of the first second are not scored
 WINDOW_MS = 10_000.0
 STEP_MS = 1_000.0
-MIN_SHARE = 0.02  # of the worth asked: a class, tenant or window with less says little
-MAX_RECORDED_BREAKS = 20  # broken rules that are kept word by word
+MIN_SHARE = 0.02  # of the requested worth; smaller classes and tenants are too noisy to score
+MAX_RECORDED_BREAKS = 20  # violations whose text is recorded
 
 
 @dataclass(frozen=True, slots=True)
 class Score:
-    """G and what it is made of; all are shares of the worth asked, prices are points taken off."""
+    """G and its components as shares of the requested worth; prices are points deducted."""
 
     g: float
     whole: float
@@ -38,7 +38,7 @@
 
 @dataclass
 class Judge:
-    """Counts while a day runs, and judges it when it is over."""
+    """Collects the counts of a day for its score."""
 
     tiers: int
     client_requests: list[ClientRequest] = field(default_factory=list)
@@ -54,25 +54,25 @@
         self.ended: list[Counter[FinalOutcome]] = [Counter() for _ in range(self.tiers)]
 
     def record_violation(self, rule: str, words: str) -> None:
-        """A rule has been broken."""
+        """Count a rule violation and record its text."""
         self.rules[rule] += 1
         if len(self.breaks) < MAX_RECORDED_BREAKS:
             self.breaks.append(f"{rule}: {words}")
 
     def record_send(self, tier: int, crosses: bool, again: bool) -> None:
-        """An attempt goes out."""
+        """Count an attempt that is sent."""
         self.sends[tier] += 1
         self.crossings[tier] += crosses
         self.retries[tier] += again
 
 
 def is_served(first: ClientRequest) -> bool:
-    """Whether a client's first try, or a later one of the same, was answered within its aim."""
+    """Whether some try of a client request was answered within its aim."""
     return 0 <= first.served_ms <= first.arrived_ms + first.cls.aim_ms
 
 
 def counted_requests(client_requests: list[ClientRequest]) -> list[ClientRequest]:
-    """The first tries that count: from the first second on, and not those whose client left early."""
+    """Return the scored requests: none of the first second and none whose client left early."""
     start = START_MS + FIRST_COUNTED_MS
     return [
         f
@@ -81,46 +81,46 @@
     ]
 
 
-def _ratio(served: float, asked: float) -> float:
-    return served / asked if asked > 0 else 1.0
+def _ratio(served: float, requested: float) -> float:
+    return served / requested if requested > 0 else 1.0
 
 
-def _worst_of(keys: np.ndarray, served: np.ndarray, asked: np.ndarray) -> float:
-    """The least share served of any group that asked for enough."""
+def _worst_of(keys: np.ndarray, served: np.ndarray, requested: np.ndarray) -> float:
+    """Return the lowest served share of any group with enough requested worth."""
     if not len(keys):
         return 1.0
     groups = int(keys.max()) + 1
-    of = np.bincount(keys, weights=asked, minlength=groups)
-    had = np.bincount(keys, weights=served, minlength=groups)
-    enough = of >= MIN_SHARE * asked.sum()
-    return float((had[enough] / of[enough]).min()) if enough.any() else 1.0
+    requested_sums = np.bincount(keys, weights=requested, minlength=groups)
+    served_sums = np.bincount(keys, weights=served, minlength=groups)
+    enough = requested_sums >= MIN_SHARE * requested.sum()
+    return float((served_sums[enough] / requested_sums[enough]).min()) if enough.any() else 1.0
 
 
-def _worst_window(times: np.ndarray, served: np.ndarray, asked: np.ndarray) -> float:
+def _worst_window(times: np.ndarray, served: np.ndarray, requested: np.ndarray) -> float:
     if not len(times):
         return 1.0
     steps = ((times - times.min()) // STEP_MS).astype(int)
     width = min(round(WINDOW_MS / STEP_MS), int(steps.max()) + 1)
     ones = np.ones(width)
-    of = np.convolve(np.bincount(steps, weights=asked), ones, "valid")
-    had = np.convolve(np.bincount(steps, weights=served), ones, "valid")
-    enough = of > 0
-    return float((had[enough] / of[enough]).min()) if enough.any() else 1.0
+    requested_sums = np.convolve(np.bincount(steps, weights=requested), ones, "valid")
+    served_sums = np.convolve(np.bincount(steps, weights=served), ones, "valid")
+    enough = requested_sums > 0
+    return float((served_sums[enough] / requested_sums[enough]).min()) if enough.any() else 1.0
 
 
 def parts(day: Day, judge: Judge, work_done_ms: float, choked_share: float) -> Score:
-    """G, its parts and its prices."""
+    """Compute G, its components and its prices."""
     client_requests = counted_requests(judge.client_requests)
-    asked = np.array([f.worth for f in client_requests])
-    good = np.array([is_served(f) for f in client_requests], dtype=bool)
-    served = asked * good if len(client_requests) else asked
+    requested = np.array([f.worth for f in client_requests])
+    is_served_mask = np.array([is_served(f) for f in client_requests], dtype=bool)
+    served = requested * is_served_mask if len(client_requests) else requested
     times = np.array([f.arrived_ms for f in client_requests])
-    whole = _ratio(float(served.sum()), float(asked.sum()))
-    window = _worst_window(times, served, asked)
-    worst_class = _worst_of(np.array([f.class_number for f in client_requests], dtype=int), served, asked)
+    whole = _ratio(float(served.sum()), float(requested.sum()))
+    window = _worst_window(times, served, requested)
+    worst_class = _worst_of(np.array([f.class_number for f in client_requests], dtype=int), served, requested)
     within = np.array([not f.over_share for f in client_requests], dtype=bool)
     brands = np.array([f.brand for f in client_requests], dtype=int)
-    tenant = _worst_of(brands[within], served[within], asked[within]) if len(client_requests) else 1.0
+    tenant = _worst_of(brands[within], served[within], requested[within]) if len(client_requests) else 1.0
     goal = day.site.goal
     mix = (
         goal.whole * whole
@@ -128,7 +128,7 @@
         + goal.worst_class * worst_class
         + goal.worst_tenant * tenant
     )
-    prices = _prices(day, judge, client_requests, float(asked.sum()), work_done_ms, choked_share)
+    prices = _prices(day, judge, client_requests, float(requested.sum()), work_done_ms, choked_share)
     g = 0.0 if sum(judge.rules.values()) else max(mix - sum(prices.values()), 0.0)
     return Score(g, whole, window, worst_class, tenant, prices)
 
@@ -137,7 +137,7 @@
     day: Day,
     judge: Judge,
     client_requests: list[ClientRequest],
-    asked: float,
+    requested: float,
     work_done_ms: float,
     choked_share: float,
 ) -> dict[str, float]:
@@ -157,6 +157,6 @@
         "waste": prices.waste * _ratio(max(work_done_ms - useful, 0.0), offered) if offered else 0.0,
         "handshake": prices.handshake * sum(judge.handshakes) / tries,
         "probe": prices.probe * judge.counts["probes"] / tries,
-        "late_fail": prices.late_fail * _ratio(late, asked) if asked else 0.0,
+        "late_fail": prices.late_fail * _ratio(late, requested) if requested else 0.0,
         "choke": choke * choked_share,
     }
--- a/mastturn/emulator/listing.py
+++ b/mastturn/emulator/listing.py
@@ -1,9 +1,8 @@
-"""The list service in simulated time: the cores of `fleet.registry`, messages with delays and loss between
-them.
+"""Simulates the list service: the cores of `fleet.registry`, with message delays and loss between them.
 
-What is measured is how long a change takes from its replica to each agent. A message takes `delay_ms` and up
-to as much again; one that is lost is missed by whoever waits for its answer, who gives up `ANSWER_MS` after
-the wait that was asked for. Processor time is not modelled: `mastturn bench registry` measures that.
+It measures how long a change takes from its replica to each agent. A message takes `delay_ms` to twice
+that. If one is lost, the requester times out `RESPONSE_TIMEOUT_MS` after the wait that it asked for.
+Processor time is not modelled; `mastturn bench registry` measures it.
 """
 
 from __future__ import annotations
@@ -18,17 +17,17 @@
 from mastturn.emulator.chance import Stream
 from mastturn.emulator.events import START_MS, Events
 
-ANSWER_MS = 2_000.0
-WAKE_MS = 20.0  # after news, changes within so long are told together, as `mastturn.registry` does
+RESPONSE_TIMEOUT_MS = 2_000.0
+BATCH_MS = 20.0  # changes within this time are sent together, as `mastturn.registry` does
 PEER_WAIT_MS = 1_000.0
 PEER_PAUSE_MS = (100.0, 1_000.0)
-SETTLE_MS = 15_000.0  # after the last change, until what is not told counts as missing
+SETTLE_MS = 15_000.0  # after the last change; what is not delivered by then counts as missing
 START_S = 1_700_000_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """One run: sizes, the network, and how often something changes."""
+    """Parameters of one run: sizes, network and rate of changes."""
 
     replicas: int = 3
     agents: int = 200
@@ -42,38 +41,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of it: waits in ms of every change at every agent, those never told, messages by kind."""
+    """Result: delay in ms of every change at every agent, undelivered changes, messages by kind."""
 
     waits_ms: list[float]
     missing: int
-    differing: int  # agents whose list is another than the replicas' at the end
+    differing: int  # agents whose list differs from the replicas' at the end
     messages: dict[str, int]
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A watch at a replica."""
+class _Watch:
+    """A long-poll request at a replica."""
 
     reader: Any
     after: int | None
     ends_ms: float
     peer: str = ""
-    over: bool = False
+    is_done: bool = False
 
 
 @dataclass
-class _World:
+class _Simulation:
     setup: Setup
     events: Events = field(default_factory=Events)
     messages: Counter[str] = field(default_factory=Counter)
-    begun: dict[tuple[str, int], float] = field(default_factory=dict)
+    change_started_ms: dict[tuple[str, int], float] = field(default_factory=dict)
     waits: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.chance = Stream(self.setup.seed, "list service")
 
     def send(self, kind: str, action: Any, subject: Any) -> None:
-        """One message, if it is not lost."""
+        """Send a message, which may be lost."""
         self.messages[kind] += 1
         if self.setup.loss and self.chance.uniform() < self.setup.loss:
             return
@@ -81,165 +80,184 @@
 
 
 class _Replica:
-    """Hosts one replica's decisions: readers' watches, its peers' logs, its timer."""
+    """Runs the core of one replica with its readers' watches, its peers' logs and its timer."""
 
-    def __init__(self, world: _World, name: str, names: list[str]) -> None:
-        self._world, self.name = world, name
+    def __init__(self, simulation: _Simulation, name: str, names: list[str]) -> None:
+        self._simulation, self.name = simulation, name
         self._peers = [other for other in names if other != name]
         settings = replica.Settings(name, tuple(self._peers))
-        self.core = replica.Replica(settings, START_S, world.events.now)
-        self.others: dict[str, _Replica] = {}
-        self._waiting: list[_Waiting] = []
-        self._waking, self._woken = False, -WAKE_MS
-        self._asked = 0
+        self.core = replica.Replica(settings, START_S, simulation.events.now)
+        self.replicas_by_name: dict[str, _Replica] = {}
+        self._watches: list[_Watch] = []
+        self._wake_scheduled, self._last_wake_ms = False, -BATCH_MS
+        self._request_count = 0
 
     def begin(self) -> None:
-        """Follow the peers."""
-        self.do(replica.TimeDue())
+        """Start the timer and replication from the peers."""
+        self.handle_event(replica.TimeDue())
         for peer in self._peers:
-            self._ask_peer(peer)
+            self._fetch_from_peer(peer)
 
-    def do(self, event: replica.Event) -> None:
-        """Give the decisions an event."""
-        events = self._world.events
+    def handle_event(self, event: replica.Event) -> None:
+        """Pass an event to the core and execute its actions."""
+        events = self._simulation.events
         for action in self.core.handle(event, events.now):
-            if isinstance(action, replica.ListsChanged) and not self._waking:
-                self._waking = True
-                events.at(max(self._woken + WAKE_MS, events.now), self._wake)
+            if isinstance(action, replica.ListsChanged) and not self._wake_scheduled:
+                self._wake_scheduled = True
+                events.at(max(self._last_wake_ms + BATCH_MS, events.now), self._answer_watches)
             elif isinstance(action, replica.SetTimer) and isinstance(event, replica.TimeDue):
-                events.at(action.at_ms, lambda _: self.do(replica.TimeDue()))
+                events.at(action.at_ms, lambda _: self.handle_event(replica.TimeDue()))
 
-    def _wake(self, _: Any) -> None:
-        self._waking, self._woken = False, self._world.events.now
-        waiting, self._waiting = self._waiting, []
-        for watch in waiting:
+    def _answer_watches(self, _: Any) -> None:
+        self._wake_scheduled, self._last_wake_ms = False, self._simulation.events.now
+        watches, self._watches = self._watches, []
+        for watch in watches:
             self._answer(watch, final=False)
 
-    def asked(self, watch: _Waiting) -> None:
-        """A reader's or a peer's question has come."""
+    def on_request(self, watch: _Watch) -> None:
+        """Handle a request of a reader or a peer."""
         if watch.peer and watch.after is not None:
-            self.do(replica.PeerRequest(watch.peer, watch.after))
-        self._answer(watch, final=watch.after is None or watch.ends_ms <= self._world.events.now)
+            self.handle_event(replica.PeerRequest(watch.peer, watch.after))
+        self._answer(watch, final=watch.after is None or watch.ends_ms <= self._simulation.events.now)
 
-    def _answer(self, watch: _Waiting, final: bool) -> None:
-        if watch.over:
+    def _answer(self, watch: _Watch, final: bool) -> None:
+        if watch.is_done:
             return
         changes = self.core.history.changes_since(watch.after)
         if changes.is_full or changes.entries or final:
-            watch.over = True
-            self._world.send("answers", watch.reader, (self, changes, self.core.version_vector()))
+            watch.is_done = True
+            self._simulation.send("answers", watch.reader, (self, changes, self.core.version_vector()))
             return
-        self._waiting.append(watch)
-        self._world.events.at(watch.ends_ms, partial(self._ended, watch))
+        self._watches.append(watch)
+        self._simulation.events.at(watch.ends_ms, partial(self._on_watch_expired, watch))
 
-    def _ended(self, watch: _Waiting, _: Any) -> None:
-        if not watch.over:
-            if watch in self._waiting:
-                self._waiting.remove(watch)
+    def _on_watch_expired(self, watch: _Watch, _: Any) -> None:
+        if not watch.is_done:
+            if watch in self._watches:
+                self._watches.remove(watch)
             self._answer(watch, final=True)
 
     # ---- as a reader of its peers ----------------------------------------------------------------
 
-    def _ask_peer(self, peer: str) -> None:
-        world = self._world
-        call = _Call(world, PEER_WAIT_MS + ANSWER_MS, partial(self._told, peer), partial(self._lost, peer))
-        watch = _Waiting(call.answer, self.core.seen.get(peer), world.events.now + PEER_WAIT_MS, self.name)
-        world.send("questions of peers", self.others[peer].asked, watch)
-
-    def _told(self, peer: str, answer: tuple[_Replica, Any, dict[str, int]]) -> None:
+    def _fetch_from_peer(self, peer: str) -> None:
+        simulation = self._simulation
+        request = _PendingRequest(
+            simulation,
+            PEER_WAIT_MS + RESPONSE_TIMEOUT_MS,
+            partial(self._on_response, peer),
+            partial(self._on_failure, peer),
+        )
+        watch = _Watch(
+            request.answer, self.core.seen.get(peer), simulation.events.now + PEER_WAIT_MS, self.name
+        )
+        simulation.send("questions of peers", self.replicas_by_name[peer].on_request, watch)
+
+    def _on_response(self, peer: str, answer: tuple[_Replica, Any, dict[str, int]]) -> None:
         source, changes, seen = answer
-        leases = source.core.lease_counts(self._world.events.now)
-        self.do(replica.PeerResponse(peer, changes, seen, *leases))
-        self._ask_peer(peer)
+        leases = source.core.lease_counts(self._simulation.events.now)
+        self.handle_event(replica.PeerResponse(peer, changes, seen, *leases))
+        self._fetch_from_peer(peer)
 
-    def _lost(self, peer: str) -> None:
-        wait = self._world.chance.between(*PEER_PAUSE_MS)
-        self._world.events.after(wait, lambda _: self._ask_peer(peer))
+    def _on_failure(self, peer: str) -> None:
+        wait = self._simulation.chance.between(*PEER_PAUSE_MS)
+        self._simulation.events.after(wait, lambda _: self._fetch_from_peer(peer))
 
 
-class _Call:
-    """A question that is out: its answer, or its time-out, whichever is first."""
+class _PendingRequest:
+    """A pending request, completed by its response or its time-out, whichever comes first."""
 
-    def __init__(self, world: _World, within_ms: float, told: Any, lost: Any) -> None:
-        self._told, self._lost, self._over = told, lost, False
-        world.events.after(within_ms, self._late)
+    def __init__(self, simulation: _Simulation, within_ms: float, on_response: Any, on_failure: Any) -> None:
+        self._on_response, self._on_failure, self._is_done = on_response, on_failure, False
+        simulation.events.after(within_ms, self._on_timeout)
 
     def answer(self, subject: Any) -> None:
-        """It has been answered."""
-        if not self._over:
-            self._over = True
-            self._told(subject)
+        """Complete the request with a response."""
+        if not self._is_done:
+            self._is_done = True
+            self._on_response(subject)
 
-    def _late(self, _: Any) -> None:
-        if not self._over:
-            self._over = True
-            self._lost()
+    def _on_timeout(self, _: Any) -> None:
+        if not self._is_done:
+            self._is_done = True
+            self._on_failure()
 
 
 class _Agent:
-    """Hosts one agent's decisions."""
+    """Runs the core of one agent."""
 
-    def __init__(self, world: _World, number: int, replicas: dict[str, _Replica]) -> None:
-        self._world, self._replicas = world, replicas
-        self.core = follower.Follower(tuple(replicas), "", world.setup.seed * 100_003 + number, START_S)
+    def __init__(self, simulation: _Simulation, number: int, replicas: dict[str, _Replica]) -> None:
+        self._simulation, self._replicas = simulation, replicas
+        self.core = follower.Follower(tuple(replicas), "", simulation.setup.seed * 100_003 + number, START_S)
 
-    def do(self, event: follower.Event) -> None:
-        """Give the decisions an event."""
-        world = self._world
-        for action in self.core.handle(event, world.events.now):
+    def handle_event(self, event: follower.Event) -> None:
+        """Pass an event to the core and execute its actions."""
+        simulation = self._simulation
+        for action in self.core.handle(event, simulation.events.now):
             if isinstance(action, follower.FetchList):
-                self._ask(action)
+                self._fetch(action)
             elif isinstance(action, follower.Backoff):
-                world.events.after(action.wait_ms, lambda _: self.do(follower.BackoffElapsed()))
-
-    def _ask(self, ask: follower.FetchList) -> None:
-        world, name = self._world, ask.replica
-        lost = partial(self.do, follower.FetchFailed(name, "no answer"))
-        call = _Call(world, ask.wait_ms + ANSWER_MS, self._told, lost)
-        watch = _Waiting(call.answer, ask.after, world.events.now + ask.wait_ms)
-        world.send("questions of agents", self._replicas[name].asked, watch)
-
-    def _told(self, answer: tuple[_Replica, Any, dict[str, int]]) -> None:
+                simulation.events.after(
+                    action.wait_ms, lambda _: self.handle_event(follower.BackoffElapsed())
+                )
+
+    def _fetch(self, fetch: follower.FetchList) -> None:
+        simulation, name = self._simulation, fetch.replica
+        on_failure = partial(self.handle_event, follower.FetchFailed(name, "no answer"))
+        request = _PendingRequest(
+            simulation, fetch.wait_ms + RESPONSE_TIMEOUT_MS, self._on_response, on_failure
+        )
+        watch = _Watch(request.answer, fetch.after, simulation.events.now + fetch.wait_ms)
+        simulation.send("questions of agents", self._replicas[name].on_request, watch)
+
+    def _on_response(self, answer: tuple[_Replica, Any, dict[str, int]]) -> None:
         source, changes, seen = answer
-        world = self._world
+        simulation = self._simulation
         for entry in changes.entries:
             known = self.core.history.get(entry.key)
-            begun = world.begun.get((entry.id, entry.incarnation))
-            if begun is not None and (known is None or known.incarnation < entry.incarnation):
-                world.waits.append(world.events.now - begun)
-        self.do(follower.ListReceived(source.name, source.name, changes, source.core.history.epoch, seen))
+            change_started_ms = simulation.change_started_ms.get((entry.id, entry.incarnation))
+            if change_started_ms is not None and (known is None or known.incarnation < entry.incarnation):
+                simulation.waits.append(simulation.events.now - change_started_ms)
+        self.handle_event(
+            follower.ListReceived(source.name, source.name, changes, source.core.history.epoch, seen)
+        )
 
 
 def play(setup: Setup) -> Outcome:
-    """Let it run: the list is filled, agents come, changes are made one after another."""
-    world = _World(setup)
+    """Run the simulation: fill the list, start the agents, then apply changes at the given rate."""
+    simulation = _Simulation(setup)
     names = [f"replica-{i}" for i in range(setup.replicas)]
-    replicas = {name: _Replica(world, name, names) for name in names}
-    for one in replicas.values():
-        one.others = replicas
+    replicas = {name: _Replica(simulation, name, names) for name in names}
+    for node in replicas.values():
+        node.replicas_by_name = replicas
     for i in range(setup.entries):
-        replicas[names[0]].do(replica.Put(i, Entry(f"s-{i}", "127.0.0.1:1"), 0))
-    for one in replicas.values():
-        one.begin()
-    agents = [_Agent(world, i, replicas) for i in range(setup.agents)]
+        replicas[names[0]].handle_event(replica.Put(i, Entry(f"s-{i}", "127.0.0.1:1"), 0))
+    for node in replicas.values():
+        node.begin()
+    agents = [_Agent(simulation, i, replicas) for i in range(setup.agents)]
     for agent in agents:
-        world.events.after(1_000.0 + 1_000.0 * world.chance.uniform(), agent.do, follower.Begin())
+        simulation.events.after(
+            1_000.0 + 1_000.0 * simulation.chance.uniform(), agent.handle_event, follower.Begin()
+        )
 
     def change(number: int) -> None:
         id_ = f"s-{number % setup.entries}"
-        world.begun[id_, number] = world.events.now
-        one = replicas[names[world.chance.below(len(names))]]
-        one.do(replica.Put(setup.entries + number, Entry(id_, f"127.0.0.1:{1 + number % 60_000}"), number))
+        simulation.change_started_ms[id_, number] = simulation.events.now
+        node = replicas[names[simulation.chance.below(len(names))]]
+        node.handle_event(
+            replica.Put(setup.entries + number, Entry(id_, f"127.0.0.1:{1 + number % 60_000}"), number)
+        )
 
     count = int(setup.rate_per_s * setup.seconds)
     begin = START_MS + 5_000.0
     for number in range(1, count + 1):
-        world.events.at(begin + 1_000.0 * number / setup.rate_per_s, change, number)
-    world.events.run(begin + 1_000.0 * setup.seconds + SETTLE_MS)
+        simulation.events.at(begin + 1_000.0 * number / setup.rate_per_s, change, number)
+    simulation.events.run(begin + 1_000.0 * setup.seconds + SETTLE_MS)
     lists = [_values(a.core.history.entries()) for a in agents]
-    wanted = _values(replicas[names[0]].core.history.entries())
-    differing = sum(found != wanted for found in lists)
-    return Outcome(world.waits, count * setup.agents - len(world.waits), differing, dict(world.messages))
+    expected = _values(replicas[names[0]].core.history.entries())
+    differing = sum(agent_list != expected for agent_list in lists)
+    return Outcome(
+        simulation.waits, count * setup.agents - len(simulation.waits), differing, dict(simulation.messages)
+    )
 
 
 def _values(entries: Any) -> dict[str, int]:
--- a/mastturn/emulator/machine.py
+++ b/mastturn/emulator/machine.py
@@ -1,8 +1,8 @@
-"""One machine (BENCH, "The world"): cores shared by the requests in its slots, a waiting room, what slows it.
+"""Simulates one machine (BENCH, "The world"): cores shared by the requests in its slots, a queue, slowdowns.
 
-Requests in slots that want a core share the cores evenly, each at most one core's speed. The share that each
-has had is one number for all of them (their common progress), so that a request costs a heap's work, however
-many run. A request keeps its slot while it waits on others and on the next tier.
+Runnable requests in slots share the cores evenly, each at most at one core's speed. The share received so
+far is one number for all of them (their common progress), so that a request costs O(log n) heap operations,
+however many run. A request keeps its slot while it waits on external work and on the next tier.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 from mastturn.emulator.chance import Stream
 from mastturn.emulator.choke import Choke
 from mastturn.emulator.cold import ColdBudget, warmth
-from mastturn.emulator.day import Machine, TierFigures
+from mastturn.emulator.day import Machine, TierParameters
 from mastturn.emulator.events import Events
 from mastturn.emulator.reports import LoadReport, LoadReporter
 
-WARM_STEP_MS = 250.0  # how often a cold machine's speed is brought up to its age
-CHECK_MS = 250.0  # how often a crowded machine is looked at
-DONE = 1e-9  # progress that rounding may leave over
+WARM_STEP_MS = 250.0  # update interval of a cold machine's speed
+CHECK_MS = 250.0  # check interval of a crowded machine
+DONE = 1e-9  # tolerance for rounding of progress
 
 
 class BoxRequest(Protocol):
-    """A request in a box, as the machine knows it."""
+    """A request held by a box."""
 
-    attempt: Any  # whose request it is, for whoever ends it
+    attempt: Any  # the attempt that the request belongs to
 
     def begin(self) -> None:
-        """It has a slot."""
+        """Start the request in a slot."""
 
     def on_work_done(self) -> None:
-        """The work that it gave to the cores is done."""
+        """Handle the completion of the work queued on the cores."""
 
 
 class BalancerHandle(Protocol):
-    """A balancer, as requests and boxes know it; one beside a box starts and stops with its process."""
+    """A balancer as seen by requests and boxes; a box's local balancer starts and stops with the box."""
 
     name: str
     zone: str
@@ -45,53 +45,53 @@
     alive: bool
 
     def start(self) -> None:
-        """A new process."""
+        """Start a new process."""
 
     def stop(self) -> None:
-        """It ends."""
+        """Stop the process."""
 
     def on_request(self, call: Any) -> None:
-        """A request has come in whole."""
+        """Handle a request that has been received completely."""
 
     def on_client_left(self, call: Any) -> None:
-        """The caller has gone away."""
+        """Handle a caller that has disconnected."""
 
     def is_cut_from(self, box: Box) -> bool:
-        """Whether nothing passes between it and a box."""
+        """Whether the network between this balancer and a box is cut."""
 
     def is_start_known(self, box: Box) -> bool:
-        """Whether it has been told of a box's latest start."""
+        """Whether the balancer knows of a box's latest start."""
 
     def on_response(self, answer: Any) -> None:
-        """An upstream's answer has come."""
+        """Handle an upstream's response."""
 
     def on_box_reset(self, attempt: Any) -> None:
-        """The box's process has died with the request in it."""
+        """Handle the reset of an attempt whose box's process has ended."""
 
 
 class Box:
-    """A machine and the process on it."""
-
-    def __init__(self, figures: Machine, tier: TierFigures, events: Events, seed: int) -> None:
-        self.figures, self.tier, self._events = figures, tier, events
-        self.name, self.zone, self.number = figures.name, figures.zone, figures.tier
-        self.chance = Stream(seed, "box", figures.name)
-        self.load_reporter = LoadReporter(tier, Stream(seed, "report", figures.name))
-        self.local_balancer: BalancerHandle | None = None  # the balancer of its own calls, one tier further
+    """A machine and its server process."""
+
+    def __init__(self, parameters: Machine, tier: TierParameters, events: Events, seed: int) -> None:
+        self.parameters, self.tier, self._events = parameters, tier, events
+        self.name, self.zone, self.number = parameters.name, parameters.zone, parameters.tier
+        self.chance = Stream(seed, "box", parameters.name)
+        self.load_reporter = LoadReporter(tier, Stream(seed, "report", parameters.name))
+        self.local_balancer: BalancerHandle | None = None  # balances this box's calls to the next tier
         self.up, self.draining, self.silent, self.fallen = True, False, False, False
-        self.epoch = 0  # counts the processes it has had
+        self.epoch = 0  # number of process restarts
         self.silent_epochs = set[
             int
-        ]()  # those that vanished: nobody was told that their connections are dead
-        self.started_ms = -math.inf  # of the process; long ago
+        ]()  # epochs that ended silently: peers were not notified that their connections are dead
+        self.started_ms = -math.inf  # start time of the process; -inf: long ago
         self.budget: ColdBudget | None = None  # while cold
         self.connections = 0
         self.slots_used = 0
         self.waiting: deque[BoxRequest] = deque()
-        self.inside: dict[BoxRequest, None] = {}  # all that it holds, in the order in which they came
-        # What slows it: factors of its speed, each set by one trouble.
-        self.slower, self.taken, self.errors = 1.0, 0.0, figures.error_share
-        self.pause_ms, self.pause_every_ms = figures.pause_ms, figures.pause_every_ms
+        self.inside: dict[BoxRequest, None] = {}  # all requests held, in arrival order
+        # Factors on the speed, each set by one kind of trouble.
+        self.slower, self.taken, self.errors = 1.0, 0.0, parameters.error_share
+        self.pause_ms, self.pause_every_ms = parameters.pause_ms, parameters.pause_every_ms
         self.pause_grows = True
         self._paused_until = -math.inf
         self.choke = Choke(tier.choke)
@@ -101,37 +101,37 @@
         self.busy_core_ms = self.work_done_ms = 0.0
         self._check_is_due = False
 
-    # ---- what it can do --------------------------------------------------------------------------
+    # ---- capacity --------------------------------------------------------------------------
 
     @property
     def held(self) -> int:
-        """Requests in slots and in the waiting room."""
+        """Number of requests in slots and in the queue."""
         return self.slots_used + len(self.waiting)
 
     @property
     def running(self) -> int:
-        """Requests that want a core now."""
+        """Number of requests that are runnable."""
         return len(self._jobs)
 
     def warmth(self) -> float:
-        """The share of its capacity that it has by its age."""
-        return warmth(self._events.now - self.started_ms, self.figures.cold_from, self.figures.cold_ms)
+        """Return the share of full capacity at the process's present age."""
+        return warmth(self._events.now - self.started_ms, self.parameters.cold_from, self.parameters.cold_ms)
 
     def power(self) -> float:
-        """Work it could do each millisecond at its present warmth, without troubles."""
-        return self.figures.cores * self.figures.speed * self.warmth()
+        """Return the work per millisecond at the present warmth, without troubles."""
+        return self.parameters.cores * self.parameters.speed * self.warmth()
 
     def _core_speed(self) -> float:
-        figures, now = self.figures, self._events.now
+        parameters, now = self.parameters, self._events.now
         if now < self._paused_until:
             return 0.0
-        speed = figures.speed * (1.0 - self.taken) / (self.slower * self.choke.factor())
-        if now - self.started_ms < figures.cold_ms:
+        speed = parameters.speed * (1.0 - self.taken) / (self.slower * self.choke.factor())
+        if now - self.started_ms < parameters.cold_ms:
             speed *= self.warmth()
-        over = self.held - figures.thrash_at
+        over = self.held - parameters.thrash_at
         if over > 0:
-            speed /= 1.0 + figures.thrash * over / figures.cores
-        return speed * (1.0 - self.tier.full_tax * min(self.connections / figures.connection_cap, 1.0))
+            speed /= 1.0 + parameters.thrash * over / parameters.cores
+        return speed * (1.0 - self.tier.full_tax * min(self.connections / parameters.connection_cap, 1.0))
 
     def _advance(self) -> None:
         now = self._events.now
@@ -140,23 +140,23 @@
             jobs = len(self._jobs)
             if jobs:
                 self._progress += gap * self._rate
-                self.busy_core_ms += gap * min(jobs, self.figures.cores)
+                self.busy_core_ms += gap * min(jobs, self.parameters.cores)
                 self.work_done_ms += gap * self._rate * jobs
             self._seen = now
 
     def update_rate(self) -> None:
-        """Bring its progress to now, and take over whatever has changed its speed."""
+        """Advance progress to the present time and recompute the rate."""
         self._advance()
         jobs = len(self._jobs)
         if not jobs:
             return
         speed = self._core_speed()
-        cores = self.figures.cores
+        cores = self.parameters.cores
         self._rate = speed if jobs <= cores else speed * cores / jobs
         if self._rate <= 0:
-            return  # a pause: its end retunes
+            return  # paused: the end of the pause updates the rate
         due = self._events.now + max(self._jobs[0][0] - self._progress, 0.0) / self._rate
-        # An event that is asked for too early looks again; only a sooner one has to be asked for.
+        # An event that fires too early reschedules itself, so only an earlier one must be scheduled.
         if due < self._next_due:
             self._next_due = due
             self._events.at(due, self._work_due, due)
@@ -177,7 +177,7 @@
             visit.on_work_done()
 
     def work(self, visit: BoxRequest, work_ms: float) -> None:
-        """Give a request in a slot so much work on the cores."""
+        """Queue work of a request in a slot on the cores."""
         self._advance()
         self._number_of_jobs += 1
         heappush(self._jobs, (self._progress + work_ms, self._number_of_jobs, visit))
@@ -185,10 +185,10 @@
         self.update_rate()
 
     def _check_crowding(self) -> None:
-        """Watch a crowd: it chokes the machine if it stays."""
-        if self.choke.update(len(self._jobs), self.figures.cores, self._events.now):
+        """Update the choke state, and schedule another check while the machine is crowded."""
+        if self.choke.update(len(self._jobs), self.parameters.cores, self._events.now):
             self.update_rate()
-        crowded = self.choke.is_choked or len(self._jobs) > 2 * self.figures.cores
+        crowded = self.choke.is_choked or len(self._jobs) > 2 * self.parameters.cores
         if crowded and not self._check_is_due:
             self._check_is_due = True
             self._events.after(CHECK_MS, self._recheck_crowding)
@@ -200,15 +200,15 @@
     # ---- requests --------------------------------------------------------------------------------
 
     def admit(self, visit: BoxRequest) -> bool:
-        """Take a request into a slot or the waiting room; false: turned away unseen."""
+        """Accept a request into a slot or the queue; return False if it is rejected."""
         if self.draining or self.fallen:
             return False
-        if self.slots_used < self.figures.slots:
+        if self.slots_used < self.parameters.slots:
             self.slots_used += 1
             self.inside[visit] = None
             visit.begin()
             return True
-        if len(self.waiting) < self.figures.queue:
+        if len(self.waiting) < self.parameters.queue:
             self.inside[visit] = None
             self.waiting.append(visit)
             self.update_rate()
@@ -216,7 +216,7 @@
         return False
 
     def leave(self, visit: BoxRequest) -> None:
-        """A request has left its slot: the oldest that waits takes it."""
+        """Release a request's slot and start the oldest queued request in it."""
         del self.inside[visit]
         self.slots_used -= 1
         if self.waiting:
@@ -226,14 +226,14 @@
             self.update_rate()
 
     def report(self) -> LoadReport | None:
-        """The load report of an answer that it gives now."""
+        """Return the load report to attach to a response."""
         self._advance()
-        return self.load_reporter.read(self._events.now, self.busy_core_ms, self.figures.cores)
+        return self.load_reporter.read(self._events.now, self.busy_core_ms, self.parameters.cores)
 
-    # ---- its process -----------------------------------------------------------------------------
+    # ---- process -----------------------------------------------------------------------------
 
     def stop(self, silent: bool) -> list[BoxRequest]:
-        """The process ends, or the machine vanishes without a word; returns the requests that die with it."""
+        """Stop the process, or the machine silently; return the requests lost with it."""
         self._advance()
         if silent:
             self.silent_epochs.add(self.epoch)
@@ -249,7 +249,7 @@
         return died
 
     def start(self, multiple: float, window_ms: float) -> None:
-        """A new process, cold."""
+        """Start a new, cold process."""
         now = self._events.now
         self.up, self.silent, self.draining, self.fallen = True, False, False, False
         self.started_ms, self._seen = now, now
@@ -261,7 +261,7 @@
         if epoch != self.epoch or not self.up:
             return
         self.update_rate()
-        if self._events.now - self.started_ms < self.figures.cold_ms:
+        if self._events.now - self.started_ms < self.parameters.cold_ms:
             self._events.after(WARM_STEP_MS, self._warm, epoch)
         else:
             self.budget = None
@@ -269,13 +269,13 @@
     # ---- pauses ----------------------------------------------------------------------------------
 
     def plan_pause(self, _: Any = None) -> None:
-        """Stand still now and then, as a collector of garbage makes a program do."""
+        """Schedule the next pause, which models garbage collection."""
         self._events.after(self.pause_every_ms * (0.5 + self.chance.uniform()), self._pause, None)
 
     def _pause(self, _: Any) -> None:
         length = self.pause_ms
         if self.pause_grows:
-            length *= 1.0 + min(len(self._jobs) / self.figures.cores, 1.0)
+            length *= 1.0 + min(len(self._jobs) / self.parameters.cores, 1.0)
         if length > 0 and self.up:
             self._advance()
             self._paused_until = self._events.now + length
--- a/mastturn/emulator/presence.py
+++ b/mastturn/emulator/presence.py
@@ -1,8 +1,8 @@
-"""Membership in simulated time: the cores of `fleet.membership`, and plain heartbeats to all beside them.
+"""Simulates membership: the cores of `fleet.membership`, and all-to-all heartbeats as a baseline.
 
-A message takes `delay_ms` and up to as much again, or is lost. A killed process refuses; one that is stopped,
-or beyond a cut, is silent. Processor time is not modelled; bytes are those of the messages' values with what
-the published form puts around them.
+A message takes `delay_ms` to twice that, or is lost. A killed process refuses connections; one that is
+paused, or beyond a partition, is silent. Processor time is not modelled; bytes are those of the messages'
+values plus the overhead of the published form.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from mastturn.emulator.chance import Stream
 from mastturn.emulator.events import START_MS, Events
 
-ANSWER_MS = 1_000.0  # beyond the wait that was asked for
+RESPONSE_TIMEOUT_MS = 1_000.0  # beyond the requested wait
 HEAD_BYTES, ENTRY_BYTES = (
     120,
     230,
 )  # of a message, and of an entry in it (measured on `mastturn.registry.form`)
 START_S = 1_700_000_000.0
-SETTLE_MS = 5_000.0  # until all know all, before anything is counted
-ONCE_MS = 5_000.0
-GATHER_MS = 20.0  # after news, changes within so long are told together, as on sockets
+SETTLE_MS = 5_000.0  # warm-up until all views are complete, before counting starts
+DEDUPLICATION_MS = 5_000.0
+BATCH_MS = 20.0  # changes within this time are sent together, as on sockets
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """One run. `slow`: the part of the processes that stop for 1 to 5 s, each about every 20 s."""
+    """Parameters of one run. `slow`: the share of processes that pause for 1 to 5 s about every 20 s."""
 
     processes: int = 40
     seconds: float = 60.0
@@ -40,31 +40,33 @@
     loss: float = 0.0
     slow: float = 0.0
     kills: int = 5
-    silent: bool = False  # machines vanish in place of processes that die
-    split_s: float = 0.0  # how long two halves can't reach each other
-    small: float = 0.5  # the smaller part of the split
+    silent: bool = False  # machines fail silently instead of processes being killed
+    split_s: float = 0.0  # duration of a partition into two sides
+    small: float = 0.5  # share of the smaller side
     kind: str = "views"  # or "heartbeats"
     seed: int = 1
 
 
 @dataclass
 class Outcome:
-    """What came of it; spans in ms."""
+    """Result of one run; durations in ms."""
 
-    first_ms: list[float] = field(default_factory=list)  # from a death to the first that says so
-    last_ms: list[float] = field(default_factory=list)  # and to the last
+    first_ms: list[float] = field(default_factory=list)  # from a failure to its first detection
+    last_ms: list[float] = field(default_factory=list)  # from a failure to its last detection
     undetected: int = 0
-    false: int = 0  # live processes that were failed while nothing was cut
-    false_slow: int = 0  # of them, those that stood still at the time or had just done so
-    hours: float = 0.0  # of all processes together
-    messages_s: float = 0.0  # of one process
+    false: int = 0  # live processes declared failed while there was no partition
+    false_slow: int = 0  # of them, those that were paused at the time or shortly before
+    hours: float = 0.0  # process hours in total
+    messages_s: float = 0.0  # messages per process and second
     bytes_s: float = 0.0
-    healed_ms: float | None = None  # from the end of the split to equal views
-    counts: list[tuple[float, int, int]] = field(default_factory=list)  # moment, least, most number
+    healed_ms: float | None = None  # from the end of the partition to equal views
+    counts: list[tuple[float, int, int]] = field(
+        default_factory=list
+    )  # time, minimum and maximum balancer count
 
 
-class _World:
-    """Time, the network and what is counted; hosts know it."""
+class _Simulation:
+    """Shared state of a run: clock, network and counters."""
 
     def __init__(self, setup: Setup) -> None:
         self.setup = setup
@@ -72,319 +74,338 @@
         self.chance = Stream(setup.seed, "membership")
         self.hosts: dict[str, Any] = {}
         self.messages, self.bytes = 0, 0
-        self.cut: frozenset[str] = frozenset()  # these reach each other alone
-        self.died: dict[str, float] = {}
-        self.heard: dict[str, list[float]] = {}
+        self.cut: frozenset[str] = frozenset()  # one side of the partition
+        self.died_ms: dict[str, float] = {}
+        self.detection_delays_ms: dict[str, list[float]] = {}
         self.outcome = Outcome()
-        self.counting = False
-        self.false_until: dict[str, float] = {}  # what all say of one process at about one time counts once
+        self.is_counting = False
+        self.false_until: dict[str, float] = {}  # concurrent false reports of one process count once
 
     def is_cut(self, here: str, there: str) -> bool:
-        """Whether nothing passes between two processes."""
+        """Whether a partition separates two processes."""
         return bool(self.cut) and (here in self.cut) != (there in self.cut)
 
     def send(self, here: str, there: str, size: int, action: Callable[[Any], None], subject: Any) -> None:
-        """One message; it is counted when sent, and may never come."""
-        if self.counting:
+        """Send a message; it is counted when sent and may be lost."""
+        if self.is_counting:
             self.messages += 1
             self.bytes += HEAD_BYTES + size
         if self.is_cut(here, there) or (self.setup.loss and self.chance.uniform() < self.setup.loss):
             return
         self.events.after(self.setup.delay_ms * (1.0 + self.chance.uniform()), action, subject)
 
-    def found(self, name: str) -> None:
-        """Somebody says that `name` has failed."""
-        if name in self.died:
-            self.heard.setdefault(name, []).append(self.events.now - self.died[name])
-        elif self.counting and not self.setup.split_s and self.events.now >= self.false_until.get(name, 0.0):
-            self.false_until[name] = self.events.now + ONCE_MS
+    def record_failure_report(self, name: str) -> None:
+        """Record that some process declared `name` failed."""
+        if name in self.died_ms:
+            self.detection_delays_ms.setdefault(name, []).append(self.events.now - self.died_ms[name])
+        elif (
+            self.is_counting and not self.setup.split_s and self.events.now >= self.false_until.get(name, 0.0)
+        ):
+            self.false_until[name] = self.events.now + DEDUPLICATION_MS
             self.outcome.false += 1
-            self.outcome.false_slow += self.hosts[name].stopped_until > self.events.now - ONCE_MS
+            self.outcome.false_slow += self.hosts[name].paused_until > self.events.now - DEDUPLICATION_MS
 
 
-class _Host:
-    """What every kind of process has: it can die, and stand still."""
+class _Process:
+    """Base class of simulated processes, which can be killed and paused."""
 
-    def __init__(self, world: _World, name: str) -> None:
-        self.world, self.name = world, name
-        self.dead, self.silent, self.stopped_until = False, False, 0.0
+    def __init__(self, simulation: _Simulation, name: str) -> None:
+        self.simulation, self.name = simulation, name
+        self.dead, self.silent, self.paused_until = False, False, 0.0
 
-    def take(self, action: Callable[[Any], None], subject: Any) -> None:
-        """Something has come for this process: now, or when it goes on."""
+    def receive(self, action: Callable[[Any], None], subject: Any) -> None:
+        """Run an action on this process now, or when its pause ends."""
         if self.dead:
             return
-        if self.stopped_until > self.world.events.now:
-            self.world.events.at(self.stopped_until, partial(self.take, action), subject)
+        if self.paused_until > self.simulation.events.now:
+            self.simulation.events.at(self.paused_until, partial(self.receive, action), subject)
         else:
             action(subject)
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Watch:
-    """A question for a view that has no answer yet."""
+    """A pending long-poll request for a view."""
 
-    asker: str
+    requester: str
     after: int | None
-    call: _Call
+    request: _PendingRequest
 
 
-class _Member(_Host):
-    """Hosts one process's decisions."""
+class _MemberProcess(_Process):
+    """Runs the failure detector of one process."""
 
-    def __init__(self, world: _World, name: str, number: int) -> None:
-        super().__init__(world, name)
-        setup = world.setup
+    def __init__(self, simulation: _Simulation, name: str, number: int) -> None:
+        super().__init__(simulation, name)
+        setup = simulation.setup
         settings = Settings(name, "fleet", address(number), suspicion_ms=suspicion_ms(setup.processes))
         self.core = core.Detector(settings, setup.seed * 100_003 + number, 1, START_S)
         self._watches: list[_Watch] = []
-        self._waking, self._woken = False, -GATHER_MS
+        self._wake_scheduled, self._last_wake_ms = False, -BATCH_MS
         self._timer = 0
 
-    def do(self, event: core.Event) -> None:
-        """Give the decisions an event."""
-        events = self.world.events
+    def handle_event(self, event: core.Event) -> None:
+        """Pass an event to the core and execute its actions."""
+        events = self.simulation.events
         for action in self.core.handle(event, events.now):
             match action:
                 case core.Check():
-                    self._check(action)
+                    self._start_check(action)
                 case core.FetchView():
-                    self._ask(action)
+                    self._fetch_view(action)
                 case core.SendEntry(address, entry):
-                    other = self.world.hosts[name_at(address)]
-                    written = partial(other.take, other.written)
-                    self.world.send(self.name, other.name, ENTRY_BYTES, written, entry)
+                    other = self.simulation.hosts[process_name(address)]
+                    on_entry_received = partial(other.receive, other.on_entry_received)
+                    self.simulation.send(self.name, other.name, ENTRY_BYTES, on_entry_received, entry)
                 case core.SetTimer(at):
                     self._timer += 1
-                    events.at(at, partial(self.take, self._due), self._timer)
-                case core.Changed() if not self._waking:
-                    self._waking = True
-                    events.at(max(self._woken + GATHER_MS, events.now), partial(self.take, self._wake))
+                    events.at(at, partial(self.receive, self._on_timer), self._timer)
+                case core.Changed() if not self._wake_scheduled:
+                    self._wake_scheduled = True
+                    events.at(
+                        max(self._last_wake_ms + BATCH_MS, events.now),
+                        partial(self.receive, self._answer_watches),
+                    )
                 case core.Log(text) if " is failed" in text:
-                    self.world.found(text.split()[1])
+                    self.simulation.record_failure_report(text.split()[1])
 
-    def written(self, entry: Entry) -> None:
-        """Another tells us its entry."""
-        self.do(core.EntryReceived(entry))
+    def on_entry_received(self, entry: Entry) -> None:
+        """Handle an entry received from another process."""
+        self.handle_event(core.EntryReceived(entry))
 
-    def _due(self, timer: int) -> None:
+    def _on_timer(self, timer: int) -> None:
         if timer == self._timer:
-            self.do(core.TimeDue())
+            self.handle_event(core.TimeDue())
 
     # ---- checks ----------------------------------------------------------------------------------
 
-    def _check(self, check: core.Check) -> None:
-        world, other = self.world, self.world.hosts[check.name]
-        ended = partial(self.take, lambda found: self.do(core.Checked(check.name, found)))
-        call = _Call(world, check.within_ms, ended, lambda: ended(core.SILENT))
+    def _start_check(self, check: core.Check) -> None:
+        simulation, other = self.simulation, self.simulation.hosts[check.name]
+        on_result = partial(self.receive, lambda found: self.handle_event(core.Checked(check.name, found)))
+        request = _PendingRequest(simulation, check.within_ms, on_result, lambda: on_result(core.SILENT))
 
-        def asked(_: Any) -> None:
+        def on_request(_: Any) -> None:
             if other.dead:
                 if not other.silent:
-                    world.send(other.name, self.name, 0, call.answer, core.REFUSED)
+                    simulation.send(other.name, self.name, 0, request.answer, core.REFUSED)
             else:
-                other.take(lambda _: world.send(other.name, self.name, 0, call.answer, ""), None)
+                other.receive(lambda _: simulation.send(other.name, self.name, 0, request.answer, ""), None)
 
-        world.send(self.name, other.name, 0, asked, None)
+        simulation.send(self.name, other.name, 0, on_request, None)
 
     # ---- views -----------------------------------------------------------------------------------
 
-    def _ask(self, ask: core.FetchView) -> None:
-        world, name = self.world, name_at(ask.host_port)
-        other = world.hosts[name]
-        told = partial(self.take, lambda changes: self.do(core.ViewReceived(ask.host_port, name, changes)))
-        lost = partial(self.take, lambda _: self.do(core.ViewFetchFailed(ask.host_port)))
-        call = _Call(world, ask.wait_ms + ANSWER_MS, told, lambda: lost(None))
-
-        def asked(until: float) -> None:
+    def _fetch_view(self, fetch: core.FetchView) -> None:
+        simulation, name = self.simulation, process_name(fetch.host_port)
+        other = simulation.hosts[name]
+        on_response = partial(
+            self.receive, lambda changes: self.handle_event(core.ViewReceived(fetch.host_port, name, changes))
+        )
+        on_failure = partial(self.receive, lambda _: self.handle_event(core.ViewFetchFailed(fetch.host_port)))
+        request = _PendingRequest(
+            simulation, fetch.wait_ms + RESPONSE_TIMEOUT_MS, on_response, lambda: on_failure(None)
+        )
+
+        def on_request(until: float) -> None:
             if not other.dead:
-                other.take(lambda _: other.watched(_Watch(self.name, ask.after, call), until), None)
+                other.receive(lambda _: other.on_watch(_Watch(self.name, fetch.after, request), until), None)
             elif not other.silent:
-                world.send(name, self.name, 0, lambda _: call.fail(), None)
+                simulation.send(name, self.name, 0, lambda _: request.fail(), None)
 
-        world.send(self.name, name, 0, asked, world.events.now + ask.wait_ms)
+        simulation.send(self.name, name, 0, on_request, simulation.events.now + fetch.wait_ms)
 
-    def watched(self, watch: _Watch, until: float) -> None:
-        """Another asks for our view."""
-        if not self._answer(watch, until <= self.world.events.now):
+    def on_watch(self, watch: _Watch, until: float) -> None:
+        """Handle a request for this process's view."""
+        if not self._answer(watch, until <= self.simulation.events.now):
             self._watches.append(watch)
-            self.world.events.at(until, partial(self.take, self._over), watch)
+            self.simulation.events.at(until, partial(self.receive, self._on_watch_expired), watch)
 
     def _answer(self, watch: _Watch, at_once: bool) -> bool:
         changes = self.core.view.history.changes_since(watch.after)
         if not (changes.is_full or changes.entries or at_once):
             return False
         size = ENTRY_BYTES * len(changes.entries)
-        self.world.send(self.name, watch.asker, size, watch.call.answer, changes)
+        self.simulation.send(self.name, watch.requester, size, watch.request.answer, changes)
         return True
 
-    def _over(self, watch: _Watch) -> None:
+    def _on_watch_expired(self, watch: _Watch) -> None:
         if watch in self._watches:
             self._watches.remove(watch)
             self._answer(watch, True)
 
-    def _wake(self, _: Any) -> None:
-        self._waking, self._woken = False, self.world.events.now
+    def _answer_watches(self, _: Any) -> None:
+        self._wake_scheduled, self._last_wake_ms = False, self.simulation.events.now
         self._watches = [watch for watch in self._watches if not self._answer(watch, False)]
 
     def states(self) -> dict[str, State]:
-        """How it sees the others."""
+        """Return the state of each other process in this process's view."""
         return {name: member.state for name, member in self.core.view.members.items()}
 
 
-class _Call:
-    """A question that is out: its answer, its failure, or its time-out, whichever is first."""
+class _PendingRequest:
+    """A pending request, completed by its response, a failure or its time-out, whichever comes first."""
 
     def __init__(
-        self, world: _World, within_ms: float, told: Callable[[Any], None], lost: Callable[[], None]
+        self,
+        simulation: _Simulation,
+        within_ms: float,
+        on_response: Callable[[Any], None],
+        on_failure: Callable[[], None],
     ) -> None:
-        self._told, self._lost, self._over = told, lost, False
-        world.events.after(within_ms, lambda _: self.fail())
+        self._on_response, self._on_failure, self._is_done = on_response, on_failure, False
+        simulation.events.after(within_ms, lambda _: self.fail())
 
     def answer(self, subject: Any) -> None:
-        """It has been answered."""
-        if not self._over:
-            self._over = True
-            self._told(subject)
+        """Complete the request with a response."""
+        if not self._is_done:
+            self._is_done = True
+            self._on_response(subject)
 
     def fail(self) -> None:
-        """No answer."""
-        if not self._over:
-            self._over = True
-            self._lost()
+        """Complete the request as failed."""
+        if not self._is_done:
+            self._is_done = True
+            self._on_failure()
 
 
-class _Heart(_Host):
-    """The baseline: a heartbeat to all each period; silent for long enough is failed."""
+class _HeartbeatProcess(_Process):
+    """The baseline: sends heartbeats to all each period and fails processes after a silence."""
 
-    def __init__(self, world: _World, name: str, number: int) -> None:
-        super().__init__(world, name)
+    def __init__(self, simulation: _Simulation, name: str, number: int) -> None:
+        super().__init__(simulation, name)
         self.last: dict[str, float] = {}
         self._failed: set[str] = set()
         self._due_at = 0.0
 
     def begin(self, names: list[str]) -> None:
-        """Know all, as from a list."""
-        self.last = {name: self.world.events.now for name in names if name != self.name}
-        self._beat(None)
+        """Start with the full list of processes."""
+        self.last = {name: self.simulation.events.now for name in names if name != self.name}
+        self._send_heartbeats(None)
 
-    def _beat(self, _: Any) -> None:
-        world, now = self.world, self.world.events.now
+    def _send_heartbeats(self, _: Any) -> None:
+        simulation, now = self.simulation, self.simulation.events.now
         for name in self.last:
-            other = world.hosts[name]
-            world.send(self.name, name, 0, partial(other.take, other.beaten), self.name)
-        # The same time to detect as with views: a period for the check, its wait, and the suspicion.
-        longest = suspicion_ms(world.setup.processes) + 2 * PERIOD_MS
+            other = simulation.hosts[name]
+            simulation.send(self.name, name, 0, partial(other.receive, other.on_heartbeat), self.name)
+        # The same detection time as with views: one period for the check, its wait, and the suspicion.
+        longest = suspicion_ms(simulation.setup.processes) + 2 * PERIOD_MS
         for name, last in self.last.items():
             if now - last >= longest and name not in self._failed:
                 self._failed.add(name)
-                world.found(name)
-        world.events.after(PERIOD_MS, partial(self.take, self._beat))
+                simulation.record_failure_report(name)
+        simulation.events.after(PERIOD_MS, partial(self.receive, self._send_heartbeats))
 
-    def beaten(self, name: str) -> None:
-        """Another lives."""
-        self.last[name] = self.world.events.now
+    def on_heartbeat(self, name: str) -> None:
+        """Handle a heartbeat."""
+        self.last[name] = self.simulation.events.now
         self._failed.discard(name)
 
     def states(self) -> dict[str, State]:
-        """How it sees the others."""
+        """Return the state of each other process in this process's view."""
         return {n: State.FAILED if n in self._failed else State.PRESENT for n in self.last}
 
 
 def address(number: int) -> str:
-    """Where a process listens."""
+    """Return the address of a process."""
     return f"10.{number // 65536}.{number // 256 % 256}.{number % 256}:7070"
 
 
-def name_at(host_port: str) -> str:
-    """Whose address it is."""
+def process_name(host_port: str) -> str:
+    """Return the name of the process at an address."""
     a, b, c = (int(part) for part in host_port.partition(":")[0].split(".")[1:])
     return f"b-{a * 65536 + b * 256 + c}"
 
 
 def play(setup: Setup) -> Outcome:
-    """Let all come, then befall them what the setup says."""
-    world = _World(setup)
-    kind: Any = _Member if setup.kind == "views" else _Heart
+    """Run the simulation: start all processes, then apply the faults of the setup."""
+    simulation = _Simulation(setup)
+    kind: Any = _MemberProcess if setup.kind == "views" else _HeartbeatProcess
     names = [f"b-{i}" for i in range(setup.processes)]
     for i, name in enumerate(names):
-        world.hosts[name] = kind(world, name, i)
-    events, chance = world.events, world.chance
-    for i, host in enumerate(world.hosts.values()):
+        simulation.hosts[name] = kind(simulation, name, i)
+    events, chance = simulation.events, simulation.chance
+    for i, host in enumerate(simulation.hosts.values()):
         wait = PERIOD_MS * chance.uniform()
-        if isinstance(host, _Member):
+        if isinstance(host, _MemberProcess):
             seeds = tuple(address(j) for j in range(min(3, setup.processes)) if j != i)
-            events.after(wait, partial(host.take, host.do), core.Begin(seeds))
+            events.after(wait, partial(host.receive, host.handle_event), core.Begin(seeds))
         else:
-            events.after(wait, partial(host.take, host.begin), names)
+            events.after(wait, partial(host.receive, host.begin), names)
     events.run(START_MS + SETTLE_MS)
-    world.counting = True
+    simulation.is_counting = True
     begin, end = events.now, events.now + 1000.0 * setup.seconds
-    _plan(world, names, begin, end)
+    _plan(simulation, names, begin, end)
     events.run(end)
-    return _outcome(world, names, begin)
+    return _outcome(simulation, names, begin)
 
 
-def _plan(world: _World, names: list[str], begin: float, end: float) -> None:
-    setup, chance, events = world.setup, world.chance, world.events
+def _plan(simulation: _Simulation, names: list[str], begin: float, end: float) -> None:
+    setup, chance, events = simulation.setup, simulation.chance, simulation.events
     order = chance.order(len(names))
     for k in range(setup.kills):
-        host = world.hosts[names[order[k]]]
-        events.at(begin + (end - begin) * (k + 0.5) / (setup.kills + 1), partial(_kill, world), host)
+        host = simulation.hosts[names[order[k]]]
+        events.at(begin + (end - begin) * (k + 0.5) / (setup.kills + 1), partial(_kill, simulation), host)
     for name in (names[i] for i in order[setup.kills : setup.kills + round(setup.slow * len(names))]):
-        moment = begin + 20_000.0 * chance.uniform()
-        while moment < end - 10_000.0:
-            events.at(moment, partial(_stop, world, chance.between(1_000.0, 5_000.0)), world.hosts[name])
-            moment += 20_000.0 * (0.5 + chance.uniform())
+        pause_at_ms = begin + 20_000.0 * chance.uniform()
+        while pause_at_ms < end - 10_000.0:
+            events.at(
+                pause_at_ms,
+                partial(_pause, simulation, chance.between(1_000.0, 5_000.0)),
+                simulation.hosts[name],
+            )
+            pause_at_ms += 20_000.0 * (0.5 + chance.uniform())
     if setup.split_s:
-        some = frozenset(names[i] for i in order[: max(round(setup.small * len(names)), 1)])
-        events.at(begin + 5_000.0, lambda _: setattr(world, "cut", some))
-        events.at(begin + 5_000.0 + 1000.0 * setup.split_s, partial(_heal, world))
+        side = frozenset(names[i] for i in order[: max(round(setup.small * len(names)), 1)])
+        events.at(begin + 5_000.0, lambda _: setattr(simulation, "cut", side))
+        events.at(begin + 5_000.0 + 1000.0 * setup.split_s, partial(_heal_partition, simulation))
     if setup.kind == "views":
         for k in range(int(setup.seconds)):
-            events.at(begin + 1000.0 * k, partial(_count, world, begin))
+            events.at(begin + 1000.0 * k, partial(_record_counts, simulation, begin))
 
 
-def _kill(world: _World, host: _Host) -> None:
-    host.dead, host.silent = True, world.setup.silent
-    world.died[host.name] = world.events.now
+def _kill(simulation: _Simulation, host: _Process) -> None:
+    host.dead, host.silent = True, simulation.setup.silent
+    simulation.died_ms[host.name] = simulation.events.now
 
 
-def _stop(world: _World, for_ms: float, host: _Host) -> None:
-    host.stopped_until = world.events.now + for_ms
+def _pause(simulation: _Simulation, for_ms: float, host: _Process) -> None:
+    host.paused_until = simulation.events.now + for_ms
 
 
-def _heal(world: _World, _: Any) -> None:
-    world.cut = frozenset()
-    _until_equal(world, world.events.now)
+def _heal_partition(simulation: _Simulation, _: Any) -> None:
+    simulation.cut = frozenset()
+    _await_equal_views(simulation, simulation.events.now)
 
 
-def _until_equal(world: _World, healed: float) -> None:
-    live = [host.states() for host in world.hosts.values() if not host.dead]
+def _await_equal_views(simulation: _Simulation, healed: float) -> None:
+    live = [host.states() for host in simulation.hosts.values() if not host.dead]
     if all(set(view.values()) == {State.PRESENT} and len(view) >= len(live) - 1 for view in live):
-        world.outcome.healed_ms = world.events.now - healed
+        simulation.outcome.healed_ms = simulation.events.now - healed
     else:
-        world.events.after(100.0, lambda _: _until_equal(world, healed))
+        simulation.events.after(100.0, lambda _: _await_equal_views(simulation, healed))
 
 
-def _count(world: _World, begin: float, _: Any) -> None:
-    now = world.events.now
+def _record_counts(simulation: _Simulation, begin: float, _: Any) -> None:
+    now = simulation.events.now
     numbers = [
-        h.core.balancer_count(now) for h in world.hosts.values() if isinstance(h, _Member) and not h.dead
+        h.core.balancer_count(now)
+        for h in simulation.hosts.values()
+        if isinstance(h, _MemberProcess) and not h.dead
     ]
-    world.outcome.counts.append((now - begin, min(numbers), max(numbers)))
+    simulation.outcome.counts.append((now - begin, min(numbers), max(numbers)))
 
 
-def _outcome(world: _World, names: list[str], begin: float) -> Outcome:
-    outcome, live = world.outcome, [n for n in names if n not in world.died]
-    for name in world.died:
-        heard = world.heard.get(name, [])
-        if len(heard) < len(live) - len(world.died):
+def _outcome(simulation: _Simulation, names: list[str], begin: float) -> Outcome:
+    outcome, live = simulation.outcome, [n for n in names if n not in simulation.died_ms]
+    for name in simulation.died_ms:
+        detection_delays_ms = simulation.detection_delays_ms.get(name, [])
+        if len(detection_delays_ms) < len(live) - len(simulation.died_ms):
             outcome.undetected += 1
-        if heard:
-            outcome.first_ms.append(min(heard))
-            outcome.last_ms.append(max(heard))
-    span_s = (world.events.now - begin) / 1000
+        if detection_delays_ms:
+            outcome.first_ms.append(min(detection_delays_ms))
+            outcome.last_ms.append(max(detection_delays_ms))
+    span_s = (simulation.events.now - begin) / 1000
     outcome.hours = len(live) * span_s / 3600
-    outcome.messages_s = world.messages / len(names) / span_s
-    outcome.bytes_s = world.bytes / len(names) / span_s
+    outcome.messages_s = simulation.messages / len(names) / span_s
+    outcome.bytes_s = simulation.bytes / len(names) / span_s
     return outcome
--- a/mastturn/emulator/record.py
+++ b/mastturn/emulator/record.py
@@ -1,4 +1,4 @@
-"""What is recorded of a day in the emulator: a sample a second, and the whole once it is over."""
+"""Records a simulated day: one sample per second, and the result at its end."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The state once a second, for pictures: calls out to each tier, use of each box's cores."""
+    """State sampled once per second for plots: attempts in flight per tier, core utilization per box."""
 
     at_ms: float
-    out: tuple[int, ...]
-    util: tuple[float, ...]  # in the order of `Played.box_names`
+    in_flight: tuple[int, ...]
+    util: tuple[float, ...]  # in the order of `DayResult.box_names`
 
 
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """A day that is over."""
+    """The result of a simulated day."""
 
     day: Day
     judge: Judge
@@ -45,7 +45,7 @@
 
 
 class Recorder:
-    """Samples the fleet while the day is played, and sums it up."""
+    """Samples the fleet during a day and builds its result."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         balancers: Sequence[Sequence[Balancer]],
         marks: list[Mark],
     ) -> None:
-        """`marks`: the troubles of the day, which may still be added to."""
+        """`marks`: the troubles of the day; entries may be added later."""
         self._events, self._boxes, self._balancers, self._marks = events, boxes, balancers, marks
         self._samples: list[Sample] = []
         self._busy: list[float] = []  # core ms of each box at the last sample
 
     def begin(self) -> None:
-        """The day begins."""
+        """Start sampling."""
         self._busy = [0.0] * len(self._boxes)
         self._events.after(SAMPLE_MS, self._sample)
 
@@ -70,14 +70,14 @@
         util = []
         for i, box in enumerate(boxes):
             box.update_rate()
-            util.append((box.busy_core_ms - self._busy[i]) / (SAMPLE_MS * box.figures.cores))
+            util.append((box.busy_core_ms - self._busy[i]) / (SAMPLE_MS * box.parameters.cores))
             self._busy[i] = box.busy_core_ms
-        out = tuple(sum(h.out for h in balancers) for balancers in self._balancers)
-        self._samples.append(Sample(self._events.now - START_MS, out, tuple(util)))
+        in_flight = tuple(sum(h.in_flight for h in balancers) for balancers in self._balancers)
+        self._samples.append(Sample(self._events.now - START_MS, in_flight, tuple(util)))
         self._events.after(SAMPLE_MS, self._sample)
 
     def played(self, day: Day, judge: Judge, fallen: int, fault: str | None) -> DayResult:
-        """The day is over."""
+        """Return the result of the day."""
         boxes = list(self._boxes.values())
         for box in boxes:
             box.update_rate()
@@ -104,7 +104,7 @@
 
 
 def _digest(judge: Judge) -> str:
-    """One text for all that happened: equal only if each request ended alike at the same moment."""
+    """Return a digest of all request outcomes and times, equal only for identical days."""
     digest = hashlib.sha256()
     for client_request in judge.client_requests:
         digest.update(
--- a/mastturn/emulator/reports.py
+++ b/mastturn/emulator/reports.py
@@ -1,5 +1,4 @@
-"""Load reports (PROTOCOL, X-Pressure): use of the cores and service time, refreshed now and then, late,
-noisy."""
+"""Simulates load reports (PROTOCOL, X-Pressure) of utilization and service time, with delay and noise."""
 
 from __future__ import annotations
 
@@ -7,21 +6,21 @@
 from dataclasses import dataclass
 
 from mastturn.emulator.chance import Stream
-from mastturn.emulator.day import TierFigures
+from mastturn.emulator.day import TierParameters
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What one answer says: mean service time without waiting, and the share of the cores in use."""
+    """Load report of a response: mean service time without queueing, and core utilization."""
 
     latency_ms: float
     util: float
 
 
 class LoadReporter:
-    """One machine's report, taken only when an answer asks for it."""
+    """Produces one machine's load reports, refreshed only when a response reads them."""
 
-    def __init__(self, tier: TierFigures, chance: Stream) -> None:
+    def __init__(self, tier: TierParameters, chance: Stream) -> None:
         self._tier, self._chance = tier, chance
         self._taken_ms, self._busy_then = 0.0, 0.0
         self._served, self._service_ms = 0, 0.0
@@ -30,12 +29,12 @@
         self.added_delay_ms = 0.0
 
     def record_served(self, service_ms: float) -> None:
-        """Count an answer and the time it took beside waiting."""
+        """Count a response and its service time without queueing."""
         self._served += 1
         self._service_ms += service_ms
 
     def read(self, now: float, busy_core_ms: float, cores: int) -> LoadReport | None:
-        """The report that an answer carries now; `busy_core_ms` is the machine's own count."""
+        """Return the report for a response; `busy_core_ms` is the machine's cumulative busy time."""
         gap = now - self._taken_ms
         if gap >= self._tier.report_every_ms:
             noise = self._chance.factor(self._tier.report_noise)
--- a/mastturn/emulator/site.py
+++ b/mastturn/emulator/site.py
@@ -1,8 +1,9 @@
-"""A site: what a deployment is made of, as ranges; a day is one draw from them.
+"""Defines the site file: a deployment described by ranges, from which each day is drawn.
 
-Every name carries its unit: `_ms`, `_s`, `_us`, `_per_core`, `_share` (0 to 1), or none for plain factors. A
-range is written `[low, high]`; a single number stands for both. Source of the figures: the site file and the
-brief of `midlands-main`; of their meaning: BENCH ("The world", "This kind of server"), WIRE (settings).
+Names carry their units: `_ms`, `_s`, `_us`, `_per_core`, `_share` (0 to 1), or none for plain factors. A
+range is written `[low, high]`; a single number stands for both. The values come from the site file and the
+brief of `midlands-main`; their meaning is defined in BENCH ("The world", "This kind of server") and WIRE
+(settings).
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def span(value: Range) -> tuple[float, float]:
-    """A range as its two ends."""
+    """Return the two ends of a range."""
     return value if isinstance(value, tuple) else (float(value), float(value))
 
 
@@ -25,7 +26,7 @@
     name: str
     portion: Range  # of the tier's machines; portions are scaled to add up to 1
     cores: int
-    speed: Range  # of one core, in yardstick cores
+    speed: Range  # of one core, in reference cores
     speed_spread: Range  # deviation of single machines from their kind's speed, as a share of it
     slots_per_core: Range
     queue_per_core: Range
@@ -39,7 +40,7 @@
 
 
 class Report(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a tier's machines tell their load."""
+    """Load reports of a tier's machines."""
 
     every_ms: Range
     delay_ms: Range
@@ -47,18 +48,18 @@
 
 
 class Connections(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What connections to a tier's machines cost and how many there may be."""
+    """Cost and limits of connections to a tier's machines."""
 
     handshake_round_trips: Range
     handshake_us: Range
     idle_s: float
     connect_timeout_ms: float
     cap_per_core: Range
-    full_tax_share: Range  # of capacity, lost with a full table
+    full_tax_share: Range  # of capacity, lost when the connection table is full
 
 
 class Probe(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a probe costs the machine, and how many it answers."""
+    """Cost and rate limit of probes."""
 
     work_us: Range
     cap_per_core_s: Range
@@ -66,25 +67,25 @@
 
 
 class Choke(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """On some days a crowded machine turns slower and stays so for a while."""
+    """On a share of days, a crowded machine becomes slower for a while."""
 
     day_share: float  # of the days
     waiting_per_core: Range
     over_s: Range
     slower: Range
     rest_s: Range
-    below_share: Range  # of its cores in use, under which it rests
+    below_share: Range  # core utilization below which it recovers
     most_s: Range
     price: float
 
 
 class Tier(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines that do one part of the work."""
+    """A tier of machines that does one part of the work."""
 
     name: str
     work_share: float  # of a request's work, for each call
-    calls: Range  # by each call of the tier above
-    machines_per_first: Range  # machines for each machine of the first tier
+    calls: Range  # per call of the tier above
+    machines_per_first: Range  # machines per machine of the first tier
     report: Report
     connections: Connections
     probe: Probe
@@ -97,10 +98,10 @@
 
     name: str
     portion: Range
-    work_ms: Range  # mean, on a yardstick core
-    wait_ms: Range  # mean time spent waiting on others, beside the cores
+    work_ms: Range  # mean, on a reference core
+    wait_ms: Range  # mean time spent waiting on external work without using a core
     spread: Literal["pareto", "lognormal"]
-    variation: Range  # deviation of the work, as a share of its mean
+    variation: Range  # standard deviation of the work, as a share of its mean
     attempt_noise: Range
     aim_ms: float
     deadline_ms: float
@@ -109,45 +110,45 @@
 
 
 class Brand(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant, its share of the service and what it sends of it."""
+    """A tenant with its share of the service and its usage."""
 
     name: str
     portion: float
-    usage: Range  # sent, as a multiple of its portion
+    usage: Range  # traffic sent, as a multiple of its portion
 
 
 class Network(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One-way delays."""
+    """Network delays, one way."""
 
     zones: tuple[str, ...]
     same_zone_ms: Range
     cross_zone_ms: Range
     client_ms: Range
     jitter_share: Range
-    front_notice_s: Range  # until the front knows that a balancer is dead
+    front_notice_s: Range  # until the front detects a dead balancer
 
 
 class Clients(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What callers do."""
+    """Client behavior."""
 
     retries: Range
-    try_share: Range  # of the deadline, after which one try is given up
+    try_share: Range  # of the deadline: timeout of one try
     backoff_ms: Range
-    at_once_share: float  # of the days on which tries follow at once
-    honour_share: Range  # of the callers, who stay away as long as told
+    at_once_share: float  # of the days on which clients retry without backoff
+    honour_share: Range  # of the callers, who honor Retry-After
     impatient_share: Range
     max_retry_after_ms: float
     swing_share: Range
     zone_skew: Range
-    quota_share: Range  # of the capacity, that the tenants' shares together come to
+    quota_share: Range  # sum of the tenants' quotas, as a share of the capacity
     over_share_worth: float
 
 
 class Discovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How late the list of servers is."""
+    """Delays of the server list."""
 
-    notice_s: Range  # a process that stops
-    silent_notice_s: Range  # a machine that vanishes
+    notice_s: Range  # for a process that stops
+    silent_notice_s: Range  # for a machine that fails silently
     add_s: Range
     period_ms: Range
     spread_ms: Range
@@ -156,7 +157,7 @@
 
 
 class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The figures of the four rules."""
+    """Parameters of the four rules."""
 
     answer_slack_ms: float
     drain_grace_ms: float
@@ -166,7 +167,7 @@
 
 
 class Goal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The weights of the parts of G."""
+    """Weights of the components of G."""
 
     whole: float
     worst_window: float
@@ -175,7 +176,7 @@
 
 
 class Prices(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Points taken off G, each times its share or rate."""
+    """Points deducted from G, each multiplied by its share or rate."""
 
     cross_zone: float
     waste: float
@@ -185,7 +186,7 @@
 
 
 class Site(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole deployment."""
+    """Description of a deployment."""
 
     name: str
     network: Network
@@ -198,4 +199,4 @@
     classes: tuple[RequestKind, ...]
     brands: tuple[Brand, ...]
     most_work: float  # of one request, as a multiple of its class's mean; see docs/emulator.md
-    passes_deadline_share: float  # of the days on which a call carries its caller's time left
+    passes_deadline_share: float  # of the days on which a call carries its caller's remaining time
--- a/mastturn/emulator/told.py
+++ b/mastturn/emulator/told.py
@@ -1,4 +1,4 @@
-"""What one balancer has been told of upstreams: which were named, when each started or was said to leave."""
+"""Tracks what one balancer knows of upstreams: which it was told of, their starts and their removals."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class KnownServers:
-    """The news of the list as one process has had it. Times in ms of the day."""
+    """The list updates received by one balancer process. Times in ms of the simulated clock."""
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
@@ -18,13 +18,13 @@
         self._started_at: dict[str, float] = {}
 
     def reset(self) -> None:
-        """A new process has been told nothing."""
+        """Discard all knowledge when a new process starts."""
         self._named.clear()
         self._removed_at.clear()
         self._started_at.clear()
 
     def record(self, entries: tuple[Entry, ...], now: float) -> None:
-        """It is told of these."""
+        """Record entries received at time `now`."""
         for entry in entries:
             self._named.add(entry.server)
             if entry.phase is Phase.READY:
@@ -34,11 +34,11 @@
                 self._removed_at.setdefault(entry.server, now)
 
     def is_known(self, server: str) -> bool:
-        """Whether the list has ever named an upstream."""
+        """Whether the list has ever contained an upstream."""
         return server in self._named
 
     def is_start_known(self, box: Box, now: float) -> bool:
-        """Whether it has been told, or counts as told, of a box's latest start (WIRE, rule 4)."""
+        """Whether the balancer knows, or counts as knowing, of a box's latest start (WIRE, rule 4)."""
         if self._started_at.get(box.name, -math.inf) >= box.started_ms:
             return True
         entry = self._registry.entries.get(box.name)
@@ -49,7 +49,7 @@
         )
 
     def removed_at(self, server: str) -> tuple[float, Phase | None]:
-        """When it was told, or counts as told, that an upstream is not to be used, and why; None if it is."""
+        """Return when the balancer counts as informed of a removal, and the phase; None if ready."""
         entry = self._registry.entries.get(server)
         if entry is None or entry.phase is Phase.READY:
             return math.inf, None
--- a/mastturn/emulator/troubles.py
+++ b/mastturn/emulator/troubles.py
@@ -1,8 +1,8 @@
-"""Troubles as data (BENCH, "Troubles"; FLEET, the days): what goes wrong, when, to how many, how badly.
+"""Defines troubles as data (BENCH, "Troubles"; FLEET, the days): faults with time, extent and severity.
 
-Moments and lengths are in seconds from the day's start; a range is drawn from for each seed, from random
-numbers that belong to the trouble's place in its scenario. `tiers` names the tiers it befalls, all if there
-are none.
+Times and durations are in seconds from the day's start. A range is drawn from for each seed, with a random
+stream that belongs to the trouble's position in its scenario. `tiers` names the affected tiers; empty means
+all.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class _OfBoxes(_Lasting, frozen=True, kw_only=True):
-    part: Range  # of the tiers' boxes
+    part: Range  # share of the tiers' boxes
     tiers: tuple[str, ...] = ()
 
 
@@ -49,85 +49,85 @@
 
 
 class Pauses(_OfBoxes, frozen=True, tag="pauses", kw_only=True):
-    """Some boxes stand still every few seconds."""
+    """Some boxes pause every few seconds."""
 
     pause_ms: Range
     every_s: Range
 
 
 class Neighbour(_OfBoxes, frozen=True, tag="neighbour", kw_only=True):
-    """Another program takes a share of some machines, on and off."""
+    """Another program intermittently uses a share of some machines' cores."""
 
     taken_share: Range
     phase_s: Range
 
 
 class Silent(_OfBoxes, frozen=True, tag="silent", kw_only=True):
-    """Some machines vanish without a word and come back cold."""
+    """Some machines fail silently and restart cold."""
 
 
 class SharedSlow(_Lasting, frozen=True, tag="shared_slow", kw_only=True):
-    """Something that all boxes depend on makes every one of them slower."""
+    """A shared dependency slows down all boxes."""
 
     slower: Range
 
 
 class LateReports(_Lasting, frozen=True, tag="late_reports", kw_only=True):
-    """Load reports come later than usual."""
+    """Load reports are delayed."""
 
     delay_s: Range
 
 
 class LateList(_Lasting, frozen=True, tag="late_list", kw_only=True):
-    """News of the list comes later than usual."""
+    """List updates are delayed."""
 
     delay_s: Range
 
 
 class SilentDiscovery(_Lasting, frozen=True, tag="silent_discovery", kw_only=True):
-    """Discovery answers nobody."""
+    """Discovery does not answer."""
 
 
 class LostAnswers(_Lasting, frozen=True, tag="lost_answers", kw_only=True):
-    """Answers of boxes get lost on their way."""
+    """Responses of boxes are lost."""
 
     share: Range
 
 
 class Resets(_Lasting, frozen=True, tag="resets", kw_only=True):
-    """Connections are reset under requests."""
+    """Connections are reset while requests are in flight."""
 
     share: Range
 
 
 class LeaveEarly(_Lasting, frozen=True, tag="leave_early", kw_only=True):
-    """Clients give up before their time."""
+    """Clients disconnect before their deadline."""
 
     share: Range
 
 
 class Burst(_Lasting, frozen=True, tag="burst", kw_only=True):
-    """Clients come more often."""
+    """The arrival rate of clients rises."""
 
     factor: Range
 
 
 class ZoneShift(_Lasting, frozen=True, tag="zone_shift", kw_only=True):
-    """One zone's clients come more often, or less."""
+    """The arrival rate of one zone's clients rises or falls."""
 
     factor: Range
 
 
 class CutZone(_Lasting, frozen=True, tag="cut_zone", kw_only=True):
-    """A zone is cut off from the others: nothing passes, nothing is said."""
+    """A zone is partitioned from the others; messages are dropped silently."""
 
 
 class LostZone(_Lasting, frozen=True, tag="lost_zone", kw_only=True):
-    """All boxes of a zone vanish and come back cold."""
+    """All boxes of a zone fail silently and restart cold."""
 
 
 class Release(_Trouble, frozen=True, tag="release", kw_only=True):
-    """Boxes are replaced in steps: each drains, ends, and comes back cold, under its name or another."""
+    """Boxes are replaced in steps: each drains, stops and restarts cold, under the same or a new name."""
 
     part: Range
     steps: int
@@ -139,14 +139,14 @@
 
 
 class KillBalancers(_Trouble, frozen=True, tag="kill_balancers", kw_only=True):
-    """Front balancers are killed at once and start again from nothing."""
+    """Front balancers are killed at once and restart without state."""
 
     part: Range
     down_s: Range
 
 
 class RestartBalancers(_Trouble, frozen=True, tag="restart_balancers", kw_only=True):
-    """All front balancers are restarted, some at a time: the front stops sending, they end their work."""
+    """Rolling restart of the front balancers: the front stops routing, and they finish their work."""
 
     step_part: Range
     step_s: Range
@@ -163,7 +163,7 @@
 
 
 class FaultTargets(Protocol):
-    """What troubles act on: the parts of a world, and what can befall them."""
+    """The parts of a world that troubles act on."""
 
     day: Day
     events: Events
@@ -177,23 +177,23 @@
     marks: list[tuple[str, float, float]]
 
     def vanish_box(self, box: Box) -> None:
-        """The machine is gone without a word."""
+        """Stop a machine silently: connections are not reset."""
 
     def drain_box(self, box: Box) -> None:
-        """It completes what it holds and wants nothing new."""
+        """Drain a box: it completes its requests and rejects new ones."""
 
     def stop_box(self, box: Box) -> None:
-        """Its process ends."""
+        """Stop a box's process."""
 
     def start_box(self, box: Box) -> None:
-        """A new process on the same machine."""
+        """Start a new process on the same machine."""
 
     def replace_box(self, box: Box) -> None:
-        """Another machine takes its place."""
+        """Replace a box by a new machine."""
 
 
 class DrawnTrouble:
-    """One trouble's own draws, and its start and end on the world's clock."""
+    """A trouble's random stream, start and end on the simulated clock."""
 
     def __init__(self, world: FaultTargets, trouble: Trouble, number: int) -> None:
         self.chance = Stream(world.day.seed, "trouble", number)
@@ -202,22 +202,22 @@
         self.end_ms = self.start_ms + self.length_ms
 
     def sample(self, value: Range) -> float:
-        """A figure from its range."""
+        """Draw a value from a range."""
         return self.chance.between(*span(value))
 
     def boxes(self, world: FaultTargets, part: float, tiers: tuple[str, ...]) -> list[Box]:
-        """So many of the tiers' boxes."""
-        able = [b for b in world.boxes.values() if not tiers or world.day.tiers[b.number].name in tiers]
-        return [able[i] for i in self.chance.some(round(part * len(able)), len(able))]
+        """Draw a share of the tiers' boxes."""
+        candidates = [b for b in world.boxes.values() if not tiers or world.day.tiers[b.number].name in tiers]
+        return [candidates[i] for i in self.chance.some(round(part * len(candidates)), len(candidates))]
 
     def zone(self, world: FaultTargets) -> str:
-        """One zone."""
+        """Draw a zone."""
         zones = world.day.network.zones
         return zones[self.chance.below(len(zones))]
 
 
 def rate_windows(world: FaultTargets, troubles: tuple[Trouble, ...]) -> list[RateWindow]:
-    """What the troubles do to how often clients come; drawn before the day begins."""
+    """Return the arrival-rate windows of the troubles; drawn before the day begins."""
     windows = []
     for number, trouble in enumerate(troubles):
         if isinstance(trouble, (Burst, ZoneShift)):
@@ -231,7 +231,7 @@
 
 
 def plan(world: FaultTargets, troubles: tuple[Trouble, ...]) -> None:
-    """Ask for everything that will go wrong."""
+    """Schedule all troubles of the day."""
     for number, trouble in enumerate(troubles):
         drawn = DrawnTrouble(world, trouble, number)
         world.marks.append((str(trouble.__struct_config__.tag), drawn.start_ms, drawn.end_ms))
@@ -251,8 +251,8 @@
             _schedule(world, drawn, _Errors(boxes, drawn.sample(trouble.share)))
         case Pauses():
             boxes = drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers)
-            figures = (drawn.sample(trouble.pause_ms), drawn.sample(trouble.every_s) * 1000)
-            _schedule(world, drawn, _Pauses(boxes, *figures))
+            parameters = (drawn.sample(trouble.pause_ms), drawn.sample(trouble.every_s) * 1000)
+            _schedule(world, drawn, _Pauses(boxes, *parameters))
         case Neighbour():
             _neighbour(world, trouble, drawn)
         case Silent():
@@ -282,11 +282,11 @@
         case RestartBalancers():
             _restart(world, trouble, drawn)
         case Burst() | ZoneShift():
-            pass  # in the arrivals already
+            pass  # already included in the arrivals
 
 
 class _TemporaryChange:
-    """What holds for a while: begun, then ended."""
+    """A change that is applied and later reverted."""
 
     def begin(self, _: None) -> None:
         self.set(True)
@@ -319,17 +319,17 @@
 
     def set(self, on: bool) -> None:
         for box in self._boxes:
-            box.errors = self._share if on else box.figures.error_share
+            box.errors = self._share if on else box.parameters.error_share
 
 
 class _Pauses(_TemporaryChange):
     def __init__(self, boxes: list[Box], pause_ms: float, every_ms: float) -> None:
-        self._boxes, self._figures = boxes, (pause_ms, every_ms)
+        self._boxes, self._parameters = boxes, (pause_ms, every_ms)
 
     def set(self, on: bool) -> None:
         for box in self._boxes:
-            usual = (box.figures.pause_ms, box.figures.pause_every_ms)
-            box.pause_ms, box.pause_every_ms = self._figures if on else usual
+            usual = (box.parameters.pause_ms, box.parameters.pause_every_ms)
+            box.pause_ms, box.pause_every_ms = self._parameters if on else usual
 
 
 class _Cut(_TemporaryChange):
@@ -385,13 +385,13 @@
 
 
 class _Taken:
-    """A neighbour's share of one machine."""
+    """The share of one machine used by another program."""
 
     def __init__(self, box: Box, share: float) -> None:
         self._box, self._share = box, share
 
     def turn(self, on: bool) -> None:
-        """Take the share, or give it back."""
+        """Apply or remove the usage."""
         self._box.taken = self._share if on else 0.0
         self._box.update_rate()
 
--- a/mastturn/emulator/visit.py
+++ b/mastturn/emulator/visit.py
@@ -1,8 +1,9 @@
-"""One request in a box: it waits for a slot, works, waits on others, calls the next tier, works on, answers.
+"""Processes one request in a box: it waits for a slot, works, waits, calls the next tier, and answers.
 
-BENCH, "This kind of server": a box does a part of the work, calls the next tier once or several times, one
-call after another, and then does the rest; it keeps its slot meanwhile; a failed call fails the request.
-Cancels and time-outs stop nothing. How the work is parted is not said: half before the calls and half after.
+BENCH, "This kind of server": a box does a part of the work, calls the next tier once or several times in
+sequence, and then does the rest; it keeps its slot meanwhile, and a failed call fails the request. Cancels
+and time-outs do not stop work that has begun. BENCH does not specify how the work is divided: half of it is
+done before the calls and half after.
 """
 
 from __future__ import annotations
@@ -13,26 +14,26 @@
 from mastturn.emulator.day import Day
 from mastturn.emulator.events import Events
 
-BEFORE_CALLS = 0.5  # of a box's own work
-LOOPBACK_MS = 0.05  # between a box and the balancer beside it
-MIN_REMAINING_MS = 1.0  # less time than this for a call is none
+BEFORE_CALLS = 0.5  # share of a box's own work done before its calls
+LOOPBACK_MS = 0.05  # between a box and its local balancer
+MIN_REMAINING_MS = 1.0  # lower bound of the remaining time passed to a call
 
 
 class VisitEnvironment(Protocol):
-    """What a request in a box needs of the world."""
+    """The parts of the world that a request in a box uses."""
 
     day: Day
     events: Events
 
     def next_number(self) -> int:
-        """A number for a request."""
+        """Return a new request number."""
 
     def deliver_response(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
-        """A box has an answer."""
+        """Send a box's response."""
 
 
 class Visit:
-    """An attempt that has reached its box."""
+    """An attempt being processed by its box."""
 
     __slots__ = ("_begun_ms", "_calls_left", "_epoch", "_rest_ms", "_service_ms", "_wait_ms", "_world",
                  "answered", "attempt", "call", "extra_ms", "useful_ms", "waits", "work_ms")  # fmt: skip
@@ -42,7 +43,7 @@
     ) -> None:
         self._world, self.attempt = world, attempt
         self.work_ms, self._wait_ms, self._calls_left = work_ms, wait_ms, calls
-        self.extra_ms = 0.0  # of a handshake
+        self.extra_ms = 0.0  # work of the connection handshake
         self._epoch = attempt.box.epoch
         self._rest_ms = self._begun_ms = self._service_ms = 0.0
         self.call: Call | None = None
@@ -50,7 +51,7 @@
         self.useful_ms = work_ms
 
     def begin(self) -> None:
-        """It has a slot: the first part of its work."""
+        """Start the first part of the work in a slot."""
         self.waits = False
         self._begun_ms = self._world.events.now
         first = self.work_ms * (BEFORE_CALLS if self._calls_left else 1.0)
@@ -58,7 +59,7 @@
         self.attempt.box.work(self, first + self.extra_ms)
 
     def on_work_done(self) -> None:
-        """A part of its work is done."""
+        """Continue after a part of the work has completed."""
         if self._wait_ms > 0:
             wait, self._wait_ms = self._wait_ms, 0.0
             self._world.events.after(wait, self._waited)
@@ -80,7 +81,7 @@
             self._answer(True, None)
 
     def _call(self) -> None:
-        """Call the next tier through the balancer beside the box."""
+        """Call the next tier through the box's local balancer."""
         world, box = self._world, self.attempt.box
         balancer, caller = box.local_balancer, self.attempt.call
         assert balancer is not None
@@ -93,7 +94,7 @@
         world.events.after(LOOPBACK_MS, balancer.on_request, self.call)
 
     def on_final_outcome(self, call: Call, final: FinalOutcome, retry_after_ms: float) -> None:
-        """The call is over: the next one, the rest of the work, or an error."""
+        """Continue after a call to the next tier: the next call, the remaining work, or an error."""
         if self._epoch != self.attempt.box.epoch or call is not self.call:
             return
         if final is FinalOutcome.SERVED:
--- a/mastturn/emulator/watch.py
+++ b/mastturn/emulator/watch.py
@@ -1,4 +1,4 @@
-"""What happened to some requests or at some servers, line by line; off unless asked for."""
+"""Traces events of selected requests or servers; disabled unless requested."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceLine:
-    """One thing that happened; `at_ms` counts from the day's start, `request` is a first try or -1."""
+    """One traced event; `at_ms` counts from the day's start, `request` is a client request or -1."""
 
     at_ms: float
     request: int
@@ -22,7 +22,7 @@
 
 
 class Trace:
-    """Keeps the lines that are asked for: of one request, or of one server or balancer by name."""
+    """Collects trace lines of one request, or of one server or balancer by name."""
 
     def __init__(self, request: int | None = None, name: str | None = None) -> None:
         self._request, self._name = request, name
@@ -32,7 +32,7 @@
     def line(
         self, now: float, client_request: ClientRequest | None, balancer: str, server: str, text: str
     ) -> None:
-        """Something has happened."""
+        """Record an event if it matches the filter and the limit is not reached."""
         number = client_request.number if client_request is not None else -1
         if self._request is not None and number != self._request:
             return
--- a/mastturn/emulator/world.py
+++ b/mastturn/emulator/world.py
@@ -1,4 +1,4 @@
-"""The whole world: machines, balancers, list, network and clients of one day, played to its end."""
+"""Simulates one day with all its machines, balancers, server lists, network and clients."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from mastturn.emulator.visit import Visit
 from mastturn.emulator.watch import Trace
 
-COLD_SHARE = 2.0 / 3.0  # of the work sent, from balancers that were told: then a fall breaks the rule (WIRE)
-RESET_WAIT_MS = 20.0  # mean time until a connection that is reset under a request breaks
-# Noise of single attempts comes from a table, by request, so that it is the same whichever version decides.
+COLD_SHARE = 2.0 / 3.0  # of the work, from informed balancers: an overload then violates the rule (WIRE)
+RESET_WAIT_MS = 20.0  # mean time until a connection reset takes effect
+# Attempt noise comes from a table indexed by request, so that it is the same for every version.
 NOISES, MIN_NOISE = 8_191, 0.2
 
 
 class World:
-    """Everything that there is on one day; a day is played once."""
+    """The simulation of one day; an instance runs once."""
 
     def __init__(
         self, day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Trace | None = None
@@ -86,15 +86,15 @@
             self.balancers[tier].append(box.local_balancer)
 
     def settings(self, tier: int) -> Any:
-        """What an instance that calls a tier is told."""
+        """Return the settings of an instance that calls a tier."""
         return self._settings[tier]
 
     def module_seed(self, tier: int, number: int, life: int) -> int:
-        """An instance's own seed; new with each start."""
+        """Return the seed of an instance; each start has a new one."""
         return int(generator(self.day.seed, "module", tier, number, life).integers(2**52))
 
     def member(self, entry: Entry) -> Any:
-        """A list entry in the words of the module's contract."""
+        """Convert a list entry to the module's contract type."""
         known = self._members.get(entry)
         if known is None:
             interface = self.version.interface
@@ -109,20 +109,20 @@
         return known
 
     def truth(self, server: str) -> BoxState:
-        """The true state of a box, for baselines that may see it."""
+        """Return the true state of a box, for the oracle baselines."""
         box = self.boxes[server]
         power = box.power() * (1.0 - box.taken) / (box.slower * box.choke.factor())
         return BoxState(box.running, box.held, power, box.up and not box.draining and not box.fallen)
 
     def next_number(self) -> int:
-        """A number for a request; never used again."""
+        """Return a unique request number."""
         self._numbers += 1
         return self._numbers
 
-    # ---- the day ---------------------------------------------------------------------------------
+    # ---- run ---------------------------------------------------------------------------------
 
     def play(self) -> DayResult:
-        """Play the day: arrivals for its length, and then on until all is answered."""
+        """Run the day, then continue until all requests are answered."""
         fault = None
         try:
             for balancers in self.balancers:
@@ -142,7 +142,7 @@
     # ---- requests at boxes -----------------------------------------------------------------------
 
     def deliver_request(self, attempt: Attempt) -> bool:
-        """A request's last byte is at its box; whether it is turned away."""
+        """Deliver a complete request to its box; return whether the box rejects it."""
         box, client_request, tier = attempt.box, attempt.call.client_request, attempt.box.tier
         client_request.received += 1
         noise = self._noise[(client_request.number * 61 + client_request.received * 17 + box.number) % NOISES]
@@ -168,14 +168,14 @@
                     "",
                     box.name,
                     f"request {attempt.call.number} at the box,"
-                    f" {box.running} on {box.figures.cores} cores, {len(box.waiting)} wait",
+                    f" {box.running} on {box.parameters.cores} cores, {len(box.waiting)} wait",
                 )
             return False
         attempt.visit = None
         return True
 
     def deliver_response(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
-        """A box has an answer; it may be lost on its way."""
+        """Send a box's response to its balancer; the network may lose it."""
         balancer, box = attempt.call.balancer, attempt.box
         if self.watch is not None:
             self.watch.line(
@@ -189,19 +189,21 @@
             return
         if self.network.is_cut(balancer.zone, box.zone) or self.network.loses_answer():
             return
-        way = self.network.delay_ms(balancer.zone, box.zone)
-        self.events.after(way, balancer.on_response, (attempt, served, loss, box.report(), visit.useful_ms))
+        one_way_ms = self.network.delay_ms(balancer.zone, box.zone)
+        self.events.after(
+            one_way_ms, balancer.on_response, (attempt, served, loss, box.report(), visit.useful_ms)
+        )
 
     def reset_wait_ms(self) -> float:
-        """How long a request is under way before its connection breaks."""
+        """Return the time until the connection of a request is reset."""
         return 2 * RESET_WAIT_MS * self._fault_chance.uniform()
 
-    # ---- what befalls boxes ----------------------------------------------------------------------
+    # ---- box lifecycle ----------------------------------------------------------------------
 
     def _entry(self, box: Box, phase: Phase) -> Entry:
-        figures: Machine = box.figures
+        parameters: Machine = box.parameters
         since = max(box.started_ms, 0.0)
-        return Entry(box.name, phase, figures.zone, figures.cell, since)
+        return Entry(box.name, phase, parameters.zone, parameters.cell, since)
 
     def _end_process(self, box: Box, silent: bool) -> None:
         died = box.stop(silent)
@@ -212,12 +214,12 @@
         for visit in died:
             attempt = visit.attempt
             if not attempt.over:
-                way = self.network.delay_ms(attempt.call.balancer.zone, box.zone)
+                one_way_ms = self.network.delay_ms(attempt.call.balancer.zone, box.zone)
                 if not attempt.call.balancer.is_cut_from(box):
-                    self.events.after(way, attempt.call.balancer.on_box_reset, attempt)
+                    self.events.after(one_way_ms, attempt.call.balancer.on_box_reset, attempt)
 
     def _overload_box(self, box: Box) -> None:
-        """A cold box is pushed over and stays out of service."""
+        """Take a cold, overloaded box out of service for good."""
         assert box.budget is not None
         self.fallen += 1
         if box.budget.informed_share() >= COLD_SHARE:
@@ -229,7 +231,7 @@
         self.registries[box.number].report_change(self._entry(box, Phase.GONE), self.day.discovery.notice_ms)
 
     def vanish_box(self, box: Box) -> None:
-        """The machine is gone without a word."""
+        """Stop a machine silently: connections are not reset."""
         if box.up:
             self._end_process(box, silent=True)
             self.registries[box.number].report_change(
@@ -237,7 +239,7 @@
             )
 
     def drain_box(self, box: Box) -> None:
-        """It completes what it holds and wants nothing new."""
+        """Drain a box: it completes its requests and rejects new ones."""
         if box.up:
             box.draining = True
             self.registries[box.number].report_change(
@@ -245,7 +247,7 @@
             )
 
     def stop_box(self, box: Box) -> None:
-        """Its process ends: connections are reset, new ones refused."""
+        """Stop a box's process: connections are reset, new ones refused."""
         if box.up:
             self._end_process(box, silent=False)
             self.registries[box.number].report_change(
@@ -253,7 +255,7 @@
             )
 
     def start_box(self, box: Box) -> None:
-        """A new process on the same machine, cold, with a new balancer beside it."""
+        """Start a cold process on the same machine, with a new local balancer."""
         if box.up or box.fallen:
             return
         rules = self.day.site.rules
@@ -263,8 +265,8 @@
         self.registries[box.number].report_change(self._entry(box, Phase.READY), self.day.discovery.add_ms)
 
     def replace_box(self, box: Box) -> None:
-        """Another machine takes its place, under a name of its own."""
-        old = box.figures
+        """Replace a box by a new machine with a new name."""
+        old = box.parameters
         count = sum(1 for name in self.boxes if name.startswith(f"{old.name}-new"))
         values = {name: getattr(old, name) for name in old.__dataclass_fields__}
         machine = Machine(**(values | {"name": f"{old.name}-new{count}"}))
@@ -278,5 +280,5 @@
 
 
 def play(day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Trace | None = None) -> DayResult:
-    """Play one day with one version of the module."""
+    """Run one day with one version of the module."""
     return World(day, troubles, version, watch).play()
--- a/mastturn/lab/outcome.py
+++ b/mastturn/lab/outcome.py
@@ -52,7 +52,7 @@
         "asked": [round(v, 3) for v in asked],
         "served": [round(v, 3) for v in served],
         "unanswered": [round(v, 3) for v in refused],
-        "out": [list(s.out) for s in samples],
+        "out": [list(s.in_flight) for s in samples],
         "util": [[round(u, 2) for u in s.util] for s in samples],
         "boxes": list(played.box_names),
     }
