--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -13,7 +13,7 @@
 from mastturn.emulator.clients import RateWindow, draw_arrivals
 from mastturn.emulator.cold import ColdBudget, warmth
 from mastturn.emulator.contract import installed
-from mastturn.emulator.day import ChokeFigures, Machine, TierFigures
+from mastturn.emulator.day import ChokeParameters, Machine, TierParameters
 from mastturn.emulator.events import Events
 from mastturn.emulator.judge import is_served
 from mastturn.emulator.machine import Box
@@ -21,26 +21,26 @@
 from tests.worlds import FLEET, Scripted, a_day, played, version
 from umberworks import interface
 
-TIER = TierFigures("front", 0.3, 1.0, 500.0, 100.0, 0.0, 1.0, 1.0, 15_000.0, 150.0, 0.0, None)
+TIER = TierParameters("front", 0.3, 1.0, 500.0, 100.0, 0.0, 1.0, 1.0, 15_000.0, 150.0, 0.0, None)
 MACHINE = Machine("m", 0, "z", 0, "k", 1, 1.0, 100, 2, 0.0, 1e9, 0.5, 4_000.0, 1e9, 0.0, 0.0, 1_000)
 
 
 class Job:
-    """A request that only works."""
+    """A request that only uses the cores."""
 
     def __init__(self, box: Box, events: Events, work_ms: float) -> None:
         self.box, self.events, self.work_ms = box, events, work_ms
-        self.came, self.done = events.now, math.nan
+        self.arrived_ms, self.done_ms = events.now, math.nan
 
     def begin(self) -> None:
         self.box.work(cast(Visit, self), self.work_ms)
 
     def on_work_done(self) -> None:
-        self.done = self.events.now
+        self.done_ms = self.events.now
         self.box.leave(cast(Visit, self))
 
 
-class Bench:
+class MachineFixture:
     def __init__(self, **changes: Any) -> None:
         self.events = Events()
         self.box = Box(replace(MACHINE, **changes), TIER, self.events, 1)
@@ -56,38 +56,38 @@
 
 
 def test_requests_on_one_core_share_it() -> None:
-    bench = Bench()
-    short, long = bench.put(10.0), bench.put(30.0)
-    bench.run(100.0)
-    assert short.done - bench.start == pytest.approx(20.0)
-    assert long.done - bench.start == pytest.approx(40.0)
+    fixture = MachineFixture()
+    short, long = fixture.put(10.0), fixture.put(30.0)
+    fixture.run(100.0)
+    assert short.done_ms - fixture.start == pytest.approx(20.0)
+    assert long.done_ms - fixture.start == pytest.approx(40.0)
 
 
 def test_two_cores_of_half_the_speed_take_a_request_each() -> None:
-    bench = Bench(cores=2, speed=0.5)
-    jobs = [bench.put(10.0), bench.put(10.0)]
-    bench.run(100.0)
-    assert [job.done - bench.start for job in jobs] == pytest.approx([20.0, 20.0])
+    fixture = MachineFixture(cores=2, speed=0.5)
+    jobs = [fixture.put(10.0), fixture.put(10.0)]
+    fixture.run(100.0)
+    assert [job.done_ms - fixture.start for job in jobs] == pytest.approx([20.0, 20.0])
 
 
 def test_full_slots_fill_the_waiting_room_and_then_turn_away() -> None:
-    bench = Bench(slots=1, queue=2)
-    jobs = [bench.put(10.0) for _ in range(4)]
+    fixture = MachineFixture(slots=1, queue=2)
+    jobs = [fixture.put(10.0) for _ in range(4)]
     assert [job.admitted for job in jobs] == [True, True, True, False]  # type: ignore[attr-defined]
-    bench.run(100.0)
-    assert [round(job.done - bench.start) for job in jobs[:3]] == [10, 20, 30]
+    fixture.run(100.0)
+    assert [round(job.done_ms - fixture.start) for job in jobs[:3]] == [10, 20, 30]
 
 
 def test_a_cold_box_is_slow_and_warms_up() -> None:
-    bench = Bench()
-    bench.box.stop(silent=False)
-    bench.box.start(2.5, 2_000.0)
-    assert bench.box.power() == pytest.approx(0.5)
-    bench.run(2_000.0)
-    assert bench.box.power() == pytest.approx(0.75)
-    bench.run(3_000.0)
-    assert bench.box.power() == pytest.approx(1.0)
-    assert bench.box.budget is None
+    fixture = MachineFixture()
+    fixture.box.stop(silent=False)
+    fixture.box.start(2.5, 2_000.0)
+    assert fixture.box.power() == pytest.approx(0.5)
+    fixture.run(2_000.0)
+    assert fixture.box.power() == pytest.approx(0.75)
+    fixture.run(3_000.0)
+    assert fixture.box.power() == pytest.approx(1.0)
+    assert fixture.box.budget is None
     assert warmth(0.0, 0.33, 8_600.0) == 0.33
 
 
@@ -100,19 +100,19 @@
 
 
 def test_crowding_slows_a_box_and_a_pause_stops_it() -> None:
-    bench = Bench(thrash=0.5, thrash_at=1.0)
-    jobs = [bench.put(10.0), bench.put(10.0)]
-    bench.run(100.0)
-    assert jobs[0].done - bench.start > 20.0
-    still = Bench(pause_ms=50.0, pause_every_ms=10.0)
+    fixture = MachineFixture(thrash=0.5, thrash_at=1.0)
+    jobs = [fixture.put(10.0), fixture.put(10.0)]
+    fixture.run(100.0)
+    assert jobs[0].done_ms - fixture.start > 20.0
+    still = MachineFixture(pause_ms=50.0, pause_every_ms=10.0)
     still.box.plan_pause()
     job = still.put(1_000.0)
     still.run(1_100.0)
-    assert math.isnan(job.done)
+    assert math.isnan(job.done_ms)
 
 
 def test_a_crowd_that_stays_chokes_a_box_until_it_has_rested() -> None:
-    choke = Choke(ChokeFigures(4.0, 2_000.0, 3.0, 3_000.0, 0.4, 22_000.0, 0.06))
+    choke = Choke(ChokeParameters(4.0, 2_000.0, 3.0, 3_000.0, 0.4, 22_000.0, 0.06))
     assert not choke.update(5, 1, 0.0)
     assert not choke.update(5, 1, 1_900.0)
     assert choke.update(5, 1, 2_000.0) and choke.factor() == 3.0
@@ -122,23 +122,23 @@
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.5), (1, 0.7), (3, 0.7)])
 def test_waiting_times_are_those_of_the_closed_forms(cores: int, load: float) -> None:
-    """M/M/1 and M/M/c: the mean wait is Erlang's, also where the cores are shared in place of a queue."""
-    bench = Bench(cores=cores, slots=10**9)
+    """M/M/1 and M/M/c: the mean time follows the Erlang C formula, also under processor sharing."""
+    fixture = MachineFixture(cores=cores, slots=10**9)
     chance, jobs = Stream(11, "waits", cores, int(load * 10)), list[Job]()
     mean, count = 10.0, 120_000
 
-    def come(_: None) -> None:
-        jobs.append(bench.put(-mean * math.log(1.0 - chance.uniform())))
+    def arrive(_: None) -> None:
+        jobs.append(fixture.put(-mean * math.log(1.0 - chance.uniform())))
         if len(jobs) < count:
-            bench.events.after(-mean / (cores * load) * math.log(1.0 - chance.uniform()), come)
+            fixture.events.after(-mean / (cores * load) * math.log(1.0 - chance.uniform()), arrive)
 
-    bench.events.after(0.0, come)
-    bench.run(count * mean / (cores * load) * 1.2)
+    fixture.events.after(0.0, arrive)
+    fixture.run(count * mean / (cores * load) * 1.2)
     offered = cores * load
     below = sum(offered**k / math.factorial(k) for k in range(cores))
     top = offered**cores / math.factorial(cores) / (1 - load)
     expected = mean + top / (below + top) * mean / (cores * (1 - load))
-    measured = math.fsum(job.done - job.came for job in jobs) / len(jobs)
+    measured = math.fsum(job.done_ms - job.arrived_ms for job in jobs) / len(jobs)
     assert measured == pytest.approx(expected, rel=0.03)
 
 
@@ -221,7 +221,9 @@
     calm, rough = played(), played(trouble)
     assert rough.fault is None
     assert not rough.judge.breaks
-    if not isinstance(trouble, (troubles.LateReports, troubles.LateList)):  # of no use to the module alone
+    if not isinstance(
+        trouble, (troubles.LateReports, troubles.LateList)
+    ):  # these two affect only the module's information
         assert rough.digest != calm.digest
     assert rough.parts.whole > 0.2
 
@@ -283,7 +285,7 @@
 
 
 class ToTheNewest(Scripted):
-    """Sends everything to the server that started last, as soon as it is told of it."""
+    """Sends every request to the most recently started server in the list."""
 
     def handle(self, event: Any, now: float) -> list[Any]:
         if isinstance(event, interface.ListUpdate):
--- a/tests/test_presence.py
+++ b/tests/test_presence.py
@@ -1,4 +1,4 @@
-"""Membership in simulated time: found by all in time, nobody for nothing, equal views after a split."""
+"""Simulated membership: detection times, no false detections, equal views after a partition."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 def test_processes_that_die_are_known_to_all_and_the_same_again_for_the_same_seed() -> None:
     setup = Setup(processes=20, seconds=30.0, kills=3)
-    one, two = play(setup), play(setup)
-    assert one == two
-    assert len(one.last_ms) == 3 and not one.undetected and not one.false
-    assert max(one.last_ms) < 3_000.0
+    first, second = play(setup), play(setup)
+    assert first == second
+    assert len(first.last_ms) == 3 and not first.undetected and not first.false
+    assert max(first.last_ms) < 3_000.0
 
 
 def test_machines_that_vanish_are_known_to_all_within_five_seconds() -> None:
-    found = play(Setup(processes=20, seconds=30.0, kills=3, silent=True))
-    assert len(found.last_ms) == 3 and not found.undetected
-    assert max(found.last_ms) < 5_000.0
+    outcome = play(Setup(processes=20, seconds=30.0, kills=3, silent=True))
+    assert len(outcome.last_ms) == 3 and not outcome.undetected
+    assert max(outcome.last_ms) < 5_000.0
 
 
 def test_at_one_message_in_twenty_lost_nobody_is_failed() -> None:
@@ -24,9 +24,9 @@
 
 
 def test_halves_keep_their_numbers_and_come_to_equal_views_after_the_split() -> None:
-    found = play(Setup(processes=20, seconds=40.0, kills=0, split_s=20.0))
-    assert found.healed_ms is not None and found.healed_ms < 5_000.0
-    assert min(least for _, least, _ in found.counts) == 20
+    outcome = play(Setup(processes=20, seconds=40.0, kills=0, split_s=20.0))
+    assert outcome.healed_ms is not None and outcome.healed_ms < 5_000.0
+    assert min(minimum for _, minimum, _ in outcome.counts) == 20
 
 
 def test_messages_of_a_process_do_not_grow_with_the_fleet() -> None:
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds for the tests of the emulator."""
+"""Helpers that build small simulations for the emulator's tests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Scripted:
-    """A module that sends every request to one server at once; subclasses go wrong."""
+    """A module that sends every request to one server at once; subclasses violate the contract."""
 
     def __init__(self, settings: Any, seed: int, truth: Truth) -> None:
         self.first = ""
