--- a/mastturn/bench/registry.py
+++ b/mastturn/bench/registry.py
@@ -25,7 +25,7 @@
 from mastturn.registry.http import session
 from mastturn.registry.registrant import put
 from mastturn.standins.ports import free_port
-from mastturn.standins.process import Process, answers
+from mastturn.standins.process import Process, responds_ok
 
 TICK_S = os.sysconf("SC_CLK_TCK")
 AGENT_PROCESSES, WATCHER_PROCESSES = 5, 3
@@ -69,7 +69,9 @@
             if other != name:
                 words += ["--peer", f"{other}={address}"]
         await self._replicas[name].start("mastturn.registry", *words)
-        await self._replicas[name].until_ready(lambda: answers(self.addresses[name], "/health/ready"))
+        await self._replicas[name].wait_until_ready(
+            lambda: responds_ok(self.addresses[name], "/health/ready")
+        )
 
     async def _party(self, kind: str, number: int, held: Held) -> asyncio.subprocess.Process:
         path = self._folder / f"{kind}-{number}.json"
--- a/mastturn/chaos/fleet.py
+++ b/mastturn/chaos/fleet.py
@@ -21,7 +21,7 @@
 from mastturn.standins import plan as standins
 from mastturn.standins.balancers import Balancer, settings
 from mastturn.standins.ports import free_port
-from mastturn.standins.process import Process, answers
+from mastturn.standins.process import Process, responds_ok
 
 DRAIN_S = 2.5  # an upstream that leaves serves on for so long: balancers hear of it meanwhile
 SCRATCH = "scratch"  # the list that nobody balances
@@ -61,12 +61,12 @@
         self.process.signal(signal.SIGCONT)
 
 
-def kinds() -> tuple[standins.Kind, ...]:
+def kinds() -> tuple[standins.RequestClass, ...]:
     """The classes of requests that a run sends: long enough that faults meet some of them under way."""
     return (
-        standins.Kind("menu-view", 0.5, 100.0, 1_500.0, 3_000.0),
-        standins.Kind("pick-save", 0.3, 60.0, 1_000.0, 2_000.0),
-        standins.Kind("box-pay", 0.2, 60.0, 800.0, 2_000.0, "once"),
+        standins.RequestClass("menu-view", 0.5, 100.0, 1_500.0, 3_000.0),
+        standins.RequestClass("pick-save", 0.3, 60.0, 1_000.0, 2_000.0),
+        standins.RequestClass("box-pay", 0.2, 60.0, 800.0, 2_000.0, "once"),
     )
 
 
@@ -130,7 +130,7 @@
 
         async def start() -> None:
             await process.start("mastturn.registry", *words)
-            await process.until_ready(lambda: answers(address, "/health/ready"))
+            await process.wait_until_ready(lambda: responds_ok(address, "/health/ready"))
 
         await self._add(process, start, address).start()
 
@@ -149,7 +149,7 @@
 
         async def start() -> None:
             await process.start("mastturn.chaos.upstream", str(path))
-            await process.until_ready(lambda: _listens(port))
+            await process.wait_until_ready(lambda: _listens(port))
 
         await self._add(process, start, f"127.0.0.1:{port}").start()
 
@@ -163,7 +163,7 @@
 
         async def start() -> None:
             await process.start("mastturn.registry", *words)
-            await process.until_ready(lambda: answers(address, "/health/live"))
+            await process.wait_until_ready(lambda: responds_ok(address, "/health/live"))
 
         await self._add(process, start, address).start()
 
--- a/mastturn/chaos/plan.py
+++ b/mastturn/chaos/plan.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from mastturn.files import LabError, read_toml
-from mastturn.standins.plan import MOST_REQUESTS, MOST_SECONDS
+from mastturn.standins.plan import MAX_REQUESTS, MAX_SECONDS
 
 Kind = Literal[
     "kill", "stop", "replace", "old_state", "cut", "cut_out", "cut_in", "delay", "throttle", "reset", "drop"
@@ -70,7 +70,7 @@
 
 
 _LIMITS = (
-    ("seconds", 1.0, MOST_SECONDS),
+    ("seconds", 1.0, MAX_SECONDS),
     ("requests_per_s", 0.0, 1_000.0),
     ("replicas", 1, len(NAMES)),
     ("balancers", 1, 40),
@@ -133,8 +133,8 @@
         value = getattr(plan, name)
         if not low <= value <= high:
             raise LabError(f"{where}: {name}: {value:g}, allowed: {low:g} to {high:g}")
-    if plan.seconds * plan.requests_per_s > MOST_REQUESTS:
-        raise LabError(f"{where}: requests_per_s: over {MOST_REQUESTS} requests in all, which is the most")
+    if plan.seconds * plan.requests_per_s > MAX_REQUESTS:
+        raise LabError(f"{where}: requests_per_s: over {MAX_REQUESTS} requests in all, which is the most")
     for i, fault in enumerate(plan.faults):
         place = f"{where}: faults[{i}]"
         if fault.at_s + fault.lasts_s > plan.seconds:
--- a/mastturn/chaos/upstream.py
+++ b/mastturn/chaos/upstream.py
@@ -17,7 +17,7 @@
 from mastturn.chaos.history import Recorder
 from mastturn.registry.commands import stop_signal
 from mastturn.registry.registrant import Registrant
-from mastturn.standins.plan import Kind
+from mastturn.standins.plan import RequestClass
 from mastturn.standins.upstream import Upstream
 
 
@@ -28,7 +28,7 @@
     port: int
     listed_at: str  # the address that the list shows: of the link before us
     replicas: tuple[str, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestClass, ...]
     cores: int
     lease_ms: float
     drain_s: float
@@ -42,7 +42,7 @@
     history = Recorder(Path(told.history))
     upstream = Upstream(told.name, {kind.name: kind for kind in told.kinds}, told.cores, 1.0)
     upstream.port = told.port
-    upstream.on_begin = lambda number, kind: history.write(told.name, "begun", txn=number, kind=kind)
+    upstream.on_request_begin = lambda number, kind: history.write(told.name, "begun", txn=number, kind=kind)
     await upstream.start()
     started = int(time.time() * 1000)
     values = {
--- a/mastturn/smallfleet/play.py
+++ b/mastturn/smallfleet/play.py
@@ -18,7 +18,7 @@
 from mastturn.smallfleet import callers, layout
 from mastturn.smallfleet.layout import Layout, Machine
 from mastturn.smallfleet.surroundings import Platform, Upstream
-from mastturn.standins.process import Process, answers
+from mastturn.standins.process import Process, responds_ok
 
 PHASES = ("prefill", "prefill", "decode", "decode", "decode")
 LED_S, TAKEN_S, READY_S = 15.0, 10.0, 15.0
@@ -145,7 +145,7 @@
         await asyncio.gather(*(process.stop() for process in self._processes.values()))
 
     def _last_words(self) -> str:
-        return "; ".join(f"{name}: {p.last_words()}" for name, p in self._processes.items())
+        return "; ".join(f"{name}: {p.last_log_line()}" for name, p in self._processes.items())
 
     async def _leader(self) -> tuple[str, int]:
         """Who says that it leads, in the latest epoch."""
@@ -175,7 +175,7 @@
 
     async def _ask_readiness(self) -> None:
         edges = self._layout.edges
-        ready = await asyncio.gather(*(answers(self._layout.readyz(m), "/api/readyz") for m in edges))
+        ready = await asyncio.gather(*(responds_ok(self._layout.readyz(m), "/api/readyz") for m in edges))
         self._ready = [self._layout.http(m) for m, is_ready in zip(edges, ready, strict=True) if is_ready]
 
     async def _look(self) -> None:
@@ -187,7 +187,7 @@
     def _measure(self) -> None:
         """The peak of each process's memory; a process that was started anew counts with both."""
         for name, process in self._processes.items():
-            if process.runs:
+            if process.is_running:
                 with contextlib.suppress(OSError, ValueError, IndexError):
                     text = Path(f"/proc/{process.pid}/status").read_text(encoding="ascii")
                     peak = int(text.split("VmHWM:")[1].split()[0]) / 1024
@@ -232,9 +232,9 @@
             for number, times in upstream.ran.items():
                 ran[number] = ran.get(number, 0) + times
         unclean = tuple(
-            f"{name} ended with {process.status}"
+            f"{name} ended with {process.exit_status}"
             for name, process in self._processes.items()
-            if process.status != 0
+            if process.exit_status != 0
         )
         return Result(
             served=clients.ended["served"],
--- a/mastturn/soak/fleet.py
+++ b/mastturn/soak/fleet.py
@@ -113,7 +113,7 @@
     async def terminate(self, member: Member) -> None:
         """SIGTERM, SIGKILL after the grace, and a new start."""
         async with member.turn:
-            if self.is_ending or not member.process.runs:
+            if self.is_ending or not member.process.is_running:
                 return
             span = self._records.begin("term", member.machine.node, time.monotonic())
             member.process.signal(signal.SIGTERM)
@@ -123,9 +123,9 @@
 
     async def _await_end(self, member: Member) -> None:
         if await _ends(member.process, GRACE_S):
-            never_up = member.process.status == -signal.SIGTERM and not member.has_come_up()
-            if member.process.status != 0 and not never_up:
-                self._records.unclean.append(f"{member.machine.node} ended with {member.process.status}")
+            never_up = member.process.exit_status == -signal.SIGTERM and not member.has_come_up()
+            if member.process.exit_status != 0 and not never_up:
+                self._records.unclean.append(f"{member.machine.node} ended with {member.process.exit_status}")
             return
         kill = self._records.begin("kill", member.machine.node, time.monotonic())
         self._records.unclean.append(f"{member.machine.node} had not ended {GRACE_S:g} s after SIGTERM")
@@ -135,7 +135,7 @@
     async def kill(self, member: Member, wipes: bool = False) -> None:
         """SIGKILL, and a new start; if told so, on an empty disk."""
         async with member.turn:
-            if self.is_ending or not member.process.runs:
+            if self.is_ending or not member.process.is_running:
                 return
             span = self._records.begin("kill", member.machine.node, time.monotonic())
             await member.process.kill()
@@ -147,7 +147,7 @@
     async def stand_still(self, member: Member, seconds: float) -> None:
         """SIGSTOP, and SIGCONT after so long."""
         async with member.turn:
-            if self.is_ending or not member.process.runs:
+            if self.is_ending or not member.process.is_running:
                 return
             span = self._records.begin("stop", member.machine.node, time.monotonic())
             member.process.signal(signal.SIGSTOP)
@@ -186,12 +186,12 @@
             member.process.signal(signal.SIGCONT)
             member.process.signal(signal.SIGTERM)
         for member in members:
-            if member.process.runs and not await _ends(member.process, GRACE_S + 1.0):
+            if member.process.is_running and not await _ends(member.process, GRACE_S + 1.0):
                 self._records.unclean.append(f"{member.machine.node} did not end with the others")
                 await member.process.kill()
 
     def _last_words(self) -> str:
-        return "; ".join(f"{name}: {m.process.last_words()}" for name, m in list(self.members.items())[:4])
+        return "; ".join(f"{name}: {m.process.last_log_line()}" for name, m in list(self.members.items())[:4])
 
 
 def configuration(ver: int, idle_routes: int = 0, mark: str = "") -> dict[str, object]:
@@ -211,9 +211,9 @@
 
 async def _ends(process: Process, within_s: float) -> bool:
     until = time.monotonic() + within_s
-    while process.runs and time.monotonic() < until:
+    while process.is_running and time.monotonic() < until:
         await asyncio.sleep(0.01)
-    return not process.runs
+    return not process.is_running
 
 
 async def _is_ready(address: str) -> bool:
--- a/mastturn/standins/__init__.py
+++ b/mastturn/standins/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer's neighbours on real loopback sockets, all of our own: upstreams, discovery, clients."""
+"""Stand-ins for the balancer's neighbours on real loopback sockets: upstreams, discovery agent, clients."""
--- a/mastturn/standins/agent.py
+++ b/mastturn/standins/agent.py
@@ -1,4 +1,4 @@
-"""A discovery agent on a loopback socket (PROTOCOL, "Discovery"): the whole list, and a watch for changes."""
+"""Implements a discovery agent on a loopback socket (PROTOCOL, "Discovery"): list requests and watches."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from mastturn.standins.upstream import Upstream
 
-LONGEST_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000
 
 
 class Agent:
-    """One tier's list, for all of its balancers."""
+    """Serves one tier's server list to all of its balancers."""
 
     def __init__(self, upstreams: list[Upstream]) -> None:
         self._upstreams = upstreams
@@ -23,27 +23,27 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on a port from the system."""
+        """Listen on a port assigned by the system."""
         app = web.Application()
-        app.router.add_get("/registry/instances", self._answer)
+        app.router.add_get("/registry/instances", self._handle_list_request)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
         self.address = f"127.0.0.1:{self._runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """End; watches that are open close."""
+        """Stop the server and close open watches."""
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def changed(self) -> None:
-        """Something is different: whoever watches is told the whole list."""
+    async def notify_change(self) -> None:
+        """Publish a new revision: every watch is answered with the whole list."""
         async with self._changed:
             self._revision += 1
             self._changed.notify_all()
 
-    def listing(self) -> dict[str, Any]:
-        """The list as it is told."""
+    def build_listing(self) -> dict[str, Any]:
+        """Return the list in the form of the protocol."""
         members = [
             {
                 "id": u.name,
@@ -59,13 +59,13 @@
         ]
         return {"revision": self._revision, "complete": True, "members": members}
 
-    async def _answer(self, request: web.Request) -> web.Response:
+    async def _handle_list_request(self, request: web.Request) -> web.Response:
         after = int(request.query.get("after", "0"))
-        wait = min(int(request.query.get("wait_ms", "0")), LONGEST_WAIT_MS) / 1000
-        if after >= self._revision and wait > 0:
+        wait_s = min(int(request.query.get("wait_ms", "0")), MAX_WAIT_MS) / 1000
+        if after >= self._revision and wait_s > 0:
             try:
-                async with asyncio.timeout(wait), self._changed:
+                async with asyncio.timeout(wait_s), self._changed:
                     await self._changed.wait_for(lambda: self._revision > after)
             except TimeoutError:
                 return web.json_response({"revision": self._revision, "complete": False, "members": []})
-        return web.json_response(self.listing())
+        return web.json_response(self.build_listing())
--- a/mastturn/standins/balancers.py
+++ b/mastturn/standins/balancers.py
@@ -1,4 +1,4 @@
-"""Real balancer processes on loopback, told by configuration files as the platform tells them (DEPLOY)."""
+"""Runs real balancer processes on loopback, configured by files as on the platform (DEPLOY)."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from mastturn.standins.plan import Plan
 from mastturn.standins.ports import free_port
-from mastturn.standins.process import Process, answers
+from mastturn.standins.process import Process, responds_ok
 
 
 def settings(plan: Plan, tier: int, balancers: int) -> dict[str, Any]:
-    """The settings of one tier's balancers, by the names of the simulator's first message."""
+    """Return the settings of one tier's balancers, with the field names of the simulator's first message."""
     return {
         "balancers": balancers,
         "tier": tier,
@@ -25,13 +25,13 @@
         "weights": "none",
         "classes": [
             {
-                "name": kind.name,
-                "target": kind.aim_ms,
-                "deadline": kind.deadline_ms,
-                "effect": "fragile" if kind.effect == "once" else "retryable",
+                "name": request_class.name,
+                "target": request_class.aim_ms,
+                "deadline": request_class.deadline_ms,
+                "effect": "fragile" if request_class.effect == "once" else "retryable",
                 "worth": 1.0,
             }
-            for kind in plan.classes
+            for request_class in plan.classes
         ],
         "limits": {
             "attemptsCap": 4,
@@ -55,14 +55,14 @@
 
 
 class Balancer:
-    """One balancer process; started again it has the same name and address."""
+    """A balancer process; it keeps its name and address across restarts."""
 
     def __init__(
         self,
         name: str,
         discovery: str | list[str],
         known: dict[str, Any] | None,
-        figures: dict[str, Any],
+        settings_values: dict[str, Any],
         folder: Path,
     ) -> None:
         self.name, self._folder = name, folder
@@ -73,23 +73,23 @@
             "discovery": discovery,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512},
             "known": known,
-            "settings": figures,
+            "settings": settings_values,
         }
         self.process = Process(name, folder)
 
     async def start(self) -> None:
-        """Start it, and wait until it is ready; LabError if it ends or does not get ready."""
+        """Start the process and wait until it is ready; raises LabError if it exits or does not get ready."""
         path = self._folder / f"{self.name}.json"
         seed = f"{time.time_ns() & 0xFFFFFFFFFFFFFFFF:016x}"
         path.write_text(json.dumps(self._config | {"seed": seed}))
         environment = {"EDGE_CONFIG": str(path), "TMPDIR": str(self._folder)}
         await self.process.start("passpost", environment=environment)
-        await self.process.until_ready(lambda: answers(self.address, "/health/ready"))
+        await self.process.wait_until_ready(lambda: responds_ok(self.address, "/health/ready"))
 
     async def kill(self) -> None:
-        """End it without a word."""
+        """Kill the process with SIGKILL."""
         await self.process.kill()
 
     async def stop(self) -> None:
-        """Tell it to end, and kill it if it does not."""
+        """Stop the process with SIGTERM, and kill it if it does not exit in time."""
         await self.process.stop()
--- a/mastturn/standins/plan.py
+++ b/mastturn/standins/plan.py
@@ -1,6 +1,6 @@
-"""What a play on real sockets is made of: a TOML file of one's own, or the demo's figures.
+"""Defines the plan of a run on real sockets, read from a TOML file or taken from the demo's defaults.
 
-Every name carries its unit. Times of work are of one request on a core that is free.
+Names carry their units. Work times are those of one request on an idle core.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from mastturn.files import LabError, read_toml
 
 
-class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RequestClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A class of requests."""
 
     name: str
@@ -25,29 +25,29 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A play: how long, how much, and what goes wrong when (seconds from the first request)."""
+    """A load run: duration, load, and times of faults in seconds from the first request."""
 
     seconds: float
     requests_per_s: float = 40.0
     balancers: int = 2
     front_upstreams: int = 4
     kitchen_upstreams: int = 4
-    cores: int = 4  # of each upstream
+    cores: int = 4  # per upstream
     seed: int = 1
-    classes: tuple[Kind, ...] = (
-        Kind("menu-view", 0.54, 30.0, 2_500.0, 6_000.0),
-        Kind("pick-save", 0.26, 15.0, 1_000.0, 2_500.0),
-        Kind("box-pay", 0.20, 10.0, 800.0, 2_000.0, "once"),
+    classes: tuple[RequestClass, ...] = (
+        RequestClass("menu-view", 0.54, 30.0, 2_500.0, 6_000.0),
+        RequestClass("pick-save", 0.26, 15.0, 1_000.0, 2_500.0),
+        RequestClass("box-pay", 0.20, 10.0, 800.0, 2_000.0, "once"),
     )
-    release_at_s: float | None = None  # the front's upstreams are replaced one by one
-    silent_at_s: float | None = None  # one kitchen upstream answers nothing from then on
-    kill_balancer_at_s: float | None = None  # one front balancer is killed and started again
+    release_at_s: float | None = None  # the front upstreams are restarted one by one
+    silent_at_s: float | None = None  # one kitchen upstream stops answering
+    kill_balancer_at_s: float | None = None  # one front balancer is killed and restarted
 
 
-MOST_REQUESTS = 100_000  # of one play: load is bounded
-MOST_SECONDS = 3_600.0
+MAX_REQUESTS = 100_000  # upper bound on the load of one run
+MAX_SECONDS = 3_600.0
 LIMITS = (
-    ("seconds", 1.0, MOST_SECONDS),
+    ("seconds", 1.0, MAX_SECONDS),
     ("requests_per_s", 0.1, 2_000.0),
     ("balancers", 1, 16),
     ("front_upstreams", 1, 32),
@@ -57,23 +57,23 @@
 
 
 def demo(seconds: float) -> Plan:
-    """The newcomer's play: a release in the middle."""
+    """Return the plan of the demo, with a release after a third of the time."""
     return check(Plan(seconds=seconds, release_at_s=seconds / 3), "--seconds")
 
 
 def read_plan(path: Path) -> Plan:
-    """A play of one's own; raises LabError."""
+    """Read a plan from a file; raises LabError."""
     return check(read_toml(path, Plan), str(path))
 
 
 def check(plan: Plan, where: str) -> Plan:
-    """Refuse what is out of bounds, in one line."""
+    """Return the plan; raises LabError with one line if a value is out of bounds."""
     for name, low, high in LIMITS:
         value = getattr(plan, name)
         if not low <= value <= high:
             raise LabError(f"{where}: {name}: {value:g}, allowed: {low:g} to {high:g}")
-    if plan.seconds * plan.requests_per_s > MOST_REQUESTS:
-        raise LabError(f"{where}: requests_per_s: over {MOST_REQUESTS} requests in all, which is the most")
+    if plan.seconds * plan.requests_per_s > MAX_REQUESTS:
+        raise LabError(f"{where}: requests_per_s: over {MAX_REQUESTS} requests in all, which is the most")
     if not plan.classes or sum(c.portion for c in plan.classes) <= 0:
         raise LabError(f"{where}: classes: need portions over 0")
     for name in ("release_at_s", "silent_at_s", "kill_balancer_at_s"):
--- a/mastturn/standins/upstream.py
+++ b/mastturn/standins/upstream.py
@@ -1,7 +1,8 @@
-"""An upstream on a loopback socket (PROTOCOL, "Balancers to upstreams").
+"""Implements an upstream on a loopback socket (PROTOCOL, "Balancers to upstreams").
 
-It holds a core while it works, calls the next tier through a balancer of its own, reports its load with
-each answer, turns requests away while it drains, and can fall silent. Started again, it has a new start time.
+A request holds a core while it works and then calls the next tier through the local balancer. Each response
+carries a load report. The upstream rejects requests while it drains and can be made to stop answering. A
+restart gives it a new start time.
 """
 
 from __future__ import annotations
@@ -14,39 +15,41 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout, web
 
-from mastturn.standins.plan import Kind
+from mastturn.standins.plan import RequestClass
 
 SLOTS_PER_CORE = 16
-REPORT_S = 0.5  # how often its report is taken anew
+REPORT_INTERVAL_S = 0.5  # refresh interval of the load report
 _ids = count(1)
 
 
 class Upstream:
-    """One upstream; its address stays the same over its processes."""
+    """An upstream server; it keeps its address across restarts."""
 
-    def __init__(self, name: str, kinds: dict[str, Kind], cores: int, share: float) -> None:
-        self.name, self._kinds, self._cores, self._share = name, kinds, cores, share
-        self.next_tier: str | None = None  # address of the balancer beside it
+    def __init__(self, name: str, classes: dict[str, RequestClass], cores: int, work_share: float) -> None:
+        self.name, self._classes, self._cores, self._work_share = name, classes, cores, work_share
+        self.next_tier: str | None = None  # address of the local balancer for calls to the next tier
         self.port = 0
         self.up_since_ms = 0
         self.draining = self.silent = False
-        self.begun_once_only = list[str]()  # ids of requests that must not run twice, as they were begun
-        self.on_begin: Callable[[str, str], None] = lambda number, kind: None  # hears of each that begins
-        self._free = asyncio.Semaphore(cores)
-        self._held = 0
-        self._busy_s, self._report_at, self._util = 0.0, time.monotonic(), 0.0
+        self.non_repeatable_ids = list[str]()  # ids of requests that must not run twice, in start order
+        self.on_request_begin: Callable[[str, str], None] = lambda request_id, request_class: (
+            None
+        )  # called when a request starts
+        self._core_slots = asyncio.Semaphore(cores)
+        self._in_flight = 0
+        self._busy_s, self._report_taken_s, self._utilization = 0.0, time.monotonic(), 0.0
         self._session: ClientSession | None = None
         self._runner: web.AppRunner | None = None
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Listen address."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
-        """Listen; the first time on a port from the system."""
+        """Start listening; the first time on a port assigned by the system."""
         app = web.Application()
-        app.router.add_route("*", "/{path:.*}", self._answer)
+        app.router.add_route("*", "/{path:.*}", self._handle_request)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", self.port, reuse_address=True)
@@ -56,51 +59,51 @@
         self.draining = self.silent = False
 
     async def stop(self) -> None:
-        """End: its connections close."""
+        """Stop the server and close its connections."""
         if self._session is not None:
             await self._session.close()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def restart(self) -> None:
-        """A new process in its place."""
+        """Restart the server with a new start time."""
         await self.stop()
         self.up_since_ms = int(time.time() * 1000)
         await self.start()
 
-    async def _answer(self, request: web.Request) -> web.Response:
-        number = request.headers.get("X-Txn")
-        if number is None:
+    async def _handle_request(self, request: web.Request) -> web.Response:
+        request_id = request.headers.get("X-Txn")
+        if request_id is None:
             return web.Response(status=404)
         if self.silent:
             await asyncio.sleep(3_600)
-        if self.draining or self._held >= SLOTS_PER_CORE * self._cores:
+        if self.draining or self._in_flight >= SLOTS_PER_CORE * self._cores:
             return web.Response(status=503, headers={"X-Turned-Away": "1", **self._report()})
-        kind = self._kinds.get(request.path.strip("/").partition("/")[0])
-        if kind is None:
+        request_class = self._classes.get(request.path.strip("/").partition("/")[0])
+        if request_class is None:
             return web.Response(status=400)
         body = await request.read()
-        self.on_begin(number, kind.name)
-        if kind.effect == "once":
-            self.begun_once_only.append(number)
-        self._held += 1
+        self.on_request_begin(request_id, request_class.name)
+        if request_class.effect == "once":
+            self.non_repeatable_ids.append(request_id)
+        self._in_flight += 1
         try:
-            async with self._free:
-                await asyncio.sleep(kind.work_ms / 1000 * self._share)
-                self._busy_s += kind.work_ms / 1000 * self._share
-            if self.next_tier is not None and not await self._call(request, number, body):
+            async with self._core_slots:
+                await asyncio.sleep(request_class.work_ms / 1000 * self._work_share)
+                self._busy_s += request_class.work_ms / 1000 * self._work_share
+            if self.next_tier is not None and not await self._call_next_tier(request, request_id, body):
                 return web.Response(status=500, headers=self._report())
         finally:
-            self._held -= 1
-        return web.Response(text=number, headers=self._report())
+            self._in_flight -= 1
+        return web.Response(text=request_id, headers=self._report())
 
-    async def _call(self, request: web.Request, number: str, body: bytes) -> bool:
-        """Call the next tier; a new request with the time that remains."""
+    async def _call_next_tier(self, request: web.Request, request_id: str, body: bytes) -> bool:
+        """Send a new request with the remaining time to the next tier; return whether it succeeded."""
         assert self._session is not None
         remaining = float(request.headers.get("X-Remaining", "1"))
-        mine = f"{number}.{next(_ids)}"
+        child_id = f"{request_id}.{next(_ids)}"
         headers = {
-            "X-Txn": mine,
+            "X-Txn": child_id,
             "X-Remaining": f"{remaining:.3f}",
             "X-Org": request.headers.get("X-Org", ""),
         }
@@ -110,14 +113,14 @@
             async with self._session.request(
                 request.method, url, data=body, headers=headers, timeout=timeout
             ) as answer:
-                return answer.status == 200 and await answer.text() == mine
+                return answer.status == 200 and await answer.text() == child_id
         except (ClientError, TimeoutError, OSError):
             return False
 
     def _report(self) -> dict[str, str]:
         now = time.monotonic()
-        if now - self._report_at >= REPORT_S:
-            self._util = min(self._busy_s / (self._cores * (now - self._report_at)), 1.0)
-            self._busy_s, self._report_at = 0.0, now
-        report = {"latency_ms": 0.0, "util": round(self._util, 4)}
+        if now - self._report_taken_s >= REPORT_INTERVAL_S:
+            self._utilization = min(self._busy_s / (self._cores * (now - self._report_taken_s)), 1.0)
+            self._busy_s, self._report_taken_s = 0.0, now
+        report = {"latency_ms": 0.0, "util": round(self._utilization, 4)}
         return {"X-Pressure": json.dumps(report)}
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -14,7 +14,7 @@
 
 from mastturn.cli import main
 from mastturn.standins.agent import Agent
-from mastturn.standins.plan import Kind, Plan
+from mastturn.standins.plan import Plan, RequestClass
 from mastturn.standins.upstream import Upstream
 
 SMALL = """
@@ -102,7 +102,7 @@
 
 def test_an_upstream_speaks_the_protocol() -> None:
     async def talk() -> None:
-        kinds = {"read": Kind("read", 1.0, 1.0, 100.0, 100.0)}
+        kinds = {"read": RequestClass("read", 1.0, 1.0, 100.0, 100.0)}
         upstream = Upstream("u", kinds, 1, 1.0)
         await upstream.start()
         try:
@@ -137,16 +137,16 @@
                 async def watch() -> dict[str, object]:
                     query = f"{url}?after={whole['revision']}&wait_ms=20000"
                     async with session.get(query) as answer:
-                        told: dict[str, object] = await answer.json()
-                        return told
+                        update: dict[str, object] = await answer.json()
+                        return update
 
                 watching = asyncio.create_task(watch())
                 await asyncio.sleep(0)
                 upstream.draining = True
-                await agent.changed()
-                told = await watching
-                assert told["revision"] == whole["revision"] + 1
-                assert told["members"][0]["phase"] == "leaving"  # type: ignore[index]
+                await agent.notify_change()
+                update = await watching
+                assert update["revision"] == whole["revision"] + 1
+                assert update["members"][0]["phase"] == "leaving"  # type: ignore[index]
                 async with session.get(f"{url}?after=99&wait_ms=1") as answer:
                     assert (await answer.json())["members"] == []
         finally:
