--- a/dissemination/follower.py
+++ b/dissemination/follower.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from config.errors import GapError
-from dissemination.bulletin import LatestUpdates
+from dissemination.latest_updates import LatestUpdates
 from dissemination.lists import ListCopy, digest_of
 from dissemination.messages import (
     Attach,
@@ -30,7 +30,7 @@
     UpstreamChange,
     UpstreamNews,
 )
-from dissemination.relays import parent_of
+from dissemination.relay_tree import parent_of
 from transport.endpoint import Endpoint
 from transport.links import Links
 from transport.wire import EDITION, STEPS_EDITION, Link
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -15,14 +15,14 @@
 from balancer.wire import UpstreamRequest
 from config.configuration import Configuration, Upstream
 from config.settings import Bounds, CloudApi, Limits, Settings
-from dissemination.holdings import Holdings
+from dissemination.cached_prefixes import Holdings
 from dissemination.load_steps import Loads
 from dissemination.loads import ENTRY_BYTES, LoadSum, PeerLoads
 from dissemination.messages import Holding, HoldingNews, HoldingReport, LoadNews, LoadReport, UpstreamLoad
 from mastturn.engines.demand import Asked
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Figures, Job
-from mastturn.engines.wire import HEAD_BYTES, Network, SimulatedUpstreams, extra
+from mastturn.engines.upstreams import HEAD_BYTES, Network, SimulatedUpstreams, extra
 from mastturnd.balancing import HOLDINGS_REPORT_DELAY_S
 from passpost.attempt import OutgoingRequest
 
