--- a/mastturn/control_check/planted.py
+++ b/mastturn/control_check/planted.py
@@ -45,7 +45,7 @@
 TWO_ACKNOWLEDGED = ("submit 0 0", *ACKNOWLEDGED, "submit 1 0", *ACKNOWLEDGED)
 LOGGED = ("submit 0 0", "sync 0", "run 0", "sync 0")
 WRITE_LOST = ("submit 0 0", "deliver Write 0 1", "crash 1", "run 1")
-STORM = Shape(3, 1, sync_ms=20.0, storm=True, link=STORM_LINK)
+STORM = Shape(3, 1, sync_ms=20.0, storm=True, air=STORM_LINK)
 
 
 @dataclass(frozen=True, slots=True)
