--- a/mastturn/allowance_check/__init__.py
+++ b/mastturn/allowance_check/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of the allowances' protocol: a search of all orders of events, and a week of tenants."""
+"""Checks of the allowance protocol: a model search over event orders, and a simulated week of tenants."""
--- a/mastturn/allowance_check/search.py
+++ b/mastturn/allowance_check/search.py
@@ -1,8 +1,8 @@
-"""Every order of events, within bounds, of three replicas, the ledger's holder and what its backup has.
+"""Bounded model search over the event orders of replicas, the ledger holder and its backup.
 
-Messages may come twice, late, in any order or never. A holder may be replaced at any moment and go on as if
-nothing had happened; a replica may start anew and lose all that it knew. What may not be: requests run on
-more tokens than the tenant's allowance. Defects can be planted to see that the search finds them.
+Messages may be duplicated, delayed, reordered or lost. A holder may be replaced at any time and keep acting
+as the holder; a replica may restart and lose its state. The invariant: requests never consume more tokens
+than the tenant's allowance. Defects can be planted to verify that the search finds them.
 """
 
 from __future__ import annotations
@@ -18,117 +18,122 @@
 
 TENANT = "t"
 DEFECTS = {
-    "early": "a grant goes out before the backup has it",
-    "unfenced": "the backup takes a change of a holder that was replaced",
-    "delta": "a grant tells a difference, not a total",
-    "reborn": "a replica that starts anew gives back what its last life was granted",
-    "generous": "what requests have reserved comes back with a recall",
+    "early": "a grant is sent before the backup has stored it",
+    "unfenced": "the backup accepts a write from a holder that was replaced",
+    "delta": "a grant carries a difference instead of the total",
+    "reborn": "a restarted replica returns what its previous incarnation was granted",
+    "generous": "a recall also returns tokens reserved by running requests",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """A holder's change on its way to the backup, and the messages that follow once it is there."""
+    """A write from a holder to the backup, and the messages to send once it is stored."""
 
     epoch: int
     state: tuple[Any, ...]
-    then: tuple[Any, ...]
-    done: bool = False  # the backup has it; on its way back
+    follow_ups: tuple[Any, ...]
+    is_stored: bool = False  # stored by the backup; the acknowledgement is in flight
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """One that leads, or believes so."""
+    """A ledger holder, current or replaced without its knowledge."""
 
     epoch: int
     state: tuple[Any, ...]
-    waits: bool = False  # for the backup
+    awaits_backup: bool = False  # for the backup's acknowledgement
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Everything at one moment."""
+    """The state of the whole system."""
 
     holders: tuple[Holder, ...]
-    backup: tuple[int, tuple[Any, ...]]  # the epoch that it has promised, and what it has
-    accounts: tuple[tuple[int, ...], ...]  # life, granted, returned, spent, reserved of each replica
+    backup: tuple[int, tuple[Any, ...]]  # highest epoch accepted, and the stored ledger state
+    accounts: tuple[tuple[int, ...], ...]  # per replica: incarnation, granted, returned, spent, reserved
     messages: frozenset[Any]
-    gone: int = 0  # tokens that lives which are over have run on
+    consumed_before_restart: int = 0  # tokens consumed by earlier incarnations
     requests: int = 0
     restarts: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How far the search goes."""
+    """Limits of the search."""
 
     tokens: int = 3
     replicas: int = 3
     requests: int = 4
     restarts: int = 1
     takeovers: int = 1
-    losses: bool = True  # of messages; without them each is only late
+    losses: bool = True  # messages may be lost; otherwise they are only delayed
     states: int = 60_000
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How many states were seen, whether that was all of them, and the steps to an overrun."""
+    """The number of states visited, whether the search is complete, and the steps to an overrun."""
 
     states: int
-    whole: bool
+    complete: bool
     steps: tuple[str, ...] | None
 
 
 class Search:
-    """One search."""
+    """Breadth-first search over the reachable states within the bounds."""
 
     def __init__(self, bounds: Bounds, defect: str = "") -> None:
-        """`defect`: one of `DEFECTS`, or none."""
+        """`defect`: a key of `DEFECTS`, or empty for none."""
         self.bounds, self.defect = bounds, defect
 
     def run(self) -> Result:
-        """Breadth first, so that the steps to an overrun are as few as can be."""
+        """Search breadth-first, so that a trace to an overrun has the fewest steps."""
         state = Ledger({TENANT: self.bounds.tokens}).state()
         accounts = tuple((0, 0, 0, 0, 0) for _ in range(self.bounds.replicas))
-        first = State((Holder(1, state),), (1, state), accounts, frozenset())
-        before: dict[State, tuple[State, str] | None] = {first: None}
-        queue = deque([first])
+        initial = State((Holder(1, state),), (1, state), accounts, frozenset())
+        predecessors: dict[State, tuple[State, str] | None] = {initial: None}
+        queue = deque([initial])
         while queue:
-            state_now = queue.popleft()
-            for step, following in self._steps(state_now):
-                if following in before:
+            current = queue.popleft()
+            for step, next_state in self._transitions(current):
+                if next_state in predecessors:
                     continue
-                before[following] = state_now, step
-                if self.run_on(following) > self.bounds.tokens:
-                    return Result(len(before), False, self._story(before, following))
-                if len(before) >= self.bounds.states:
-                    return Result(len(before), False, None)
-                queue.append(following)
-        return Result(len(before), True, None)
+                predecessors[next_state] = current, step
+                if self.consumed_tokens(next_state) > self.bounds.tokens:
+                    return Result(len(predecessors), False, self._trace(predecessors, next_state))
+                if len(predecessors) >= self.bounds.states:
+                    return Result(len(predecessors), False, None)
+                queue.append(next_state)
+        return Result(len(predecessors), True, None)
 
     @staticmethod
-    def run_on(state: State) -> int:
-        """Tokens that requests have run on or may run on now."""
-        return state.gone + sum(spent + reserved for _, _, _, spent, reserved in state.accounts)
+    def consumed_tokens(state: State) -> int:
+        """Tokens that requests have consumed or may still consume."""
+        return state.consumed_before_restart + sum(
+            spent + reserved for _, _, _, spent, reserved in state.accounts
+        )
 
     @staticmethod
-    def _story(before: dict[State, tuple[State, str] | None], state: State) -> tuple[str, ...]:
+    def _trace(predecessors: dict[State, tuple[State, str] | None], state: State) -> tuple[str, ...]:
         steps: list[str] = []
-        while (came := before[state]) is not None:
-            state, step = came
+        while (predecessor := predecessors[state]) is not None:
+            state, step = predecessor
             steps.append(step)
         return tuple(reversed(steps))
 
-    # ---- what may happen
+    # ---- transitions
 
-    def _steps(self, state: State) -> Iterator[tuple[str, State]]:
-        for number in range(len(state.accounts)):
-            yield from self._replica(state, number)
-        for number, holder in enumerate(state.holders):
+    def _transitions(self, state: State) -> Iterator[tuple[str, State]]:
+        for index in range(len(state.accounts)):
+            yield from self._replica_transitions(state, index)
+        for index, holder in enumerate(state.holders):
             for message in state.messages:
-                if isinstance(message, TokenRequest) and not holder.waits:
-                    yield f"holder {holder.epoch} hears {_text(message)}", self._asked(state, number, message)
+                if isinstance(message, TokenRequest) and not holder.awaits_backup:
+                    yield (
+                        f"holder {holder.epoch} receives {_describe(message)}",
+                        self._handle_token_request(state, index, message),
+                    )
         if len(state.holders) <= self.bounds.takeovers:
             epoch = state.backup[0] + 1
             holders = (*state.holders, Holder(epoch, state.backup[1]))
@@ -138,112 +143,122 @@
             )
         for message in state.messages:
             if isinstance(message, Write):
-                yield from self._written(state, message)
+                yield from self._backup_transitions(state, message)
             if self.bounds.losses:
-                yield f"{_text(message)} is lost", replace(state, messages=state.messages - {message})
+                yield f"{_describe(message)} is lost", replace(state, messages=state.messages - {message})
 
-    def _replica(self, state: State, number: int) -> Iterator[tuple[str, State]]:
-        account = _account(state, number)
+    def _replica_transitions(self, state: State, index: int) -> Iterator[tuple[str, State]]:
+        account = _build_account(state, index)
         if state.requests < self.bounds.requests:
             counted = replace(state, requests=state.requests + 1)
             if account.reserve(1):
-                yield f"replica {number} sends a request", _with(counted, number, account)
+                yield f"replica {index} sends a request", _with_account(counted, index, account)
             else:
-                asks = state.messages | {account.request_tokens(1)}
-                yield f"replica {number} asks for one", replace(counted, messages=asks)
+                sent_messages = state.messages | {account.request_tokens(1)}
+                yield f"replica {index} requests a token", replace(counted, messages=sent_messages)
         for used in (0, 1):
-            account = _account(state, number)
+            account = _build_account(state, index)
             if account.reserved:
                 account.settle(1, used, account.window)
-                yield f"replica {number}'s request ends, {used} used", _with(state, number, account)
+                yield f"replica {index}'s request ends, {used} used", _with_account(state, index, account)
         if state.restarts < self.bounds.restarts:
-            life, _, _, spent, reserved = state.accounts[number]
+            incarnation_id, _, _, spent, reserved = state.accounts[index]
             accounts = list(state.accounts)
-            accounts[number] = (life + 1, 0, 0, 0, 0)
-            found = replace(state, accounts=tuple(accounts), gone=state.gone + spent + reserved)
-            yield f"replica {number} starts anew", replace(found, restarts=state.restarts + 1)
+            accounts[index] = (incarnation_id + 1, 0, 0, 0, 0)
+            next_state = replace(
+                state,
+                accounts=tuple(accounts),
+                consumed_before_restart=state.consumed_before_restart + spent + reserved,
+            )
+            yield f"replica {index} restarts", replace(next_state, restarts=state.restarts + 1)
         for message in state.messages:
-            account = _account(state, number)
-            if isinstance(message, Grant) and message.replica == str(number):
-                self._take(account, message)
-                yield f"replica {number} hears {_text(message)}", _with(state, number, account)
+            account = _build_account(state, index)
+            if isinstance(message, Grant) and message.replica == str(index):
+                self._apply_grant(account, message)
+                yield f"replica {index} receives {_describe(message)}", _with_account(state, index, account)
             elif isinstance(message, Recall):
-                told = self._recalled(account, message)
-                if told is not None:
-                    found = _with(state, number, account)
-                    yield f"replica {number} gives back", replace(found, messages=found.messages | {told})
-
-    def _take(self, account: Account, grant: Grant) -> None:
+                response = self._handle_recall(account, message)
+                if response is not None:
+                    next_state = _with_account(state, index, account)
+                    yield (
+                        f"replica {index} returns unused tokens",
+                        replace(next_state, messages=next_state.messages | {response}),
+                    )
+
+    def _apply_grant(self, account: Account, grant: Grant) -> None:
         if self.defect == "delta" and grant.incarnation == account.incarnation:
             account.granted += grant.granted
         else:
             account.apply_grant(grant)
 
-    def _recalled(self, account: Account, recall: Recall) -> TokenRequest | None:
-        told = account.handle_recall(recall)
-        if self.defect == "generous" and told is not None:
+    def _handle_recall(self, account: Account, recall: Recall) -> TokenRequest | None:
+        response = account.handle_recall(recall)
+        if self.defect == "generous" and response is not None:
             account.returned += account.reserved
             return account.request_tokens(0)
-        return told
+        return response
 
-    def _asked(self, state: State, number: int, ask: TokenRequest) -> State:
-        holder = state.holders[number]
+    def _handle_token_request(self, state: State, index: int, request: TokenRequest) -> State:
+        holder = state.holders[index]
         ledger = Ledger.from_state(holder.state)
         tenant = ledger.tenant(TENANT)
         assert tenant is not None
         if self.defect == "reborn":
-            for (replica, life), drawn in tenant.allocations.items():
-                if replica == ask.replica and life != ask.incarnation:
-                    drawn.returned = drawn.granted
-        grant, recall = ledger.handle_request(ask, self.bounds.replicas)
+            for (replica, incarnation_id), allocation in tenant.allocations.items():
+                if replica == request.replica and incarnation_id != request.incarnation:
+                    allocation.returned = allocation.granted
+        grant, recall = ledger.handle_request(request, self.bounds.replicas)
         if self.defect == "delta" and grant is not None:
-            grant = replace(grant, granted=grant.granted - ask.granted)
-        then = tuple(m for m in (grant, recall) if m is not None)
-        write = Write(holder.epoch, ledger.state(), then)
+            grant = replace(grant, granted=grant.granted - request.granted)
+        follow_ups = tuple(m for m in (grant, recall) if m is not None)
+        write = Write(holder.epoch, ledger.state(), follow_ups)
         holders = list(state.holders)
         messages: set[Any] = {write}
         if self.defect == "early":
-            messages |= set(then)
-        holders[number] = Holder(holder.epoch, holder.state, True)
+            messages |= set(follow_ups)
+        holders[index] = Holder(holder.epoch, holder.state, True)
         return replace(state, holders=tuple(holders), messages=state.messages | messages)
 
-    def _written(self, state: State, write: Write) -> Iterator[tuple[str, State]]:
-        if not write.done:
+    def _backup_transitions(self, state: State, write: Write) -> Iterator[tuple[str, State]]:
+        if not write.is_stored:
             if write.epoch == state.backup[0] or self.defect == "unfenced":
-                back = state.messages - {write} | {replace(write, done=True)}
+                in_flight = state.messages - {write} | {replace(write, is_stored=True)}
                 backup = state.backup[0], write.state
-                yield f"the backup has {_text(write)}", replace(state, backup=backup, messages=back)
+                yield (
+                    f"the backup stores {_describe(write)}",
+                    replace(state, backup=backup, messages=in_flight),
+                )
             return
-        for number, holder in enumerate(state.holders):
-            if holder.epoch == write.epoch and holder.waits:
+        for index, holder in enumerate(state.holders):
+            if holder.epoch == write.epoch and holder.awaits_backup:
                 holders = list(state.holders)
-                holders[number] = Holder(holder.epoch, write.state)
-                messages = state.messages - {write} | set(write.then)
-                found = replace(state, holders=tuple(holders), messages=messages)
-                yield f"holder {holder.epoch} knows that the backup has it", found
+                holders[index] = Holder(holder.epoch, write.state)
+                messages = state.messages - {write} | set(write.follow_ups)
+                next_state = replace(state, holders=tuple(holders), messages=messages)
+                yield f"holder {holder.epoch} receives the acknowledgement of the backup", next_state
 
 
-def _account(state: State, number: int) -> Account:
-    life, granted, returned, spent, reserved = state.accounts[number]
-    account = Account(str(number), str(life), TENANT)
+def _build_account(state: State, index: int) -> Account:
+    incarnation_id, granted, returned, spent, reserved = state.accounts[index]
+    account = Account(str(index), str(incarnation_id), TENANT)
     account.window = 1
     account.granted, account.returned, account.spent, account.reserved = granted, returned, spent, reserved
     return account
 
 
-def _with(state: State, number: int, account: Account) -> State:
+def _with_account(state: State, index: int, account: Account) -> State:
     accounts = list(state.accounts)
-    figures = account.granted, account.returned, account.spent, account.reserved
-    accounts[number] = (state.accounts[number][0], *figures)
+    counters = account.granted, account.returned, account.spent, account.reserved
+    accounts[index] = (state.accounts[index][0], *counters)
     return replace(state, accounts=tuple(accounts))
 
 
-def _text(message: Any) -> str:
+def _describe(message: Any) -> str:
     match message:
         case TokenRequest():
-            return f"ask of {message.replica}: {message.granted} known, {message.needed} wanted"
+            return f"token request of {message.replica}: {message.granted} granted, {message.needed} needed"
         case Grant():
-            return f"grant to {message.replica}: {message.granted} in all"
+            return f"grant to {message.replica}: {message.granted} in total"
         case Write():
-            return f"the change of epoch {message.epoch}"
+            return f"the write of epoch {message.epoch}"
     return type(message).__name__.lower()
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -169,11 +169,11 @@
 def test_a_week_stops_every_tenant_at_the_same_point_on_every_replica(seed: int) -> None:
     """Simulates a week with faults: no tenant exceeds its allowance, and all replicas stop it alike."""
     week = Week(tenants=4, replicas=6, requests=400, seed=seed)
-    figures = week.play()
+    figures = week.simulate()
     assert figures.faults >= 21 and figures.wrong_calm == 0
     for name, tokens in week.tokens.items():
-        assert week.run_on[name] <= tokens
-        stops = [r.stopped_at[name] / tokens for r in week.replicas if name in r.stopped_at]
+        assert week.consumed[name] <= tokens
+        stops = [r.consumed_at_refusal[name] / tokens for r in week.replicas if name in r.consumed_at_refusal]
         assert not stops or max(stops) - min(stops) < 0.02
     assert figures.refused > 0
     assert figures.at_once >= 0.9 * (figures.requests - figures.refused)
