--- a/mastturn/soak/__init__.py
+++ b/mastturn/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of a real fleet: upstreams that misbehave, troubles that overlap, and a checker of every answer."""
+"""Soak test of a real fleet: misbehaving upstreams, overlapping faults, and a check of every response."""
--- a/mastturn/soak/checker.py
+++ b/mastturn/soak/checker.py
@@ -1,4 +1,4 @@
-"""Reads the records of a soak and finds what breaks a rule (`rules.py`). Nothing else of the run is seen."""
+"""Checks the records of a soak against the rules (`rules.py`), using nothing but the records."""
 
 from __future__ import annotations
 
@@ -9,250 +9,307 @@
 from dataclasses import dataclass
 
 from mastturn.soak import faults, lag
-from mastturn.soak.clients import PATIENCE_S
-from mastturn.soak.records import Arrival, Ask, End, EndKind, Records, Style
+from mastturn.soak.clients import RESPONSE_MARGIN_S
+from mastturn.soak.records import Arrival, ClientBehavior, ClientRequest, EndKind, Records, RequestEnd
 from mastturn.soak.rules import Rule
 
-PROMISES = (408, 421, 429, 503)
-TOUCH_S = 0.1  # a kill or a stop so shortly before a request is sent, or after its end, is an excuse
-DRAIN_S = 4.0  # the bound of the drain, and what the list and the news take
-RECOVERY_S = 2.0  # a trouble of the control state, the list or a balancer holds news up so long after its end
-NEWS_S = 2.5  # without one, news are everywhere within this: the list is read each second
-CROSSING_S = 0.02  # bytes that belong to no request may have crossed a request that was sent so soon
-DUE_S = 0.3  # before its deadline an answer that is whole at its upstream must reach the client
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+EXCUSE_MARGIN_S = 0.1  # a kill or pause this shortly before a request or after its end excuses its failure
+MAX_DRAIN_S = 4.0  # limit of a drain, including the delay of the list and of its propagation
+RECOVERY_S = 2.0  # for this long after a fault of control, list or balancer, updates may still be delayed
+MAX_PROPAGATION_S = (
+    2.5  # without faults, updates reach every balancer within this; the list is read once a second
+)
+CROSSING_S = 0.02  # stray bytes may have crossed a request that arrived this soon after them
+DELIVERY_MARGIN_S = 0.3  # a response complete this long before its deadline must reach the client
 _EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\S+) (\d+)/(\d+)\n\n")
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One broken rule: what the request met, and in words what is wrong. `at` on the monotonic clock."""
+    """One violation of a rule: the faults that its request met, and a description. `at`: monotonic clock."""
 
     rule: Rule
     at: float
-    request: str
-    words: str
+    request_id: str
+    description: str
     faults: tuple[str, ...] = ()
     balancer: str = ""
 
 
 class Checker:
-    """The records by request, and the rules."""
+    """Indexes the records by request and checks them against the rules."""
 
     def __init__(self, records: Records) -> None:
         self._records = records
         self._arrivals: dict[str, list[Arrival]] = defaultdict(list)
         for arrival in records.arrivals:
-            self._arrivals[arrival.request].append(arrival)
+            self._arrivals[arrival.request_id].append(arrival)
         self._runs = {a.seal: a for a in records.arrivals if a.seal}
 
     def findings(self) -> list[Finding]:
-        """All of them, in the order of their moments."""
-        found = [f for ask in self._records.asks for f in self._check(ask)]
-        found += [*self._drains(), *self._configuration(), *self._others()]
+        """Return all findings, in order of time."""
+        found = [f for client_request in self._records.requests for f in self._check(client_request)]
+        found += [*self._check_drains(), *self._check_configuration(), *self._check_processes_and_input()]
         return sorted(found, key=lambda f: f.at)
 
-    def _finding(self, rule: Rule, ask: Ask, words: str) -> Finding:
-        arrivals = self._arrivals[ask.request]
-        at = ask.ends[0].at if ask.ends else ask.sent_at
-        return Finding(rule, at, ask.request, words, tuple(a.fault.value for a in arrivals), ask.balancer)
+    def _finding(self, rule: Rule, client_request: ClientRequest, description: str) -> Finding:
+        arrivals = self._arrivals[client_request.request_id]
+        at = client_request.ends[0].at if client_request.ends else client_request.sent_at
+        return Finding(
+            rule,
+            at,
+            client_request.request_id,
+            description,
+            tuple(a.fault.value for a in arrivals),
+            client_request.balancer,
+        )
 
     # ---- one request
 
-    def _check(self, ask: Ask) -> Iterator[Finding]:
-        runs = [a for a in self._arrivals[ask.request] if a.ran]
-        if len(ask.ends) != 1:
-            yield self._finding(Rule.ENDS, ask, f"{len(ask.ends)} ends")
+    def _check(self, client_request: ClientRequest) -> Iterator[Finding]:
+        runs = [a for a in self._arrivals[client_request.request_id] if a.ran]
+        if len(client_request.ends) != 1:
+            yield self._finding(Rule.ENDS, client_request, f"{len(client_request.ends)} ends")
             return
-        if not ask.kind.is_idempotent and len(runs) > 1:
-            yield self._finding(Rule.TWICE, ask, f"{ask.kind.value} ran {len(runs)} times")
-        for arrival in self._arrivals[ask.request]:
-            if arrival.size is not None and arrival.size != ask.size:
-                yield self._finding(Rule.UNASKED, ask, f"{arrival.size} of {ask.size} bytes at an upstream")
-        end = ask.ends[0]
-        if end.kind is EndKind.WHOLE:
-            yield from self._check_answer(ask, end, runs)
+        if not client_request.kind.is_idempotent and len(runs) > 1:
+            yield self._finding(
+                Rule.TWICE, client_request, f"{client_request.kind.value} ran {len(runs)} times"
+            )
+        for arrival in self._arrivals[client_request.request_id]:
+            if arrival.size is not None and arrival.size != client_request.size:
+                yield self._finding(
+                    Rule.UNASKED,
+                    client_request,
+                    f"{arrival.size} of {client_request.size} bytes at an upstream",
+                )
+        end = client_request.ends[0]
+        if end.kind is EndKind.COMPLETE:
+            yield from self._check_response(client_request, end, runs)
         elif end.kind is EndKind.INVALID:
-            yield self._finding(Rule.MIXED, ask, "the client got what is no answer")
-        if end.kind in (EndKind.WHOLE, EndKind.LEFT) and not _is_failure(end):
+            yield self._finding(
+                Rule.MIXED, client_request, "the client received bytes that are not a valid response"
+            )
+        if end.kind in (EndKind.COMPLETE, EndKind.LEFT) and not _is_failure(end):
             return
-        yield from self._check_loss(ask, end, runs)
+        yield from self._check_loss(client_request, end, runs)
 
-    def _check_answer(self, ask: Ask, end: End, runs: list[Arrival]) -> Iterator[Finding]:
+    def _check_response(
+        self, client_request: ClientRequest, end: RequestEnd, runs: list[Arrival]
+    ) -> Iterator[Finding]:
         seal = end.headers.get("mastturn-server-seal")
         if seal is None:
             if end.status < 300:
-                yield self._finding(Rule.MIXED, ask, f"status {end.status} without a seal")
-            elif end.status in PROMISES and runs and not ask.kind.is_idempotent:
-                yield self._finding(Rule.PROMISE, ask, f"status {end.status}, and it ran")
+                yield self._finding(Rule.MIXED, client_request, f"status {end.status} without a seal")
+            elif end.status in NOT_RUN_STATUSES and runs and not client_request.kind.is_idempotent:
+                yield self._finding(Rule.PROMISE, client_request, f"status {end.status}, but the request ran")
             elif end.body:
-                yield self._finding(Rule.MIXED, ask, f"status {end.status} with a body of its own")
+                yield self._finding(
+                    Rule.MIXED, client_request, f"status {end.status} of the balancer with a body"
+                )
             return
         run = self._runs.get(seal)
-        if run is None or run.request != ask.request:
-            whose = "nobody's" if run is None else run.request
-            yield self._finding(Rule.MIXED, ask, f"it got the answer of {whose}")
+        if run is None or run.request_id != client_request.request_id:
+            owner = "an unknown run" if run is None else run.request_id
+            yield self._finding(Rule.MIXED, client_request, f"received the response of {owner}")
         elif run.status != end.status:
-            yield self._finding(Rule.MIXED, ask, f"status {end.status}, the upstream gave {run.status}")
-        elif ask.kind.is_stream and end.status == 200:
-            yield from self._check_events(ask, end, run)
+            yield self._finding(
+                Rule.MIXED, client_request, f"status {end.status}, but the upstream sent {run.status}"
+            )
+        elif client_request.kind.is_stream and end.status == 200:
+            yield from self._check_events(client_request, end, run)
         elif run.body != end.body:
             yield self._finding(
-                Rule.MIXED, ask, f"{len(end.body)} of {len(run.body)} bytes, framed as complete"
+                Rule.MIXED, client_request, f"{len(end.body)} of {len(run.body)} bytes, framed as complete"
             )
 
-    def _check_events(self, ask: Ask, end: End, run: Arrival) -> Iterator[Finding]:
-        """Each event follows the one before, and is one of a run of this request; the last is there."""
-        last, rest = 0, end.body
-        while (found := _EVENT.match(rest)) is not None:
-            number, seal, request = int(found[1]), found[2].decode(), found[3].decode()
+    def _check_events(
+        self, client_request: ClientRequest, end: RequestEnd, run: Arrival
+    ) -> Iterator[Finding]:
+        """Check that the events are consecutive up to the last, each from a run of this request."""
+        last, remaining = 0, end.body
+        while (found := _EVENT.match(remaining)) is not None:
+            number, seal, request_id = int(found[1]), found[2].decode(), found[3].decode()
             event_run = self._runs.get(seal)
-            if request != ask.request or event_run is None or event_run.request != ask.request:
-                yield self._finding(Rule.MIXED, ask, f"event {number} of {request}")
+            if (
+                request_id != client_request.request_id
+                or event_run is None
+                or event_run.request_id != client_request.request_id
+            ):
+                yield self._finding(Rule.MIXED, client_request, f"event {number} of {request_id}")
                 return
             if number != last + 1:
-                yield self._finding(Rule.GAP, ask, f"event {number} behind {last}")
+                yield self._finding(Rule.GAP, client_request, f"event {number} after event {last}")
                 return
-            last, rest = number, rest[found.end() :]
-        if rest:
-            yield self._finding(Rule.MIXED, ask, f"{len(rest)} bytes that are no event behind event {last}")
+            last, remaining = number, remaining[found.end() :]
+        if remaining:
+            yield self._finding(
+                Rule.MIXED, client_request, f"{len(remaining)} bytes that are no event after event {last}"
+            )
         elif last != run.events:
-            yield self._finding(Rule.GAP, ask, f"complete with {last} of {run.events} events")
-
-    def _check_loss(self, ask: Ask, end: End, runs: list[Arrival]) -> Iterator[Finding]:
-        """What the client missed, where nobody but the balancer can be to blame."""
-        if self._is_excused(ask, end) or any(a.dirty_s < CROSSING_S for a in self._arrivals[ask.request]):
+            yield self._finding(Rule.GAP, client_request, f"complete with {last} of {run.events} events")
+
+    def _check_loss(
+        self, client_request: ClientRequest, end: RequestEnd, runs: list[Arrival]
+    ) -> Iterator[Finding]:
+        """Check for a response that the client missed, where only the balancer can be the cause."""
+        if self._is_excused(client_request, end) or any(
+            a.since_partial_s < CROSSING_S for a in self._arrivals[client_request.request_id]
+        ):
             return
-        is_timed = not self._lags(ask.sent_at, end.at)
-        if end.kind is EndKind.NONE and ask.style is not Style.SLOW and is_timed:
-            yield self._finding(Rule.HELD, ask, f"no end {PATIENCE_S:g} s after its deadline")
+        is_timed = not self._is_lagging(client_request.sent_at, end.at)
+        if end.kind is EndKind.NONE and client_request.behavior is not ClientBehavior.SLOW and is_timed:
+            yield self._finding(
+                Rule.HELD, client_request, f"no response {RESPONSE_MARGIN_S:g} s after its deadline"
+            )
             return
-        served = [a for a in runs if a.whole_at is not None and a.fault in faults.SOUND and a.status == 200]
-        in_time = [a for a in served if self._is_due(a, ask)]
+        served = [
+            a for a in runs if a.complete_at is not None and a.fault in faults.SOUND and a.status == 200
+        ]
+        in_time = [a for a in served if self._is_due(a, client_request)]
         if in_time and end.status != 200 and is_timed:
-            yield self._finding(Rule.UNSERVED, ask, f"{_words(end)} though {in_time[0].seal} was whole")
+            yield self._finding(
+                Rule.UNSERVED,
+                client_request,
+                f"{_describe(end)} although the response of {in_time[0].seal} was complete",
+            )
             return
-        if end.at >= ask.deadline_at:
+        if end.at >= client_request.deadline_at:
             return
-        is_sound = all(a.fault in faults.HARMLESS for a in self._arrivals[ask.request])
+        is_harmless = all(a.fault in faults.HARMLESS for a in self._arrivals[client_request.request_id])
         if (
             end.kind in (EndKind.CUT, EndKind.CLOSED)
             and runs
-            and is_sound
+            and is_harmless
             and not self._has_crashed(runs, end)
         ):
-            rule = Rule.STOP if self._meets("term", ask, end) else Rule.LOST
-            yield self._finding(rule, ask, f"{_words(end)} at a sound upstream")
+            rule = Rule.STOP if self._overlaps_span("term", client_request, end) else Rule.LOST
+            yield self._finding(rule, client_request, f"{_describe(end)} although its upstream was healthy")
 
-    def _is_due(self, run: Arrival, ask: Ask) -> bool:
-        """Whether a whole answer has to reach its client: it left in time, and its upstream lived on."""
-        if run.whole_at is None or run.whole_at >= ask.deadline_at - DUE_S:
+    def _is_due(self, run: Arrival, client_request: ClientRequest) -> bool:
+        """Return whether a response must reach its client: sent in time by an upstream that stayed up."""
+        if run.complete_at is None or run.complete_at >= client_request.deadline_at - DELIVERY_MARGIN_S:
             return False
-        until = run.whole_at + TOUCH_S
-        spans = (s for s in self._records.spans if s.what == "crash" and s.who == run.upstream)
-        return not any(span.meets(run.at, until) for span in spans)
+        until = run.complete_at + EXCUSE_MARGIN_S
+        spans = (s for s in self._records.spans if s.cause == "crash" and s.subject == run.upstream)
+        return not any(span.overlaps(run.at, until) for span in spans)
 
-    def _is_excused(self, ask: Ask, end: End) -> bool:
-        """Whether its balancer was killed, or stood still, while it was open, or its client is to blame."""
-        if ask.style in (Style.LEAVES, Style.HALF_CLOSED):
+    def _is_excused(self, client_request: ClientRequest, end: RequestEnd) -> bool:
+        """Return whether a kill or pause of the balancer, or the client itself, may explain the end."""
+        if client_request.behavior in (ClientBehavior.LEAVES, ClientBehavior.HALF_CLOSED):
             return True
-        return self._meets("kill", ask, end) or self._meets("stop", ask, end)
+        return self._overlaps_span("kill", client_request, end) or self._overlaps_span(
+            "stop", client_request, end
+        )
 
-    def _meets(self, what: str, ask: Ask, end: End) -> bool:
+    def _overlaps_span(self, cause: str, client_request: ClientRequest, end: RequestEnd) -> bool:
         return any(
-            span.what == what
-            and span.who == ask.balancer
-            and span.meets(ask.sent_at - TOUCH_S, end.at + TOUCH_S)
+            span.cause == cause
+            and span.subject == client_request.balancer
+            and span.overlaps(client_request.sent_at - EXCUSE_MARGIN_S, end.at + EXCUSE_MARGIN_S)
             for span in self._records.spans
         )
 
-    def _lags(self, begin: float, end: float) -> bool:
-        """Whether the soak itself was behind meanwhile: by its own clock nothing can be late then."""
-        return any(span.what == lag.LAG and span.meets(begin, end) for span in self._records.spans)
+    def _is_lagging(self, begin: float, end: float) -> bool:
+        """Return whether the soak's event loop lagged meanwhile, so that its own times prove nothing."""
+        return any(span.cause == lag.LAG and span.overlaps(begin, end) for span in self._records.spans)
 
-    def _has_crashed(self, runs: list[Arrival], end: End) -> bool:
-        """Whether one of its upstreams crashed while it was there."""
+    def _has_crashed(self, runs: list[Arrival], end: RequestEnd) -> bool:
+        """Return whether an upstream of the request crashed while handling it."""
         return any(
-            span.what == "crash" and span.who == run.upstream and span.meets(run.at, end.at + TOUCH_S)
+            span.cause == "crash"
+            and span.subject == run.upstream
+            and span.overlaps(run.at, end.at + EXCUSE_MARGIN_S)
             for run in runs
             for span in self._records.spans
         )
 
-    # ---- the whole
+    # ---- the whole run
 
-    def _drains(self) -> Iterator[Finding]:
-        left = {d.upstream: d.at for d in self._records.delisted}
-        balancers = {ask.request: ask.balancer for ask in self._records.asks}
+    def _check_drains(self) -> Iterator[Finding]:
+        delisted_at = {d.upstream: d.at for d in self._records.delisted}
+        balancers = {
+            client_request.request_id: client_request.balancer for client_request in self._records.requests
+        }
         for arrival in self._records.arrivals:
-            since = left.get(arrival.upstream)
-            if since is None or arrival.at - since <= DRAIN_S:
+            since = delisted_at.get(arrival.upstream)
+            if since is None or arrival.at - since <= MAX_DRAIN_S:
                 continue
-            balancer = balancers.get(arrival.request, "")
-            if self._lags(since, arrival.at):
+            balancer = balancers.get(arrival.request_id, "")
+            if self._is_lagging(since, arrival.at):
                 continue
-            if self._longest_calm(since, arrival.at, balancer) >= NEWS_S:
-                words = f"reaches {arrival.upstream} {arrival.at - since:.1f} s after it began to leave"
+            if self._longest_undisturbed_s(since, arrival.at, balancer) >= MAX_PROPAGATION_S:
+                description = (
+                    f"reaches {arrival.upstream} {arrival.at - since:.1f} s after it started draining"
+                )
                 yield Finding(
-                    Rule.DRAIN, arrival.at, arrival.request, words, (arrival.fault.value,), balancer
+                    Rule.DRAIN, arrival.at, arrival.request_id, description, (arrival.fault.value,), balancer
                 )
 
-    def _longest_calm(self, begin: float, end: float, balancer: str) -> float:
-        """The longest time between in which nothing that brings news to a balancer was in trouble."""
-        held_up = sorted(
+    def _longest_undisturbed_s(self, begin: float, end: float, balancer: str) -> float:
+        """Return the longest time without a fault on the way of updates to a balancer."""
+        disturbances = sorted(
             (span.begin, span.end + RECOVERY_S)
             for span in self._records.spans
-            if span.what == "list" or span.who.startswith("core") or span.who == balancer
+            if span.cause == "list" or span.subject.startswith("core") or span.subject == balancer
         )
-        longest, calm_since = 0.0, begin
-        for trouble, over in held_up:
-            longest = max(longest, min(trouble, end) - calm_since)
-            calm_since = max(calm_since, over)
-        return max(longest, end - calm_since)
+        longest, undisturbed_since = 0.0, begin
+        for disturbed_at, recovered_at in disturbances:
+            longest = max(longest, min(disturbed_at, end) - undisturbed_since)
+            undisturbed_since = max(undisturbed_since, recovered_at)
+        return max(longest, end - undisturbed_since)
 
-    def _configuration(self) -> Iterator[Finding]:
+    def _check_configuration(self) -> Iterator[Finding]:
         acked = [put for put in self._records.puts if put.status == 200]
         by_base: dict[int, set[bytes]] = defaultdict(set)
         for put in acked:
             if not put.is_valid:
                 yield Finding(
-                    Rule.CONFIGURATION, put.answered_at, "", f"invalid version {put.ver} is acknowledged"
+                    Rule.CONFIGURATION, put.answered_at, "", f"invalid version {put.ver} was acknowledged"
                 )
             by_base[put.base].add(put.body)
             if len(by_base[put.base]) == 2:
-                words = f"two changes on top of {put.base} are acknowledged"
-                yield Finding(Rule.CONFIGURATION, put.answered_at, "", words)
-        yield from self._reads()
+                description = f"two changes based on version {put.base} were acknowledged"
+                yield Finding(Rule.CONFIGURATION, put.answered_at, "", description)
+        yield from self._check_reads()
         newest = max((put.ver for put in acked), default=0)
-        if self._records.settled_ver < newest:
-            words = f"version {self._records.settled_ver} is read back, {newest} was acknowledged"
-            yield Finding(Rule.CONFIGURATION, 0.0, "", words)
+        if self._records.final_ver < newest:
+            description = f"version {self._records.final_ver} was read back, but {newest} was acknowledged"
+            yield Finding(Rule.CONFIGURATION, 0.0, "", description)
         sent = {put.ver: json.loads(put.body) for put in self._records.puts if put.status == 200}
-        wanted = sent.get(self._records.settled_ver)
-        if wanted is not None and json.loads(self._records.settled_body) != wanted:
-            words = f"version {self._records.settled_ver} is not as it was sent"
-            yield Finding(Rule.CONFIGURATION, 0.0, "", words)
+        expected = sent.get(self._records.final_ver)
+        if expected is not None and json.loads(self._records.final_body) != expected:
+            description = f"version {self._records.final_ver} differs from what was sent"
+            yield Finding(Rule.CONFIGURATION, 0.0, "", description)
 
-    def _reads(self) -> Iterator[Finding]:
-        """A read that was sent after an acknowledgement shows that version or a later one."""
+    def _check_reads(self) -> Iterator[Finding]:
+        """Check that reads sent after an acknowledgement return that version or a later one."""
         for read in self._records.reads:
-            before = [p.ver for p in self._records.puts if p.status == 200 and p.answered_at < read.sent_at]
-            if read.ver and before and read.ver < max(before):
-                words = f"{read.by} shows version {read.ver} after {max(before)} was acknowledged"
-                yield Finding(Rule.CONFIGURATION, read.sent_at, "", words)
+            acknowledged = [
+                p.ver for p in self._records.puts if p.status == 200 and p.answered_at < read.sent_at
+            ]
+            if read.ver and acknowledged and read.ver < max(acknowledged):
+                description = (
+                    f"{read.by} returned version {read.ver} after {max(acknowledged)} was acknowledged"
+                )
+                yield Finding(Rule.CONFIGURATION, read.sent_at, "", description)
 
-    def _others(self) -> Iterator[Finding]:
-        for words in self._records.unclean:
-            yield Finding(Rule.PROCESS, 0.0, "", words)
-        for altered in self._records.altered:
-            words = f"{altered.upstream} got {altered.words}"
-            yield Finding(Rule.UNASKED, altered.at, altered.request, words)
-        for words in self._records.unasked:
-            yield Finding(Rule.ENDS, 0.0, "", f"bytes that nobody asked for: {words}")
+    def _check_processes_and_input(self) -> Iterator[Finding]:
+        for description in self._records.unclean_exits:
+            yield Finding(Rule.PROCESS, 0.0, "", description)
+        for item in self._records.unexpected_inputs:
+            description = f"{item.upstream} received {item.description}"
+            yield Finding(Rule.UNASKED, item.at, item.request_id, description)
+        for description in self._records.unsolicited:
+            yield Finding(Rule.ENDS, 0.0, "", f"bytes without a pending request: {description}")
 
 
-def _is_failure(end: End) -> bool:
-    """Whether it is an answer of the balancer's own that says that the request has failed."""
-    return end.status >= 500 and end.status not in PROMISES and "mastturn-server-seal" not in end.headers
+def _is_failure(end: RequestEnd) -> bool:
+    """Return whether it is an error response generated by the balancer."""
+    return (
+        end.status >= 500 and end.status not in NOT_RUN_STATUSES and "mastturn-server-seal" not in end.headers
+    )
 
 
-def _words(end: End) -> str:
-    return f"status {end.status}" if end.kind is EndKind.WHOLE else end.kind.value
+def _describe(end: RequestEnd) -> str:
+    return f"status {end.status}" if end.kind is EndKind.COMPLETE else end.kind.value
--- a/mastturn/soak/fleet.py
+++ b/mastturn/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's own programs in a soak: real processes that are started, signalled and started again."""
+"""Starts, signals and restarts the fleet's real processes in a soak."""
 
 from __future__ import annotations
 
@@ -17,87 +17,87 @@
 from mastturn.soak.records import Records
 from mastturn.standins.process import Process
 
-GRACE_S = 5.0  # `grace_s` of the settings: who has not ended so long after SIGTERM is killed
-DOWN_S = 0.3  # a process that has ended is started again after this
-LOOK_S = 0.4  # between two questions whether balancers are ready
-READY_S = 30.0
-UP = b"event=started"  # in the log, once a process hears signals and serves
-AT_ONCE = 16  # processes that are started side by side
-LEAD_S = 30.0
+GRACE_S = 5.0  # `grace_s` of the settings: a process still running this long after SIGTERM is killed
+RESTART_DELAY_S = 0.3  # until an ended process is restarted
+READINESS_POLL_S = 0.4  # between two polls of the balancers' readiness
+READY_TIMEOUT_S = 30.0
+STARTED_EVENT = b"event=started"  # logged once a process handles signals and serves
+START_BATCH = 16  # processes that are started concurrently
+LEADER_TIMEOUT_S = 30.0
 
 
 @dataclass(slots=True)
 class Member:
-    """One machine of the fleet with its process."""
+    """One machine of the fleet and its process."""
 
     machine: Machine
     process: Process
-    log_from: int = 0  # bytes of its log that are of earlier starts
-    turn: asyncio.Lock = field(default_factory=asyncio.Lock)  # one trouble after the other
+    log_from: int = 0  # size of its log before the last start, in bytes
+    lock: asyncio.Lock = field(default_factory=asyncio.Lock)  # serializes the faults of one process
 
-    def has_come_up(self) -> bool:
-        """Whether the process has said that it serves; before that a SIGTERM may end it outright."""
-        return UP in self.process.log.read_bytes()[self.log_from :]
+    def has_started(self) -> bool:
+        """Return whether the process has logged its start; before that a SIGTERM ends it without a drain."""
+        return STARTED_EVENT in self.process.log.read_bytes()[self.log_from :]
 
 
 class Fleet:
-    """Control processes and balancers."""
+    """The control processes and balancers of a soak."""
 
     def __init__(self, plan_layout: Layout, folder: Path, records: Records, defect: str = "") -> None:
         self.layout, self._folder, self._records, self._defect = plan_layout, folder, records, defect
         machines = (*plan_layout.cores, *plan_layout.edges)
         self.members = {m.node: Member(m, Process(m.node, folder)) for m in machines}
-        self.ready: list[tuple[str, str]] = []  # balancers that new clients go to, and their addresses
-        self.is_ending = False
+        self.ready: list[tuple[str, str]] = []  # names and addresses of ready balancers
+        self.is_stopping = False
 
     def control(self) -> list[Member]:
-        """The control processes."""
+        """Return the control processes."""
         return [self.members[machine.node] for machine in self.layout.cores]
 
     def balancers(self) -> list[Member]:
-        """The balancers."""
+        """Return the balancers."""
         return [self.members[machine.node] for machine in self.layout.edges]
 
     async def start(self) -> None:
-        """Start all and have a first configuration taken; raises LabError."""
+        """Start all processes and put the first configuration; raises LabError."""
         members = list(self.members.values())
-        for first in range(0, len(members), AT_ONCE):
-            await asyncio.gather(*(self._launch(m, True) for m in members[first : first + AT_ONCE]))
-        if not await callers.put(self.layout.ctl(), configuration(1), 0, LEAD_S):
-            raise LabError(f"the first configuration was not taken: {self._last_words()}")
-        await self._until(lambda: len(self.ready) == len(self.balancers()))
-
-    async def _until(self, condition: Callable[[], bool]) -> None:
-        until = time.monotonic() + READY_S
-        while time.monotonic() < until:
-            await self.look()
+        for first in range(0, len(members), START_BATCH):
+            await asyncio.gather(*(self._launch(m, True) for m in members[first : first + START_BATCH]))
+        if not await callers.put(self.layout.ctl(), configuration(1), 0, LEADER_TIMEOUT_S):
+            raise LabError(f"the first configuration was not accepted: {self._last_log_lines()}")
+        await self._wait_until(lambda: len(self.ready) == len(self.balancers()))
+
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline:
+            await self.poll_readiness()
             if condition():
                 return
-            await asyncio.sleep(LOOK_S)
-        raise LabError(f"the balancers are not ready after {READY_S:g} s: {self._last_words()}")
+            await asyncio.sleep(READINESS_POLL_S)
+        raise LabError(f"the balancers are not ready after {READY_TIMEOUT_S:g} s: {self._last_log_lines()}")
 
     async def watch(self) -> None:
-        """Keep up with who is ready, for ever."""
+        """Poll the balancers' readiness until cancelled."""
         while True:
-            await self.look()
-            await asyncio.sleep(LOOK_S)
+            await self.poll_readiness()
+            await asyncio.sleep(READINESS_POLL_S)
 
-    async def look(self) -> None:
-        """Ask all balancers whether they are ready."""
+    async def poll_readiness(self) -> None:
+        """Update the list of ready balancers."""
         edges = self.layout.edges
-        found = await asyncio.gather(*(_is_ready(self.layout.readyz(machine)) for machine in edges))
+        readiness = await asyncio.gather(*(_is_ready(self.layout.readyz(machine)) for machine in edges))
         self.ready = [
-            (m.node, self.layout.http(m)) for m, is_ready in zip(edges, found, strict=True) if is_ready
+            (m.node, self.layout.http(m)) for m, is_ready in zip(edges, readiness, strict=True) if is_ready
         ]
 
     async def _launch(self, member: Member, bootstrap: bool) -> None:
         machine = member.machine
         settings = self._folder / f"{machine.node}.yaml"
         (self._folder / machine.node).mkdir(exist_ok=True)
-        raw = self.layout.settings(machine, self._folder, bootstrap)
-        raw["bounds"] = {"grace_s": GRACE_S, "retry_slack": 1_000, "fenced": True}
-        raw["log_levels"] = {"balancer": "INFO", "control": "INFO"}
-        layout.write(settings, raw)
+        values = self.layout.settings(machine, self._folder, bootstrap)
+        values["bounds"] = {"grace_s": GRACE_S, "retry_slack": 1_000, "fenced": True}
+        values["log_levels"] = {"balancer": "INFO", "control": "INFO"}
+        layout.write(settings, values)
         environment = {"MASTTURN_CONFIG": str(settings)}
         log = member.process.log
         member.log_from = log.stat().st_size if log.exists() else 0
@@ -108,46 +108,50 @@
         else:
             await member.process.start("mastturnd", machine.role, environment=environment)
 
-    # ---- troubles of processes
+    # ---- faults of processes
 
     async def terminate(self, member: Member) -> None:
-        """SIGTERM, SIGKILL after the grace, and a new start."""
-        async with member.turn:
-            if self.is_ending or not member.process.runs:
+        """Send SIGTERM, SIGKILL after the grace period, and restart the process."""
+        async with member.lock:
+            if self.is_stopping or not member.process.runs:
                 return
             span = self._records.begin("term", member.machine.node, time.monotonic())
             member.process.signal(signal.SIGTERM)
-            await self._await_end(member)
+            await self._wait_for_exit(member)
             span.end = time.monotonic()
-            await self._start_again(member)
-
-    async def _await_end(self, member: Member) -> None:
-        if await _ends(member.process, GRACE_S):
-            never_up = member.process.status == -signal.SIGTERM and not member.has_come_up()
-            if member.process.status != 0 and not never_up:
-                self._records.unclean.append(f"{member.machine.node} ended with {member.process.status}")
+            await self._restart(member)
+
+    async def _wait_for_exit(self, member: Member) -> None:
+        if await _exits_within(member.process, GRACE_S):
+            ended_before_start = member.process.status == -signal.SIGTERM and not member.has_started()
+            if member.process.status != 0 and not ended_before_start:
+                self._records.unclean_exits.append(
+                    f"{member.machine.node} exited with status {member.process.status}"
+                )
             return
         kill = self._records.begin("kill", member.machine.node, time.monotonic())
-        self._records.unclean.append(f"{member.machine.node} had not ended {GRACE_S:g} s after SIGTERM")
+        self._records.unclean_exits.append(
+            f"{member.machine.node} was still running {GRACE_S:g} s after SIGTERM"
+        )
         await member.process.kill()
         kill.end = time.monotonic()
 
-    async def kill(self, member: Member, wipes: bool = False) -> None:
-        """SIGKILL, and a new start; if told so, on an empty disk."""
-        async with member.turn:
-            if self.is_ending or not member.process.runs:
+    async def kill(self, member: Member, wipe_disk: bool = False) -> None:
+        """Send SIGKILL and restart the process; with `wipe_disk`, on an empty disk."""
+        async with member.lock:
+            if self.is_stopping or not member.process.runs:
                 return
             span = self._records.begin("kill", member.machine.node, time.monotonic())
             await member.process.kill()
-            if wipes:
+            if wipe_disk:
                 shutil.rmtree(self._folder / member.machine.node)
-            await self._start_again(member)
+            await self._restart(member)
             span.end = time.monotonic()
 
-    async def stand_still(self, member: Member, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after so long."""
-        async with member.turn:
-            if self.is_ending or not member.process.runs:
+    async def pause(self, member: Member, seconds: float) -> None:
+        """Send SIGSTOP, and SIGCONT after `seconds`."""
+        async with member.lock:
+            if self.is_stopping or not member.process.runs:
                 return
             span = self._records.begin("stop", member.machine.node, time.monotonic())
             member.process.signal(signal.SIGSTOP)
@@ -157,45 +161,49 @@
                 member.process.signal(signal.SIGCONT)
                 span.end = time.monotonic()
 
-    async def hang_up(self, member: Member) -> None:
-        """SIGHUP."""
+    async def send_sighup(self, member: Member) -> None:
+        """Send SIGHUP."""
         member.process.signal(signal.SIGHUP)
 
-    async def _start_again(self, member: Member) -> None:
-        await asyncio.sleep(DOWN_S)
-        if not self.is_ending:
+    async def _restart(self, member: Member) -> None:
+        await asyncio.sleep(RESTART_DELAY_S)
+        if not self.is_stopping:
             await self._launch(member, False)
 
-    def control_calm_s(self) -> float:
-        """Since the last trouble of a control process, in seconds."""
+    def since_control_fault_s(self) -> float:
+        """Return the seconds since the last fault of a control process."""
         names = {member.machine.node for member in self.control()}
-        ends = [span.end for span in self._records.spans if span.who in names]
+        ends = [span.end for span in self._records.spans if span.subject in names]
         return time.monotonic() - max(ends, default=float("-inf"))
 
     async def leader(self) -> Member | None:
-        """The control process that says that it leads."""
-        told = await asyncio.gather(*(callers.ask(place, "/api/status") for place in self.layout.ctl()))
-        leads = [(int(a["epoch"]), a["node"]) for a in told if a is not None and a["standing"] == "primary"]
-        return self.members[max(leads)[1]] if leads else None
+        """Return the control process that reports to be the primary, in the latest epoch."""
+        statuses = await asyncio.gather(*(callers.ask(place, "/api/status") for place in self.layout.ctl()))
+        primaries = [
+            (int(a["epoch"]), a["node"]) for a in statuses if a is not None and a["standing"] == "primary"
+        ]
+        return self.members[max(primaries)[1]] if primaries else None
 
     async def stop(self) -> None:
-        """End all; what does not end in order is told."""
-        self.is_ending = True
+        """Stop all processes; records those that do not exit in order."""
+        self.is_stopping = True
         members = list(self.members.values())
         for member in members:
             member.process.signal(signal.SIGCONT)
             member.process.signal(signal.SIGTERM)
         for member in members:
-            if member.process.runs and not await _ends(member.process, GRACE_S + 1.0):
-                self._records.unclean.append(f"{member.machine.node} did not end with the others")
+            if member.process.runs and not await _exits_within(member.process, GRACE_S + 1.0):
+                self._records.unclean_exits.append(
+                    f"{member.machine.node} did not exit at the end of the soak"
+                )
                 await member.process.kill()
 
-    def _last_words(self) -> str:
+    def _last_log_lines(self) -> str:
         return "; ".join(f"{name}: {m.process.last_words()}" for name, m in list(self.members.items())[:4])
 
 
 def configuration(ver: int, idle_routes: int = 0, mark: str = "") -> dict[str, object]:
-    """The configuration of a soak: so many routes that nobody asks for, and one that tells whose it is."""
+    """Return a configuration with this many unused routes, and one whose name contains `mark`."""
     base = layout.configuration(ver)
     stream = base["routes"][0] | {"deadline_ms": 6000}
     routes = [
@@ -209,15 +217,15 @@
     return base | {"routes": [*routes, *idle]}
 
 
-async def _ends(process: Process, within_s: float) -> bool:
-    until = time.monotonic() + within_s
-    while process.runs and time.monotonic() < until:
+async def _exits_within(process: Process, timeout_s: float) -> bool:
+    deadline = time.monotonic() + timeout_s
+    while process.runs and time.monotonic() < deadline:
         await asyncio.sleep(0.01)
     return not process.runs
 
 
 async def _is_ready(address: str) -> bool:
-    """Whether a balancer answers 200 at its readiness."""
+    """Return whether a balancer's readiness check returns 200."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(1.0):
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -1,6 +1,6 @@
-"""Planted defects: the fleet's programs with one fault put in, to see that a soak finds it.
+"""Planted defects: patches one defect into the fleet's programs, to check that a soak detects it.
 
-`python -m mastturn.soak.planted DEFECT ROLE` runs a role of the system so.
+`python -m mastturn.soak.planted DEFECT ROLE` runs a role of the system with that defect.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from mastturn.files import LabError
 from passpost.http1 import Headers
 
-Plant = Callable[[], None]
+Patch = Callable[[], None]
 
 
-def _stale_error_taken() -> None:
+def _accept_stale_error() -> None:
     from balancer import wire
 
     def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
-        told = wire.header(headers, wire.REQUEST_ID)
-        return told == request_id if told is not None else status >= 300
+        value = wire.header(headers, wire.REQUEST_ID)
+        return value == request_id if value is not None else status >= 300
 
     wire.belongs_to_request = belongs_to_request
 
 
-def _id_not_looked_at() -> None:
+def _ignore_request_id() -> None:
     from balancer import wire
 
     wire.belongs_to_request = lambda status, headers, request_id: True
 
 
-def _fin_taken_as_end() -> None:
+def _accept_fin_as_end() -> None:
     from passpost.http1 import EndKind, Framing, Response, ResponseReader
 
     def end(self: ResponseReader, kind: EndKind) -> Response | None:
@@ -44,70 +44,70 @@
             return self._response
         return None
 
-    _replace(ResponseReader, "end", end)
+    _patch(ResponseReader, "end", end)
 
 
-def _reset_taken_as_end() -> None:
+def _accept_reset_as_end() -> None:
     from passpost import upstream_connection
     from passpost.http1 import EndKind
 
     upstream_connection.__dict__["connection_end"] = lambda peer: EndKind.FIN
 
 
-def _death_taken_as_end() -> None:
+def _skip_liveness_check() -> None:
     from balancer import options
 
-    made = options.upstream_options
-    options.upstream_options = lambda: dataclasses.replace(made(), liveness_request=None)
+    original = options.upstream_options
+    options.upstream_options = lambda: dataclasses.replace(original(), liveness_request=None)
 
 
-def _kept_after_surplus() -> None:
+def _keep_connection_after_surplus() -> None:
     from passpost.http1 import ResponseReader
     from passpost.upstream_connection import UpstreamConnection
 
-    taken = UpstreamConnection.data_received
+    original_data_received = UpstreamConnection.data_received
 
     def data_received(self: UpstreamConnection, data: bytes) -> None:
         if self._attempt is not None:
-            taken(self, data)
+            original_data_received(self, data)
 
     def is_spent(self: UpstreamConnection) -> bool:
         return self._transport is None or self._transport.is_closing()
 
-    _replace(ResponseReader, "has_surplus", lambda self: False)
-    _replace(UpstreamConnection, "data_received", data_received)
-    _replace(UpstreamConnection, "is_spent", is_spent)
+    _patch(ResponseReader, "has_surplus", lambda self: False)
+    _patch(UpstreamConnection, "data_received", data_received)
+    _patch(UpstreamConnection, "is_spent", is_spent)
 
 
-def _repeated_after_reset() -> None:
+def _repeat_after_reset() -> None:
     from balancer.pair import Budget, RequestStateMachine
 
-    made = RequestStateMachine.__init__
+    original = RequestStateMachine.__init__
 
-    def make(
+    def patched_init(
         self: RequestStateMachine, tries: int, idempotent: bool, resumable: bool, budget: Budget
     ) -> None:
-        made(self, tries, True, resumable, budget)
+        original(self, tries, True, resumable, budget)
 
-    _replace(RequestStateMachine, "__init__", make)
+    _patch(RequestStateMachine, "__init__", patched_init)
 
 
-def _dropped_at_sigterm() -> None:
+def _drop_requests_at_sigterm() -> None:
     from balancer.balancer import Balancer
 
-    _replace(Balancer, "drain", Balancer.stop)
+    _patch(Balancer, "drain", Balancer.stop)
 
 
-def _gap_in_resumed_stream() -> None:
+def _skip_event_in_resumed_stream() -> None:
     from balancer.active_request import ActiveRequest
     from balancer.streams import EventReader
 
-    common = ActiveRequest._common_headers
+    original_headers = ActiveRequest._common_headers
 
-    def skip_one(self: ActiveRequest, rank: int) -> bytes:
+    def skip_one_event(self: ActiveRequest, priority: int) -> bytes:
         last = self._relay.last_event_id
-        told = common(self, rank)
-        return told if last is None else told.replace(b"Event-Id: %d" % last, b"Event-Id: %d" % (last + 1))
+        value = original_headers(self, priority)
+        return value if last is None else value.replace(b"Event-Id: %d" % last, b"Event-Id: %d" % (last + 1))
 
     check = EventReader._check
 
@@ -118,82 +118,87 @@
             check(self, data, start, end)
         return True
 
-    _replace(ActiveRequest, "_common_headers", skip_one)
-    _replace(EventReader, "_check", accept)
+    _patch(ActiveRequest, "_common_headers", skip_one_event)
+    _patch(EventReader, "_check", accept)
 
 
-def _late_list_taken() -> None:
+def _accept_outdated_list() -> None:
     from control.platform import PlatformList
 
     read = PlatformList.read
-    held: deque[list[dict[str, Any]]] = deque(maxlen=LISTS_LATE)
+    recent_lists: deque[list[dict[str, Any]]] = deque(maxlen=LIST_AGE_CALLS)
 
     async def read_late(self: PlatformList) -> list[dict[str, Any]]:
         entries = await read(self)
-        held.append(entries)
-        return held[0] if len(held) == LISTS_LATE and int(time.monotonic()) % 2 else entries
+        recent_lists.append(entries)
+        return (
+            recent_lists[0] if len(recent_lists) == LIST_AGE_CALLS and int(time.monotonic()) % 2 else entries
+        )
 
-    _replace(PlatformList, "read", read_late)
+    _patch(PlatformList, "read", read_late)
 
 
-def _held_past_deadline() -> None:
+def _drop_deadline_of_streams() -> None:
     from balancer import options
 
-    made = options.upstream_options
-    options.upstream_options = lambda: dataclasses.replace(made(), applies_timeout_to_streams=False)
+    original = options.upstream_options
+    options.upstream_options = lambda: dataclasses.replace(original(), applies_timeout_to_streams=False)
 
 
-def _body_altered() -> None:
+def _alter_long_body() -> None:
     from balancer.wire import UpstreamRequest
 
     encode = UpstreamRequest.encode
 
     def alter(self: UpstreamRequest, remaining: float) -> bytes:
         data = encode(self, remaining)
-        return data[:-BYTES_ALTERED] + bytes(BYTES_ALTERED) if len(self.body) > BYTES_LONG else data
-
-    _replace(UpstreamRequest, "encode", alter)
-
-
-def _replace(where: type, name: str, method: Any) -> None:
-    setattr(where, name, method)
-
-
-BYTES_LONG, BYTES_ALTERED = 65_536, 100
-LISTS_LATE = 5  # a list that is so many calls old
-_PLANTS: dict[str, tuple[str, Plant]] = {
-    "stale-error-taken": ("a late error without an id passes for the next answer", _stale_error_taken),
-    "id-not-looked-at": ("whatever comes next passes for the answer", _id_not_looked_at),
-    "fin-taken-as-end": ("a FIN ends an answer that has a length or chunks", _fin_taken_as_end),
-    "reset-taken-as-end": ("a reset ends an answer as if in order", _reset_taken_as_end),
-    "death-taken-as-end": ("a FIN ends an answer whose upstream has died", _death_taken_as_end),
-    "kept-after-surplus": ("a connection is used again after bytes of no request", _kept_after_surplus),
-    "repeated-after-reset": ("what may run once is sent again after a reset", _repeated_after_reset),
-    "dropped-at-sigterm": ("requests are dropped at SIGTERM", _dropped_at_sigterm),
-    "gap-in-resumed-stream": ("a stream that is resumed skips an event", _gap_in_resumed_stream),
-    "late-list-taken": ("an older list is taken over a newer one", _late_list_taken),
-    "body-altered": ("a long body reaches its upstream with other bytes at its end", _body_altered),
-    "held-past-deadline": ("an answer that has begun has no deadline", _held_past_deadline),
+        return data[:-ALTERED_BYTES] + bytes(ALTERED_BYTES) if len(self.body) > LONG_BODY_BYTES else data
+
+    _patch(UpstreamRequest, "encode", alter)
+
+
+def _patch(owner: type, name: str, method: Any) -> None:
+    setattr(owner, name, method)
+
+
+LONG_BODY_BYTES, ALTERED_BYTES = 65_536, 100
+LIST_AGE_CALLS = 5  # age of the outdated list, in calls
+_DEFECTS: dict[str, tuple[str, Patch]] = {
+    "stale-error-taken": ("a late error without an id is taken for the next response", _accept_stale_error),
+    "id-not-looked-at": ("whatever arrives next is taken for the response", _ignore_request_id),
+    "fin-taken-as-end": ("a FIN completes a response that has a length or chunks", _accept_fin_as_end),
+    "reset-taken-as-end": ("a reset completes a response like an orderly close", _accept_reset_as_end),
+    "death-taken-as-end": ("a FIN completes a response whose upstream has crashed", _skip_liveness_check),
+    "kept-after-surplus": (
+        "a connection is reused after bytes that belong to no request",
+        _keep_connection_after_surplus,
+    ),
+    "repeated-after-reset": ("a non-idempotent request is sent again after a reset", _repeat_after_reset),
+    "dropped-at-sigterm": ("requests in flight are dropped at SIGTERM", _drop_requests_at_sigterm),
+    "gap-in-resumed-stream": ("a resumed stream skips an event", _skip_event_in_resumed_stream),
+    "late-list-taken": ("an outdated list replaces a newer one", _accept_outdated_list),
+    "body-altered": ("the last bytes of a long request body are altered", _alter_long_body),
+    "held-past-deadline": ("a response that has begun has no deadline", _drop_deadline_of_streams),
 }
 
 
-def described() -> dict[str, str]:
-    """The defects by name, each in a line."""
-    return {name: what for name, (what, _) in _PLANTS.items()}
+def descriptions() -> dict[str, str]:
+    """Return a one-line description of each defect, by name."""
+    return {name: description for name, (description, _) in _DEFECTS.items()}
 
 
-def known(name: str) -> str:
-    """The name, if it is one of them or empty; raises LabError."""
-    if name and name not in _PLANTS:
-        raise LabError(f"--defect {name!r}: allowed: {', '.join(_PLANTS)}")
+def validated(name: str) -> str:
+    """Return the name if it is empty or names a defect; raises LabError otherwise."""
+    if name and name not in _DEFECTS:
+        raise LabError(f"--defect {name!r}: allowed: {', '.join(_DEFECTS)}")
     return name
 
 
 def main(argv: list[str]) -> None:
-    """Plant a defect and run the role."""
-    name, *words = argv
-    _PLANTS[known(name)][1]()
-    sys.argv = ["mastturnd", *words]
+    """Patch in a defect and run the role."""
+    name, *arguments = argv
+    _DEFECTS[validated(name)][1]()
+    sys.argv = ["mastturnd", *arguments]
     runpy.run_module("mastturnd", run_name="__main__")
 
 
--- a/mastturn/soak/play.py
+++ b/mastturn/soak/play.py
@@ -1,4 +1,4 @@
-"""One soak from its start to its end: the fleet, what stands around it, troubles, and the records of all."""
+"""Runs one soak: starts the fleet and its environment, injects troubles, and checks the records."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from mastturn.soak.logs import Logs
 from mastturn.soak.plan import Plan
 from mastturn.soak.records import Records
-from mastturn.soak.surroundings import Surroundings
+from mastturn.soak.surroundings import Environment
 from mastturn.soak.troubles import Troubles
 
-SPARE_PLACES = 12  # addresses for upstreams that come later
+SPARE_ADDRESSES = 12  # addresses for upstreams that are started later
 OPERATORS = 2
 
-Say = Callable[[str], None]
+Log = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What came of a soak. `began` is the moment, on the monotonic clock, from which seconds count."""
+    """The result of a soak. `began`: the start of its time axis, on the monotonic clock."""
 
     plan: Plan
     records: Records
@@ -42,78 +42,80 @@
     logs: Logs = field(repr=False)
 
 
-class EndedError(Exception):
-    """A soak was told to end by SIGTERM; all that it had started has ended."""
+class TerminatedError(Exception):
+    """A soak was ended by SIGTERM; all processes that it had started have exited."""
 
 
-async def _play(plan: Plan, folder: Path, say: Say) -> Result:
+async def _run(plan: Plan, folder: Path, log: Log) -> Result:
     soak = asyncio.current_task()
     assert soak is not None
-    # Unhandled, the signal would end us and leave the fleet's processes running.
+    # The default action would end this process and leave the fleet's processes running.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, soak.cancel)
     records = Records()
-    layout = lay_out(plan.upstreams + SPARE_PLACES, plan.control, plan.balancers, plan.shared)
-    around = Surroundings(layout, plan.upstreams, plan.seed, records, plan.answers)
+    layout = lay_out(plan.upstreams + SPARE_ADDRESSES, plan.control, plan.balancers, plan.shared)
+    environment = Environment(layout, plan.upstreams, plan.seed, records, plan.answers)
     fleet = Fleet(layout, folder, records, plan.defect)
-    troubles = Troubles(fleet, around, plan.seed, say, plan.only)
+    troubles = Troubles(fleet, environment, plan.seed, log, plan.only)
     stop, began = asyncio.Event(), time.monotonic()
-    async with AsyncExitStack() as ending:
-        ending.callback(around.stop)
-        await around.start()
-        ending.push_async_callback(fleet.stop)
+    async with AsyncExitStack() as exit_stack:
+        exit_stack.callback(environment.stop)
+        await environment.start()
+        exit_stack.push_async_callback(fleet.stop)
         await fleet.start()
-        say(f"{len(fleet.members)} processes and {plan.upstreams} upstreams are up")
+        log(f"{len(fleet.members)} processes and {plan.upstreams} upstreams are up")
         began = time.monotonic()
-        for watching in (fleet.watch(), lag.watch(records)):
-            ending.callback(asyncio.create_task(watching).cancel)
-        callers = [clients.Client(n, plan.seed, records, lambda: fleet.ready) for n in range(plan.clients)]
-        changing = [operators.Operator(n, plan.seed, layout.ctl(), records) for n in range(OPERATORS)]
-        playing = [asyncio.create_task(clients.play(callers, stop))]
-        playing += [asyncio.create_task(operator.run(stop)) for operator in changing]
+        for watcher in (fleet.watch(), lag.watch(records)):
+            exit_stack.callback(asyncio.create_task(watcher).cancel)
+        client_list = [
+            clients.Client(n, plan.seed, records, lambda: fleet.ready) for n in range(plan.clients)
+        ]
+        operator_list = [operators.Operator(n, plan.seed, layout.ctl(), records) for n in range(OPERATORS)]
+        load_tasks = [asyncio.create_task(clients.run_all(client_list, stop))]
+        load_tasks += [asyncio.create_task(operator.run(stop)) for operator in operator_list]
         try:
             await troubles.run(plan.seconds)
         finally:
             stop.set()
-            await asyncio.gather(*playing)
+            await asyncio.gather(*load_tasks)
         await operators.read_back(layout.ctl(), records)
     return Result(plan, records, Checker(records).findings(), troubles.counts, began, Logs(folder))
 
 
-def play(plan: Plan, say: Say, keep: Path | None = None, found: Path | None = None) -> Result:
-    """Play it; all that was started has ended then. Raises EndedError on SIGTERM.
+def run_soak(plan: Plan, log: Log, keep: Path | None = None, findings_folder: Path | None = None) -> Result:
+    """Run a soak; on return, everything that it started has exited. Raises TerminatedError on SIGTERM.
 
-    `keep`: a folder for settings, disks and logs. `found`: a folder in which a soak that found something
-    leaves them in a folder of its own, without `keep`.
+    `keep`: folder for settings, disks and logs. `findings_folder`: without `keep`, a soak with
+    findings copies them to a new folder below this one.
     """
-    with _folder(keep) as folder:
+    with _working_folder(keep) as folder:
         try:
-            result = asyncio.run(_play(plan, folder, say))
+            result = asyncio.run(_run(plan, folder, log))
         except OSError as error:
             raise LabError(f"{error}; free the address, or try again") from None
         except asyncio.CancelledError:
-            raise EndedError(f"seed {plan.seed}: ended by SIGTERM") from None
-        if result.findings and keep is None and found is not None:
-            say(f"settings, disks and logs: {leave_copy(folder, found, plan.seed)}")
+            raise TerminatedError(f"seed {plan.seed}: ended by SIGTERM") from None
+        if result.findings and keep is None and findings_folder is not None:
+            log(f"settings, disks and logs: {save_copy(folder, findings_folder, plan.seed)}")
         return result
 
 
-def leave_copy(folder: Path, found: Path, seed: int) -> Path:
-    """Copy a soak's folder to one of its own below `found`; it is the copy's path.
+def save_copy(folder: Path, findings_folder: Path, seed: int) -> Path:
+    """Copy a soak's folder to a new one below `findings_folder` and return its path.
 
-    The name is drawn by the system: soaks of one seed may end in the same second.
+    The name has a random part: soaks with the same seed may end in the same second.
     """
-    found.mkdir(parents=True, exist_ok=True)
+    findings_folder.mkdir(parents=True, exist_ok=True)
     stamp = time.strftime("%Y%m%dT%H%M%S")
-    copy = Path(tempfile.mkdtemp(prefix=f"{seed}-{stamp}-", dir=found))
+    copy = Path(tempfile.mkdtemp(prefix=f"{seed}-{stamp}-", dir=findings_folder))
     shutil.copytree(folder, copy, dirs_exist_ok=True)
     return copy
 
 
 @contextlib.contextmanager
-def _folder(keep: Path | None) -> Iterator[Path]:
+def _working_folder(keep: Path | None) -> Iterator[Path]:
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        if any(keep.iterdir()):  # old disks would make the new fleet go on from an older one's state
+        if any(keep.iterdir()):  # with old disks the fleet would continue from an earlier fleet's state
             raise LabError(f"--out: {keep} is not empty; name another folder")
         yield keep
         return
--- a/mastturn/soak/records.py
+++ b/mastturn/soak/records.py
@@ -1,6 +1,6 @@
-"""What happened in a soak, as its parties saw it. Times are in seconds on the monotonic clock.
+"""Records of a soak. Times are in seconds on the monotonic clock.
 
-Clients, upstreams and troubles each write their own records; the checker reads them when all is over.
+Clients, upstreams and troubles each write their own records; the checker reads them after the run.
 """
 
 from __future__ import annotations
@@ -11,49 +11,49 @@
 from mastturn.soak.faults import Fault
 
 
-class Kind(enum.Enum):
-    """The kinds of request, one a route."""
+class RequestKind(enum.Enum):
+    """The kinds of request, one per route."""
 
-    SAFE = "safe"  # a whole answer; may be repeated
-    ONCE = "once"  # a whole answer; may run once in a try
-    ASK = "ask"  # a stream that may be resumed; its prompt is read by another upstream
-    TAG = "tag"  # a stream that may not be resumed
+    SAFE = "safe"  # a plain response; idempotent
+    ONCE = "once"  # a plain response; must not run more than once per request id
+    ASK = "ask"  # a resumable stream; another upstream prefills its prompt
+    TAG = "tag"  # a stream that cannot be resumed
 
     @property
     def is_idempotent(self) -> bool:
         """Whether it may run more than once."""
-        return self in (Kind.SAFE, Kind.ASK)
+        return self in (RequestKind.SAFE, RequestKind.ASK)
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answer is a stream of events."""
-        return self in (Kind.ASK, Kind.TAG)
+        """Whether its response is an event stream."""
+        return self in (RequestKind.ASK, RequestKind.TAG)
 
 
-class Style(enum.Enum):
+class ClientBehavior(enum.Enum):
     """How a client behaves."""
 
-    KEPT = "kept"  # one request after the other on a connection that it keeps
-    PIPELINED = "pipelined"  # several at once on one connection
+    KEPT = "kept"  # one request after the other on a persistent connection
+    PIPELINED = "pipelined"  # several requests at once on one connection
     SLOW = "slow"  # reads in small pieces with pauses
-    LEAVES = "leaves"  # is gone in the middle of some answers
-    HALF_CLOSED = "half_closed"  # ends its own side behind a request
+    LEAVES = "leaves"  # disconnects during some responses
+    HALF_CLOSED = "half_closed"  # shuts down its sending side after a request
 
 
 class EndKind(enum.Enum):
     """How a request ended for its client."""
 
-    WHOLE = "whole"  # an answer that its framing calls complete
-    CUT = "cut"  # the connection ended in the middle of an answer
-    CLOSED = "closed"  # the connection ended without a byte of it
-    LEFT = "left"  # the client did not wait for it
-    NONE = "none"  # nothing came in its time
-    INVALID = "invalid"  # what came is no answer
+    COMPLETE = "whole"  # a response that is complete by its framing
+    CUT = "cut"  # the connection ended within a response
+    CLOSED = "closed"  # the connection ended before the first byte of a response
+    LEFT = "left"  # the client disconnected first
+    NONE = "none"  # no end within the client's time-out
+    INVALID = "invalid"  # the bytes received are not a valid response
 
 
 @dataclass(slots=True)
-class End:
-    """The end of a request; `body` is what came of it, without framing."""
+class RequestEnd:
+    """The end of a request; `body`: what was received of its response's body, without framing."""
 
     kind: EndKind
     at: float
@@ -63,70 +63,70 @@
 
 
 @dataclass(slots=True)
-class Ask:
-    """One request of a client: a try with an id of its own."""
+class ClientRequest:
+    """One request of a client; each retry is a request with a new id."""
 
-    request: str
-    kind: Kind
-    style: Style
-    balancer: str  # the machine that it was sent to
+    request_id: str
+    kind: RequestKind
+    behavior: ClientBehavior
+    balancer: str  # machine that it was sent to
     sent_at: float
     deadline_at: float
     is_first: bool  # on its connection
     size: int = 0  # bytes of its body
-    ends: list[End] = field(default_factory=list)
+    ends: list[RequestEnd] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request at an upstream. `body` is its answer's whole body, `events` the last event of its stream."""
+    """A request at an upstream. `body`: of the whole response; `events`: number of its last event."""
 
-    request: str
-    upstream: str  # the incarnation's id
+    request_id: str
+    upstream: str  # id of the incarnation
     at: float
     fault: Fault
-    is_read: bool = False  # a prefill call
-    size: int | None = None  # bytes of the request's body, once all of it was there
-    after: int = 0  # the event behind which a stream goes on
+    is_prefill: bool = False  # a prefill call
+    size: int | None = None  # bytes of the request's body, once received completely
+    after: int = 0  # the event after which a stream resumes
     ran: bool = False
     status: int = 0
     seal: str = ""
     body: bytes = b""
     events: int = 0
-    dirty_s: float = float("inf")  # since half an answer was sent on its connection, before it came
-    whole_at: float | None = None  # when the last byte of a whole answer was handed to the kernel
+    since_partial_s: float = float("inf")  # since a partial response was sent on its connection
+    complete_at: float | None = None  # when the last byte of a complete response was passed to the kernel
 
 
 @dataclass(slots=True)
 class Span:
-    """A time in which something was wrong with a machine or the platform; `end` is inf while it lasts."""
+    """A period of a fault of a machine or the platform; `end` is inf while it lasts."""
 
-    what: str  # term, kill, stop, hup, crash, list
-    who: str
+    cause: str  # term, kill, stop, crash, list, lag
+    subject: str
     begin: float
     end: float = float("inf")
 
-    def meets(self, begin: float, end: float) -> bool:
-        """Whether some moment between lies in it."""
+    def overlaps(self, begin: float, end: float) -> bool:
+        """Return whether it overlaps the period from `begin` to `end`."""
         return self.begin <= end and begin <= self.end
 
 
 @dataclass(slots=True)
-class Put:
-    """A change of the configuration that an operator sent, and what came of it."""
+class ConfigurationPut:
+    """A change of the configuration that an operator sent, and its result."""
 
     ver: int
     base: int
     body: bytes
     is_valid: bool
     sent_at: float
-    status: int = 0  # 0: no clear answer
+    status: int = 0  # 0: no conclusive response
     answered_at: float = 0.0
 
 
 @dataclass(slots=True)
-class Read:
-    """A read of the configuration; `ver` is 0 where there was no clear answer."""
+class ConfigurationRead:
+    """A read of the configuration; `ver` is 0 if it failed."""
 
     by: str
     sent_at: float
@@ -136,41 +136,41 @@
 
 @dataclass(slots=True)
 class Delisted:
-    """An upstream that left: from `at` on the platform's list shows it as draining, or not at all."""
+    """An upstream that was removed: from `at` on it is listed as draining, or not at all."""
 
     upstream: str
     at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Altered:
-    """What an upstream got that no client has sent: another body, or bytes that are no request."""
+class UnexpectedInput:
+    """Input of an upstream that no client sent: a wrong body, or bytes that are not a request."""
 
     upstream: str
     at: float
-    request: str
-    words: str
+    request_id: str
+    description: str
 
 
 @dataclass(slots=True)
 class Records:
-    """All of one soak."""
+    """All records of one soak."""
 
-    asks: list[Ask] = field(default_factory=list)
+    requests: list[ClientRequest] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     spans: list[Span] = field(default_factory=list)
-    puts: list[Put] = field(default_factory=list)
-    reads: list[Read] = field(default_factory=list)
+    puts: list[ConfigurationPut] = field(default_factory=list)
+    reads: list[ConfigurationRead] = field(default_factory=list)
     delisted: list[Delisted] = field(default_factory=list)
-    unclean: list[str] = field(default_factory=list)  # processes that did not end as told
-    unasked: list[str] = field(default_factory=list)  # bytes that clients got with no request open
-    altered: list[Altered] = field(default_factory=list)
-    worst_lag_s: float = 0.0  # of the soak's own event loop
-    settled_ver: int = 0  # read back at the end
-    settled_body: bytes = b""
-
-    def begin(self, what: str, who: str, now: float) -> Span:
-        """A span that lasts from now on."""
-        span = Span(what, who, now)
+    unclean_exits: list[str] = field(default_factory=list)  # processes that did not exit in order
+    unsolicited: list[str] = field(default_factory=list)  # received by clients without a pending request
+    unexpected_inputs: list[UnexpectedInput] = field(default_factory=list)
+    worst_lag_s: float = 0.0  # largest lag of the soak's own event loop
+    final_ver: int = 0  # read at the end
+    final_body: bytes = b""
+
+    def begin(self, cause: str, subject: str, now: float) -> Span:
+        """Add and return a span that begins now."""
+        span = Span(cause, subject, now)
         self.spans.append(span)
         return span
--- a/mastturn/soak/rules.py
+++ b/mastturn/soak/rules.py
@@ -1,4 +1,4 @@
-"""The rules that a soak holds a fleet to."""
+"""The rules that a soak checks."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 
 
 class Rule(StrEnum):
-    """A rule by the name that stands in findings; the comment says what breaks it."""
+    """A rule, by its name in findings; the comment says what violates it."""
 
-    MIXED = "mixed"  # a complete answer is not its own request's, or not its upstream's whole one
-    UNASKED = "unasked"  # an upstream gets a body that is not its client's, or what is no request
-    GAP = "gap"  # a stream's events do not follow one another, or it ends as complete before its last
-    TWICE = "twice"  # what may run once has run twice
-    PROMISE = "promise"  # a status that says that nothing was run, though it ran
-    UNSERVED = "unserved"  # an upstream's whole answer was there, and the waiting client got another end
-    LOST = "lost"  # a request that a sound upstream got is closed on unanswered
-    STOP = "stop"  # the same at a balancer that was told to end
-    HELD = "held"  # no end in the request's time
-    ENDS = "ends"  # a request has two ends, or a client gets bytes that it asked nothing for
-    DRAIN = "drain"  # a request reaches an upstream long after the list has shown that it leaves
-    CONFIGURATION = "configuration"  # two changes on one base acknowledged, or the last one is not read back
-    PROCESS = "process"  # a process does not end as told
+    MIXED = "mixed"  # a complete response belongs to another request, or differs from what its upstream sent
+    UNASKED = "unasked"  # an upstream receives a body that no client sent, or bytes that are not a request
+    GAP = "gap"  # the events of a stream are not consecutive, or it ends as complete before the last
+    TWICE = "twice"  # a non-idempotent request ran twice
+    PROMISE = "promise"  # a status that means "not run", although the request ran
+    UNSERVED = (
+        "unserved"  # an upstream sent a complete response, and the waiting client received something else
+    )
+    LOST = "lost"  # a connection is closed without a response, although the upstream was healthy
+    STOP = "stop"  # the same at a balancer that received SIGTERM
+    HELD = "held"  # no end within the deadline and the client's margin
+    ENDS = "ends"  # a request ends twice or never, or a client receives bytes without a pending request
+    DRAIN = "drain"  # a request reaches an upstream long after it was listed as draining
+    CONFIGURATION = (
+        "configuration"  # two changes of one version acknowledged, or an acknowledged one is not read back
+    )
+    PROCESS = "process"  # a process does not exit in order
--- a/mastturn/soak/troubles.py
+++ b/mastturn/soak/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of a soak, drawn by seed: signals, restarts, crashes and lists, in series that overlap."""
+"""Injects the troubles of a soak at random: signals, restarts, crashes and list faults, which may overlap."""
 
 from __future__ import annotations
 
@@ -9,105 +9,105 @@
 
 from mastturn.files import LabError
 from mastturn.soak.fleet import Fleet, Member
-from mastturn.soak.platform import Trouble
-from mastturn.soak.surroundings import Surroundings
+from mastturn.soak.platform import ListFault
+from mastturn.soak.surroundings import Environment
 
-EVERY_S = (0.3, 1.6)  # from one trouble's begin to the next one's
-STILL_S = (0.1, 2.0)
-LIST_S = (0.5, 4.0)
+INTERVAL_S = (0.3, 1.6)  # between the starts of two troubles
+PAUSE_S = (0.1, 2.0)
+LIST_FAULT_S = (0.5, 4.0)
 ROLL_GAP_S = (0.2, 1.5)
-ROLL_S = 20.0  # a roll over however many begins its last stop after this
-HERD_SHARE = 0.5  # of the balancers are killed at once
-WIPE_CALM_S = 6.0  # since the last trouble of a control process, before one loses its disk
-QUIET_END_S = 1.0  # none begins so shortly before the end
+MAX_ROLL_S = 20.0  # a rolling restart begins its last stop within this, whatever its size
+MASS_KILL_SHARE = 0.5  # share of the balancers that are killed at once
+WIPE_QUIET_S = 6.0  # least time from the last fault of a control process to a wipe
+QUIET_END_S = 1.0  # no trouble begins this shortly before the end
 
 
 class Troubles:
-    """All troubles of one soak."""
+    """Injects the troubles of one soak."""
 
     def __init__(
-        self, fleet: Fleet, around: Surroundings, seed: int, say: Callable[[str], None], only: str = ""
+        self, fleet: Fleet, environment: Environment, seed: int, log: Callable[[str], None], only: str = ""
     ) -> None:
-        """`only`: of the kinds, those whose names hold this; raises LabError where there is none."""
-        self._fleet, self._around, self._say = fleet, around, say
-        self._dice = random.Random(f"{seed}/troubles")
+        """`only`: limits the kinds to those whose names contain this; raises LabError if there is none."""
+        self._fleet, self._environment, self._log = fleet, environment, log
+        self._rng = random.Random(f"{seed}/troubles")
         self._tasks: list[asyncio.Task[None]] = []
         self.counts: dict[str, int] = {}
         self._kinds: dict[str, tuple[float, Callable[[], Awaitable[None]]]] = {
-            "term of a balancer": (3.0, lambda: fleet.terminate(self._any(fleet.balancers()))),
-            "kill of a balancer": (1.5, lambda: fleet.kill(self._any(fleet.balancers()))),
-            "hup of a balancer": (1.5, lambda: fleet.hang_up(self._any(fleet.balancers()))),
-            "stop of a balancer": (1.0, lambda: self._still(self._any(fleet.balancers()))),
-            "roll of the balancers": (0.8, self._roll),
-            "kill of many balancers": (0.4, self._herd),
-            "term of a control process": (0.7, lambda: fleet.terminate(self._any(fleet.control()))),
-            "kill of a control process": (0.7, lambda: fleet.kill(self._any(fleet.control()))),
+            "term of a balancer": (3.0, lambda: fleet.terminate(self._pick(fleet.balancers()))),
+            "kill of a balancer": (1.5, lambda: fleet.kill(self._pick(fleet.balancers()))),
+            "hup of a balancer": (1.5, lambda: fleet.send_sighup(self._pick(fleet.balancers()))),
+            "stop of a balancer": (1.0, lambda: self._pause(self._pick(fleet.balancers()))),
+            "roll of the balancers": (0.8, self._rolling_restart),
+            "kill of many balancers": (0.4, self._kill_many),
+            "term of a control process": (0.7, lambda: fleet.terminate(self._pick(fleet.control()))),
+            "kill of a control process": (0.7, lambda: fleet.kill(self._pick(fleet.control()))),
             "kill of the leader": (0.5, self._kill_leader),
-            "stop of a control process": (0.7, lambda: self._still(self._any(fleet.control()))),
-            "kill of all control processes": (0.3, self._kill_control),
-            "wipe of a control process": (0.5, self._wipe),
-            "crash of an upstream": (1.5, lambda: around.crash(self._dice)),
-            "an upstream leaves": (2.5, lambda: around.leave(self._dice)),
-            "list busy": (0.5, lambda: self._list(Trouble.BUSY)),
-            "list late": (0.8, lambda: self._list(Trouble.LATE)),
-            "list cut": (0.5, lambda: self._list(Trouble.CUT)),
+            "stop of a control process": (0.7, lambda: self._pause(self._pick(fleet.control()))),
+            "kill of all control processes": (0.3, self._kill_all_control),
+            "wipe of a control process": (0.5, self._wipe_control_disk),
+            "crash of an upstream": (1.5, lambda: environment.crash(self._rng)),
+            "an upstream leaves": (2.5, lambda: environment.leave(self._rng)),
+            "list busy": (0.5, lambda: self._break_list(ListFault.BUSY)),
+            "list late": (0.8, lambda: self._break_list(ListFault.LATE)),
+            "list cut": (0.5, lambda: self._break_list(ListFault.CUT)),
         }
 
         self._kinds = {name: kind for name, kind in self._kinds.items() if only in name}
         if not self._kinds:
-            raise LabError(f"--only {only!r}: no trouble's name holds it; for example 'balancer'")
+            raise LabError(f"--only {only!r}: no trouble's name contains it; try 'balancer', for example")
 
     async def run(self, seconds: float) -> None:
-        """Begin one after the other for so long, and wait for all to be over; raises what one of them did."""
+        """Start troubles for `seconds` and wait until all are over; raises what one of them raised."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds - QUIET_END_S
         names, weights = list(self._kinds), [weight for weight, _ in self._kinds.values()]
         while loop.time() < until:
-            name = self._dice.choices(names, weights)[0]
+            name = self._rng.choices(names, weights)[0]
             self.counts[name] = self.counts.get(name, 0) + 1
-            self._say(f"trouble: {name}")
-            self._begin(self._befall(self._kinds[name][1]))
-            await asyncio.sleep(self._dice.uniform(*EVERY_S))
-        for task in self._tasks:  # a series begins further ones meanwhile
+            self._log(f"trouble: {name}")
+            self._start_task(self._run_action(self._kinds[name][1]))
+            await asyncio.sleep(self._rng.uniform(*INTERVAL_S))
+        for task in self._tasks:  # a rolling restart adds tasks meanwhile
             await task
 
-    def _begin(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
 
-    async def _befall(self, act: Callable[[], Awaitable[None]]) -> None:
-        await act()
+    async def _run_action(self, action: Callable[[], Awaitable[None]]) -> None:
+        await action()
 
-    def _any(self, members: list[Member]) -> Member:
-        return self._dice.choice(members)
+    def _pick(self, members: list[Member]) -> Member:
+        return self._rng.choice(members)
 
-    async def _still(self, member: Member) -> None:
-        await self._fleet.stand_still(member, self._dice.uniform(*STILL_S))
+    async def _pause(self, member: Member) -> None:
+        await self._fleet.pause(member, self._rng.uniform(*PAUSE_S))
 
-    async def _roll(self) -> None:
-        """SIGTERM to each balancer in turn; the next gets it though the one before may not be back."""
+    async def _rolling_restart(self) -> None:
+        """Send SIGTERM to each balancer in turn, without waiting until the previous one is back."""
         members = self._fleet.balancers()
-        gap = min(self._dice.uniform(*ROLL_GAP_S), ROLL_S / len(members))
+        gap = min(self._rng.uniform(*ROLL_GAP_S), MAX_ROLL_S / len(members))
         for member in members:
-            self._begin(self._fleet.terminate(member))
+            self._start_task(self._fleet.terminate(member))
             await asyncio.sleep(gap)
 
-    async def _herd(self) -> None:
+    async def _kill_many(self) -> None:
         members = self._fleet.balancers()
-        some = self._dice.sample(members, max(int(len(members) * HERD_SHARE), 1))
-        await asyncio.gather(*(self._fleet.kill(member) for member in some))
+        chosen = self._rng.sample(members, max(int(len(members) * MASS_KILL_SHARE), 1))
+        await asyncio.gather(*(self._fleet.kill(member) for member in chosen))
 
     async def _kill_leader(self) -> None:
         leader = await self._fleet.leader()
         if leader is not None:
             await self._fleet.kill(leader)
 
-    async def _kill_control(self) -> None:
+    async def _kill_all_control(self) -> None:
         await asyncio.gather(*(self._fleet.kill(member) for member in self._fleet.control()))
 
-    async def _wipe(self) -> None:
-        """One loses its disk; not while another may still have to be brought up to date."""
-        if self._fleet.control_calm_s() >= WIPE_CALM_S:
-            await self._fleet.kill(self._any(self._fleet.control()), wipes=True)
+    async def _wipe_control_disk(self) -> None:
+        """Wipe the disk of a control process, unless another may still be catching up."""
+        if self._fleet.since_control_fault_s() >= WIPE_QUIET_S:
+            await self._fleet.kill(self._pick(self._fleet.control()), wipe_disk=True)
 
-    async def _list(self, trouble: Trouble) -> None:
-        await self._around.trouble_list(trouble, self._dice.uniform(*LIST_S))
+    async def _break_list(self, fault: ListFault) -> None:
+        await self._environment.inject_list_fault(fault, self._rng.uniform(*LIST_FAULT_S))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own parts: its lots, the bytes of its answers, and a checker that finds each broken rule."""
+"""Parts of the soak: its random faults, the encoding of its responses, and the checker of its rules."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from mastturn.files import LabError
 from mastturn.smallfleet.layout import Machine
 from mastturn.soak import faults, planted
-from mastturn.soak.answers import Content, Framing, frame
+from mastturn.soak.answers import Content, Framing, encode_response
 from mastturn.soak.checker import Checker, Finding
-from mastturn.soak.clients import Answers
-from mastturn.soak.faults import Fault, Lot
+from mastturn.soak.clients import ResponseParser
+from mastturn.soak.faults import Fault, FaultDraw
 from mastturn.soak.fleet import Member
 from mastturn.soak.plan import Plan, check
-from mastturn.soak.play import leave_copy
+from mastturn.soak.play import save_copy
 from mastturn.soak.records import (
     Arrival,
-    Ask,
+    ClientBehavior,
+    ClientRequest,
+    ConfigurationPut,
+    ConfigurationRead,
     Delisted,
-    End,
     EndKind,
-    Kind,
-    Put,
-    Read,
     Records,
+    RequestEnd,
+    RequestKind,
     Span,
-    Style,
 )
 from mastturn.soak.upstream import event
 from mastturn.standins.process import Process
@@ -41,28 +41,28 @@
 
 
 def test_lots_are_alike_for_alike_seeds_and_hold_every_fault() -> None:
-    lots = [faults.draw(3, f"r{n}", 0) for n in range(2_000)]
-    assert lots == [faults.draw(3, f"r{n}", 0) for n in range(2_000)]
-    assert lots != [faults.draw(4, f"r{n}", 0) for n in range(2_000)]
-    assert {lot.fault for lot in lots} == set(Fault)
-    good = sum(lot.fault is Fault.GOOD for lot in lots) / len(lots)
-    assert abs(good - faults.GOOD_SHARE) < 0.05
+    fault_draws = [faults.draw(3, f"r{n}", 0) for n in range(2_000)]
+    assert fault_draws == [faults.draw(3, f"r{n}", 0) for n in range(2_000)]
+    assert fault_draws != [faults.draw(4, f"r{n}", 0) for n in range(2_000)]
+    assert {fault_draw.fault for fault_draw in fault_draws} == set(Fault)
+    good_share = sum(fault_draw.fault is Fault.GOOD for fault_draw in fault_draws) / len(fault_draws)
+    assert abs(good_share - faults.GOOD_SHARE) < 0.05
 
 
 @pytest.mark.parametrize("is_stream", [False, True])
 @pytest.mark.parametrize("fault", [f for f in Fault if f in faults.SOUND], ids=lambda f: f.name)
 def test_the_bytes_of_a_sound_answer_are_read_back_whole(fault: Fault, is_stream: bool) -> None:
-    wire = frame(CONTENT, Lot(fault, pieces=2 if fault is Fault.PAUSES else 1), is_stream)
-    answers = Answers()
-    answers.feed(b"".join(wire.pieces))
-    (found,) = answers.found
-    assert bytes(found.body) == wire.declared == b"one,two,three"
-    assert found.is_whole == (wire.framing is not Framing.CLOSE)
-    assert found.ends_with_connection == (wire.framing is Framing.CLOSE)
+    encoded = encode_response(CONTENT, FaultDraw(fault, pieces=2 if fault is Fault.PAUSES else 1), is_stream)
+    parser = ResponseParser()
+    parser.feed(b"".join(encoded.pieces))
+    (check_request,) = parser.responses
+    assert bytes(check_request.body) == encoded.declared == b"one,two,three"
+    assert check_request.is_complete == (encoded.framing is not Framing.CLOSE)
+    assert check_request.ends_with_connection == (encoded.framing is Framing.CLOSE)
 
 
 @pytest.mark.parametrize(
-    ("fault", "is_whole", "declared"),
+    ("fault", "is_complete", "declared"),
     [
         (Fault.LENGTH_TOO_LONG, False, b"one,two,three"),
         (Fault.LENGTH_TOO_SHORT, True, b"one,two,three"[:-7]),
@@ -70,147 +70,159 @@
     ],
 )
 def test_the_framing_of_a_faulty_answer_is_wrong_as_its_fault_says(
-    fault: Fault, is_whole: bool, declared: bytes
+    fault: Fault, is_complete: bool, declared: bytes
 ) -> None:
-    wire = frame(CONTENT, Lot(fault), is_stream=False)
-    assert wire.declared == declared
-    answers = Answers()
+    encoded = encode_response(CONTENT, FaultDraw(fault), is_stream=False)
+    assert encoded.declared == declared
+    parser = ResponseParser()
     try:
-        answers.feed(b"".join(wire.pieces))
-    except Exception:  # surplus bytes may be no answer
+        parser.feed(b"".join(encoded.pieces))
+    except Exception:  # surplus bytes may not be a valid response
         assert fault is Fault.LENGTH_TOO_SHORT
-    assert answers.found[0].is_whole == is_whole
+    assert parser.responses[0].is_complete == is_complete
 
 
-# ---- the checker
+# ---- checker
 
 
-def ask(kind: Kind = Kind.ONCE, style: Style = Style.KEPT) -> Ask:
-    return Ask("r1", kind, style, "edge-a", 10.0, 14.0, False)
+def client_request(
+    kind: RequestKind = RequestKind.ONCE, behavior: ClientBehavior = ClientBehavior.KEPT
+) -> ClientRequest:
+    return ClientRequest("r1", kind, behavior, "edge-a", 10.0, 14.0, False)
 
 
-def run_of(request: str = "r1", seal: str = "u1.1", **changes: object) -> Arrival:
+def arrival(request_id: str = "r1", seal: str = "u1.1", **changes: object) -> Arrival:
     run = Arrival(
-        request, "u1", 10.1, Fault.GOOD, ran=True, status=200, seal=seal, body=b"body", whole_at=10.2
+        request_id, "u1", 10.1, Fault.GOOD, ran=True, status=200, seal=seal, body=b"body", complete_at=10.2
     )
     return replace(run, **changes)  # type: ignore[arg-type]
 
 
-def whole(status: int = 200, body: bytes = b"body", at: float = 10.3, **headers: str) -> End:
-    return End(EndKind.WHOLE, at, status, headers or (SEALED if status in (200, 500) else {}), body)
+def complete_end(status: int = 200, body: bytes = b"body", at: float = 10.3, **headers: str) -> RequestEnd:
+    return RequestEnd(EndKind.COMPLETE, at, status, headers or (SEALED if status in (200, 500) else {}), body)
 
 
-def found(
-    end: End | None, *runs: Arrival, of: Ask | None = None, spans: tuple[Span, ...] = ()
+def check_request(
+    end: RequestEnd | None, *runs: Arrival, of: ClientRequest | None = None, spans: tuple[Span, ...] = ()
 ) -> list[Finding]:
-    asked = of or ask()
+    request_record = of or client_request()
     if end is not None:
-        asked.ends.append(end)
-    return Checker(Records([asked], list(runs), list(spans))).findings()
+        request_record.ends.append(end)
+    return Checker(Records([request_record], list(runs), list(spans))).findings()
 
 
 def rules(findings: list[Finding]) -> list[str]:
     return [finding.rule for finding in findings]
 
 
-def stream(*numbers: int, seal: str = "u1.1", request: str = "r1", last: int = 3) -> bytes:
+def event_bytes(*numbers: int, seal: str = "u1.1", request_id: str = "r1", last: int = 3) -> bytes:
     return b"".join(
-        event(Arrival(request, "u1", 0.0, Fault.GOOD, seal=seal, events=last), n) for n in numbers
+        event(Arrival(request_id, "u1", 0.0, Fault.GOOD, seal=seal, events=last), n) for n in numbers
     )
 
 
 def test_an_answer_that_is_its_upstreams_own_is_fine() -> None:
-    assert found(whole(), run_of()) == []
-    assert found(whole(500, b"oh"), run_of(status=500, body=b"oh", fault=Fault.ERROR)) == []
-    assert found(whole(503, b""), of=ask(Kind.SAFE)) == []
-    run = run_of(events=3, body=stream(1, 2, 3))
-    assert found(whole(body=stream(1, 2, 3)), run, of=ask(Kind.TAG)) == []
+    assert check_request(complete_end(), arrival()) == []
+    assert check_request(complete_end(500, b"oh"), arrival(status=500, body=b"oh", fault=Fault.ERROR)) == []
+    assert check_request(complete_end(503, b""), of=client_request(RequestKind.SAFE)) == []
+    run = arrival(events=3, body=event_bytes(1, 2, 3))
+    assert (
+        check_request(complete_end(body=event_bytes(1, 2, 3)), run, of=client_request(RequestKind.TAG)) == []
+    )
 
 
 @pytest.mark.parametrize(
     ("end", "runs"),
     [
-        (whole(body=b"bod"), [run_of()]),
-        (whole(), [run_of("r2")]),
-        (whole(), []),
-        (whole(status=200, body=b"body", at=10.3, **{"x-any": "1"}), [run_of()]),
-        (whole(500, b"body"), [run_of()]),
-        (whole(502, b"a body"), [run_of(whole_at=None)]),
-        (End(EndKind.INVALID, 10.3), [run_of(whole_at=None)]),
+        (complete_end(body=b"bod"), [arrival()]),
+        (complete_end(), [arrival("r2")]),
+        (complete_end(), []),
+        (complete_end(status=200, body=b"body", at=10.3, **{"x-any": "1"}), [arrival()]),
+        (complete_end(500, b"body"), [arrival()]),
+        (complete_end(502, b"a body"), [arrival(complete_at=None)]),
+        (RequestEnd(EndKind.INVALID, 10.3), [arrival(complete_at=None)]),
     ],
     ids=["short", "another's", "nobody's", "no seal", "another status", "own with a body", "no answer"],
 )
-def test_an_answer_that_is_not_its_own_or_not_whole_is_found(end: End, runs: list[Arrival]) -> None:
-    assert "mixed" in rules(found(end, *runs))
+def test_an_answer_that_is_not_its_own_or_not_whole_is_found(end: RequestEnd, runs: list[Arrival]) -> None:
+    assert "mixed" in rules(check_request(end, *runs))
 
 
 @pytest.mark.parametrize(
     ("body", "rule"),
     [
-        (stream(1, 3), "gap"),
-        (stream(1, 2, 2, 3), "gap"),
-        (stream(1, 2), "gap"),
-        (stream(1, 2) + stream(3, request="r2"), "mixed"),
-        (stream(1, 2) + stream(3, seal="u9.9"), "mixed"),
-        (stream(1, 2, 3) + b"id: 4\n", "mixed"),
+        (event_bytes(1, 3), "gap"),
+        (event_bytes(1, 2, 2, 3), "gap"),
+        (event_bytes(1, 2), "gap"),
+        (event_bytes(1, 2) + event_bytes(3, request_id="r2"), "mixed"),
+        (event_bytes(1, 2) + event_bytes(3, seal="u9.9"), "mixed"),
+        (event_bytes(1, 2, 3) + b"id: 4\n", "mixed"),
     ],
 )
 def test_a_stream_that_is_not_whole_is_found(body: bytes, rule: str) -> None:
-    run = run_of(events=3, body=stream(1, 2, 3))
-    assert rules(found(whole(body=body), run, of=ask(Kind.TAG))) == [rule]
+    run = arrival(events=3, body=event_bytes(1, 2, 3))
+    assert rules(check_request(complete_end(body=body), run, of=client_request(RequestKind.TAG))) == [rule]
 
 
 def test_a_stream_out_of_two_runs_of_one_request_is_fine() -> None:
-    first, second = run_of(events=3, whole_at=None, fault=Fault.RESET), run_of(seal="u2.1", events=3)
-    body = stream(1) + stream(2, 3, seal="u2.1")
-    assert found(whole(body=body), first, second, of=ask(Kind.ASK)) == []
+    first, second = arrival(events=3, complete_at=None, fault=Fault.RESET), arrival(seal="u2.1", events=3)
+    body = event_bytes(1) + event_bytes(2, 3, seal="u2.1")
+    assert check_request(complete_end(body=body), first, second, of=client_request(RequestKind.ASK)) == []
 
 
 def test_what_runs_twice_is_found_where_it_may_run_once() -> None:
-    runs = (run_of(), run_of(seal="u2.1"))
-    assert rules(found(whole(), *runs)) == ["twice"]
-    assert found(whole(), *runs, of=ask(Kind.SAFE)) == []
+    runs = (arrival(), arrival(seal="u2.1"))
+    assert rules(check_request(complete_end(), *runs)) == ["twice"]
+    assert check_request(complete_end(), *runs, of=client_request(RequestKind.SAFE)) == []
 
 
 def test_a_promise_that_does_not_hold_is_found() -> None:
     for status in (408, 421, 429, 503):
-        assert rules(found(whole(status, b""), run_of(whole_at=None))) == ["promise"]
-    assert found(whole(503, b"")) == []
+        assert rules(check_request(complete_end(status, b""), arrival(complete_at=None))) == ["promise"]
+    assert check_request(complete_end(503, b"")) == []
 
 
 def test_a_whole_answer_that_its_client_did_not_get_is_found() -> None:
-    assert rules(found(End(EndKind.CUT, 10.4, 200), run_of())) == ["lost"]
-    assert found(whole(502, b""), run_of(whole_at=13.9)) == []  # too late
-    for end in (whole(502, b""), End(EndKind.CLOSED, 10.4)):
-        assert rules(found(end, run_of())) == ["unserved"]
-        assert found(end, run_of(dirty_s=0.001)) == []  # bytes of no request crossed it
-        assert found(end, run_of(), of=ask(style=Style.LEAVES)) == []
-        assert found(end, run_of(), spans=(Span("kill", "edge-a", 10.2, 10.9),)) == []
-        assert rules(found(end, run_of(), spans=(Span("kill", "edge-b", 10.2, 10.9),))) == ["unserved"]
+    assert rules(check_request(RequestEnd(EndKind.CUT, 10.4, 200), arrival())) == ["lost"]
+    assert (
+        check_request(complete_end(502, b""), arrival(complete_at=13.9)) == []
+    )  # complete too shortly before the deadline
+    for end in (complete_end(502, b""), RequestEnd(EndKind.CLOSED, 10.4)):
+        assert rules(check_request(end, arrival())) == ["unserved"]
+        assert check_request(end, arrival(since_partial_s=0.001)) == []  # stray bytes crossed it
+        assert check_request(end, arrival(), of=client_request(behavior=ClientBehavior.LEAVES)) == []
+        assert check_request(end, arrival(), spans=(Span("kill", "edge-a", 10.2, 10.9),)) == []
+        assert rules(check_request(end, arrival(), spans=(Span("kill", "edge-b", 10.2, 10.9),))) == [
+            "unserved"
+        ]
         assert (
-            found(end, run_of(), spans=(Span("crash", "u1", 10.25, 10.6),)) == []
-        )  # its last bytes are lost
-        assert rules(found(end, run_of(), spans=(Span("crash", "u1", 10.35, 10.6),))) == ["unserved"]
+            check_request(end, arrival(), spans=(Span("crash", "u1", 10.25, 10.6),)) == []
+        )  # its last bytes may be lost
+        assert rules(check_request(end, arrival(), spans=(Span("crash", "u1", 10.35, 10.6),))) == ["unserved"]
 
 
 def test_a_request_that_is_closed_on_unanswered_is_found() -> None:
-    end = End(EndKind.CLOSED, 10.4)
-    assert rules(found(end, run_of(whole_at=None))) == ["lost"]
-    assert rules(found(end, run_of(whole_at=None), spans=(Span("term", "edge-a", 10.2, 10.9),))) == ["stop"]
-    assert found(end, run_of(whole_at=None, fault=Fault.RESET)) == []
-    assert found(end, run_of(whole_at=None), spans=(Span("crash", "u1", 10.2, 10.6),)) == []
-    assert found(end) == []  # it was not passed on
+    end = RequestEnd(EndKind.CLOSED, 10.4)
+    assert rules(check_request(end, arrival(complete_at=None))) == ["lost"]
+    assert rules(
+        check_request(end, arrival(complete_at=None), spans=(Span("term", "edge-a", 10.2, 10.9),))
+    ) == ["stop"]
+    assert check_request(end, arrival(complete_at=None, fault=Fault.RESET)) == []
+    assert check_request(end, arrival(complete_at=None), spans=(Span("crash", "u1", 10.2, 10.6),)) == []
+    assert check_request(end) == []  # it was not forwarded
 
 
 def test_each_request_has_one_end_in_its_time() -> None:
-    assert rules(found(None, run_of())) == ["ends"]
-    assert rules(found(End(EndKind.NONE, 15.5), run_of(whole_at=None))) == ["held"]
-    assert found(End(EndKind.NONE, 15.5), spans=(Span("stop", "edge-a", 11.0, 12.0),)) == []
-    twice = ask()
-    twice.ends += [whole(), whole()]
-    assert rules(Checker(Records([twice], [run_of()])).findings()) == ["ends"]
+    assert rules(check_request(None, arrival())) == ["ends"]
+    assert rules(check_request(RequestEnd(EndKind.NONE, 15.5), arrival(complete_at=None))) == ["held"]
+    assert check_request(RequestEnd(EndKind.NONE, 15.5), spans=(Span("stop", "edge-a", 11.0, 12.0),)) == []
+    twice = client_request()
+    twice.ends += [complete_end(), complete_end()]
+    assert rules(Checker(Records([twice], [arrival()])).findings()) == ["ends"]
     assert rules(
-        Checker(Records(unasked=["client 1: b'x'"], unclean=["edge-a ended with 1"])).findings()
+        Checker(
+            Records(unsolicited=["client 1: b'x'"], unclean_exits=["edge-a exited with status 1"])
+        ).findings()
     ) == [
         "process",
         "ends",
@@ -218,28 +230,28 @@
 
 
 def test_a_request_at_an_upstream_that_left_long_ago_is_found() -> None:
-    late = Records([ask()], [replace(run_of(), at=20.0)], delisted=[Delisted("u1", 10.0)])
-    late.asks[0].ends.append(whole())
-    assert rules(Checker(late).findings()) == ["drain"]
+    records = Records([client_request()], [replace(arrival(), at=20.0)], delisted=[Delisted("u1", 10.0)])
+    records.requests[0].ends.append(complete_end())
+    assert rules(Checker(records).findings()) == ["drain"]
     for span in (
         Span("list", "late", 9.0, 18.5),
         Span("stop", "edge-a", 11.0, 18.0),
         Span("kill", "core-b", 9.0, 19.0),
     ):
-        late.spans = [span]
-        assert Checker(late).findings() == []
-    late.spans = [Span("kill", "edge-b", 9.0, 19.0)]
-    assert rules(Checker(late).findings()) == ["drain"]
+        records.spans = [span]
+        assert Checker(records).findings() == []
+    records.spans = [Span("kill", "edge-b", 9.0, 19.0)]
+    assert rules(Checker(records).findings()) == ["drain"]
 
 
-def put(ver: int, base: int, status: int = 200, is_valid: bool = True, at: float = 1.0) -> Put:
-    return Put(ver, base, json.dumps({"ver": ver, "at": at}).encode(), is_valid, at, status, at)
+def put(ver: int, base: int, status: int = 200, is_valid: bool = True, at: float = 1.0) -> ConfigurationPut:
+    return ConfigurationPut(ver, base, json.dumps({"ver": ver, "at": at}).encode(), is_valid, at, status, at)
 
 
 def test_configurations_that_contradict_each_other_are_found() -> None:
-    def of(*puts: Put, settled: int = 2, reads: tuple[Read, ...] = ()) -> list[str]:
+    def of(*puts: ConfigurationPut, settled: int = 2, reads: tuple[ConfigurationRead, ...] = ()) -> list[str]:
         body = next((p.body for p in puts if p.ver == settled), b"{}")
-        records = Records(puts=list(puts), reads=list(reads), settled_ver=settled, settled_body=body)
+        records = Records(puts=list(puts), reads=list(reads), final_ver=settled, final_body=body)
         return rules(Checker(records).findings())
 
     assert of(put(2, 1)) == []
@@ -247,31 +259,41 @@
     assert of(put(2, 1), put(3, 1), settled=3) == ["configuration"]
     assert of(put(2, 1, is_valid=False)) == ["configuration"]
     assert of(put(2, 1), settled=1) == ["configuration"]
-    assert of(put(2, 1, at=1.0), reads=(Read("c", 2.0, 1),)) == ["configuration"]
-    assert of(put(2, 1, at=1.0), reads=(Read("c", 0.5, 1), Read("c", 2.0, 0), Read("c", 2.0, 2))) == []
-    changed = Records(puts=[put(2, 1)], settled_ver=2, settled_body=b'{"ver": 2, "at": 9}')
+    assert of(put(2, 1, at=1.0), reads=(ConfigurationRead("c", 2.0, 1),)) == ["configuration"]
+    assert (
+        of(
+            put(2, 1, at=1.0),
+            reads=(
+                ConfigurationRead("c", 0.5, 1),
+                ConfigurationRead("c", 2.0, 0),
+                ConfigurationRead("c", 2.0, 2),
+            ),
+        )
+        == []
+    )
+    changed = Records(puts=[put(2, 1)], final_ver=2, final_body=b'{"ver": 2, "at": 9}')
     assert rules(Checker(changed).findings()) == ["configuration"]
 
 
-# ---- the fleet
+# ---- fleet
 
 
 def test_a_process_has_come_up_once_its_log_says_so_since_its_last_start(tmp_path: Path) -> None:
     member = Member(Machine("edge-a", "balancer", "127.0.0.1", "a"), Process("edge-a", tmp_path))
     member.process.log.write_bytes(b"event=started role=balancer\nevent=stopped\n")
-    assert member.has_come_up()
+    assert member.has_started()
     member.log_from = member.process.log.stat().st_size
-    assert not member.has_come_up()
+    assert not member.has_started()
     with member.process.log.open("ab") as log:
         log.write(b"event=started role=balancer\n")
-    assert member.has_come_up()
+    assert member.has_started()
 
 
-# ---- the command
+# ---- command
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "message"),
     [
         (["sok"], "No such command 'sok'"),
         (["soak", "--seed", "x"], "'x' is not a valid integer"),
@@ -279,14 +301,14 @@
         (["soak", "--balancers", "400"], "--balancers 400: allowed: 1 to 250"),
         (["soak", "--balancers", "249", "--control", "9"], "ask for 250 at the most"),
         (["soak", "--defect", "none"], "--defect 'none': allowed: "),
-        (["soak", "--only", "nothing"], "--only 'nothing': no trouble's name holds it"),
+        (["soak", "--only", "nothing"], "--only 'nothing': no trouble's name contains it"),
     ],
 )
-def test_a_wrong_call_is_one_line_with_the_remedy(words: list[str], said: str) -> None:
-    done = CliRunner().invoke(main, words)
-    assert done.exit_code == 2
-    (line,) = [line for line in done.output.splitlines() if not line.startswith("seed ")]
-    assert said in line
+def test_a_wrong_call_is_one_line_with_the_remedy(arguments: list[str], message: str) -> None:
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 2
+    (line,) = [line for line in result.output.splitlines() if not line.startswith("seed ")]
+    assert message in line
 
 
 def test_too_many_processes_for_the_memory_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -296,9 +318,9 @@
 
 
 def test_the_planted_defects_are_listed() -> None:
-    done = CliRunner().invoke(main, ["soak", "--defect", "list"])
-    assert done.exit_code == 0
-    assert {line.split()[0] for line in done.output.splitlines()} == set(planted.described())
+    result = CliRunner().invoke(main, ["soak", "--defect", "list"])
+    assert result.exit_code == 0
+    assert {line.split()[0] for line in result.output.splitlines()} == set(planted.descriptions())
 
 
 def test_soaks_of_one_seed_that_end_together_keep_their_logs_apart(tmp_path: Path) -> None:
@@ -307,5 +329,5 @@
         folder = tmp_path / name
         folder.mkdir()
         (folder / "edge-a.log").write_text(name)
-        copies.append(leave_copy(folder, tmp_path / "found", seed=1))
+        copies.append(save_copy(folder, tmp_path / "found", seed=1))
     assert [(copy / "edge-a.log").read_text() for copy in copies] == ["first", "second"]
--- a/tests/test_soak_bodies.py
+++ b/tests/test_soak_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests in a soak: what upstreams get is compared with what clients send."""
+"""Request bodies of a soak: upstreams compare what they receive with what clients send."""
 
 from __future__ import annotations
 
@@ -11,9 +11,18 @@
 from mastturn.soak import bodies, faults
 from mastturn.soak.checker import Checker
 from mastturn.soak.faults import Fault
-from mastturn.soak.records import Altered, Arrival, Ask, End, EndKind, Kind, Records, Style
+from mastturn.soak.records import (
+    Arrival,
+    ClientBehavior,
+    ClientRequest,
+    EndKind,
+    Records,
+    RequestEnd,
+    RequestKind,
+    UnexpectedInput,
+)
 from mastturn.soak.upstream import Handles, Upstream
-from mastturn.soak.wire import BadRequestError, Got, Reader, read_body, read_head
+from mastturn.soak.wire import BadRequestError, Reader, RequestHead, read_body, read_head
 from mastturn.standins.ports import free_port
 from tests.loopback import run
 
@@ -28,10 +37,10 @@
     return reader
 
 
-async def read_one(data: bytes) -> tuple[Got | None, bytes]:
+async def read_request(data: bytes) -> tuple[RequestHead | None, bytes]:
     reader = reader_of(data)
-    got = await read_head(reader)
-    return got, await read_body(got, reader) if got is not None else b""
+    request_head = await read_head(reader)
+    return request_head, await read_body(request_head, reader) if request_head is not None else b""
 
 
 def test_bodies_are_alike_for_alike_seeds_and_come_in_all_sizes_and_framings() -> None:
@@ -46,8 +55,8 @@
 def test_a_body_is_read_back_as_it_was_drawn(seed: int) -> None:
     body = bodies.draw(random.Random(seed), "r1")
     data = f"{HEAD}{body.header}\r\n\r\n".encode() + b"".join(body.pieces)
-    got, read = asyncio.run(read_one(data))
-    assert got is not None
+    request_head, read = asyncio.run(read_request(data))
+    assert request_head is not None
     assert read == bodies.content("r1", body.size)
 
 
@@ -63,24 +72,26 @@
 )
 def test_bytes_of_a_body_in_another_place_are_no_request(data: bytes) -> None:
     with pytest.raises(BadRequestError):
-        asyncio.run(read_one(data))
+        asyncio.run(read_request(data))
 
 
 def test_the_beginning_of_a_head_is_only_the_end_of_a_connection() -> None:
-    assert asyncio.run(read_one(b"POST /once")) == (None, b"")
-    assert asyncio.run(read_one(b"")) == (None, b"")
+    assert asyncio.run(read_request(b"POST /once")) == (None, b"")
+    assert asyncio.run(read_request(b"")) == (None, b"")
 
 
 @pytest.mark.parametrize(
-    ("body", "altered"),
+    ("body", "unexpected_inputs"),
     [
         (b"r1;r1;", []),
-        (b"r1;r2;", ["another body from byte 4 on: b'2;'"]),
-        (b"r1", []),  # the rest does not come
-        (b"xx", ["another body from byte 0 on: b'xx'"]),
+        (b"r1;r2;", ["a different body from byte 4 on: b'2;'"]),
+        (b"r1", []),  # the rest is missing
+        (b"xx", ["a different body from byte 0 on: b'xx'"]),
     ],
 )
-def test_an_upstream_compares_what_comes_with_what_its_client_sends(body: bytes, altered: list[str]) -> None:
+def test_an_upstream_compares_what_comes_with_what_its_client_sends(
+    body: bytes, unexpected_inputs: list[str]
+) -> None:
     records = Records()
 
     async def send() -> None:
@@ -91,19 +102,21 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(f"{HEAD}Content-Length: 6\r\n\r\n".encode() + body)
         writer.write_eof()
-        await reader.read()  # up to the upstream's end of the connection
+        await reader.read()  # until the upstream closes the connection
         upstream.crash()
         writer.close()
 
     run(send())
-    assert [a.words for a in records.altered] == altered
+    assert [a.description for a in records.unexpected_inputs] == unexpected_inputs
 
 
 def test_what_no_client_sent_is_found() -> None:
-    asked = Ask("r1", Kind.SAFE, Style.KEPT, "edge-a", 10.0, 14.0, False, size=6)
-    asked.ends.append(End(EndKind.LEFT, 10.5))
-    for size, found in ((6, []), (None, []), (5, ["unasked"])):
+    request_record = ClientRequest(
+        "r1", RequestKind.SAFE, ClientBehavior.KEPT, "edge-a", 10.0, 14.0, False, size=6
+    )
+    request_record.ends.append(RequestEnd(EndKind.LEFT, 10.5))
+    for size, rules in ((6, []), (None, []), (5, ["unasked"])):
         arrival = Arrival("r1", "u1", 10.1, Fault.GOOD, size=size)
-        assert [f.rule for f in Checker(Records([asked], [arrival])).findings()] == found
-    altered = Records(altered=[Altered("u1", 10.0, "r1", "bytes that are no request")])
-    assert [f.rule for f in Checker(altered).findings()] == ["unasked"]
+        assert [f.rule for f in Checker(Records([request_record], [arrival])).findings()] == rules
+    records = Records(unexpected_inputs=[UnexpectedInput("u1", 10.0, "r1", "bytes that are not a request")])
+    assert [f.rule for f in Checker(records).findings()] == ["unasked"]
--- a/tests/test_soak_defects.py
+++ b/tests/test_soak_defects.py
@@ -1,4 +1,4 @@
-"""Real small fleets with planted defects: a soak finds each of them, and nothing where there is none."""
+"""Soaks of small real fleets: each planted defect is found, and nothing is found without one."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from mastturn.soak import planted
 
 ROOT = Path(__file__).parent.parent
-SIDE_BY_SIDE = 4
-MOST_SEEDS = 20
+CONCURRENT_SOAKS = 4
+MAX_SEEDS = 20
 FOUND, CLEAN = 1, 0
-RULES = {  # by which a soak may find a defect, and of which troubles
+RULES = {  # the rules of which one must be violated, and the only troubles injected
     "stale-error-taken": ({"mixed", "unserved", "lost"}, ""),
     "id-not-looked-at": ({"mixed", "unserved"}, ""),
     "fin-taken-as-end": ({"mixed", "gap", "held"}, ""),
@@ -29,57 +29,57 @@
     "body-altered": ({"unasked"}, ""),
     "held-past-deadline": ({"held"}, ""),
 }
-ANSWERS = {  # what goes wrong with answers, where a defect shows in one way only: of all ways it is too rare
+RESPONSE_FAULTS = {  # the only response fault, for a defect that would show too rarely among all faults
     "stale-error-taken": "an error without id later",
 }
 
 
-def soak(*words: str) -> subprocess.CompletedProcess[str]:
-    """One call of the command, on a fleet of six processes."""
-    command = [sys.executable, "-c", "from mastturn.cli import main; main()", "soak", "--quiet", *words]
+def soak(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run the command on a fleet of six processes."""
+    command = [sys.executable, "-c", "from mastturn.cli import main; main()", "soak", "--quiet", *arguments]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=600, check=False)
 
 
-def with_defect(name: str) -> subprocess.CompletedProcess[str]:
-    rules, only = RULES[name]
-    until = [word for rule in sorted(rules) for word in ("--until", rule)]
-    answers = ANSWERS.get(name, "")
-    words = [
+def soak_with_defect(name: str) -> subprocess.CompletedProcess[str]:
+    rules, trouble_filter = RULES[name]
+    until_options = [word for rule in sorted(rules) for word in ("--until", rule)]
+    fault_filter = RESPONSE_FAULTS.get(name, "")
+    arguments = [
         "--defect",
         name,
         "--only",
-        only,
+        trouble_filter,
         "--answers",
-        answers,
+        fault_filter,
         "--seed",
         "1",
         "--seeds",
-        str(MOST_SEEDS),
+        str(MAX_SEEDS),
         "--seconds",
         "10",
     ]
-    return soak(*words, *until)
+    return soak(*arguments, *until_options)
 
 
 @pytest.fixture(scope="module")
-def played() -> dict[str, subprocess.CompletedProcess[str]]:
-    """What came of each planted defect; some fleets run side by side."""
-    with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
-        return dict(zip(RULES, pool.map(with_defect, RULES), strict=True))
+def results() -> dict[str, subprocess.CompletedProcess[str]]:
+    """Return the result of a soak with each planted defect; some fleets run concurrently."""
+    with ThreadPoolExecutor(CONCURRENT_SOAKS) as pool:
+        return dict(zip(RULES, pool.map(soak_with_defect, RULES), strict=True))
 
 
 def test_every_planted_defect_has_its_soak() -> None:
-    assert set(RULES) == set(planted.described())
+    assert set(RULES) == set(planted.descriptions())
 
 
 @pytest.mark.parametrize("name", RULES)
-def test_a_planted_defect_is_found(name: str, played: dict[str, subprocess.CompletedProcess[str]]) -> None:
-    done = played[name]
-    assert done.returncode == FOUND, done.stdout[-2_000:] + done.stderr[-2_000:]
+def test_a_planted_defect_is_found(name: str, results: dict[str, subprocess.CompletedProcess[str]]) -> None:
+    result = results[name]
+    assert result.returncode == FOUND, result.stdout[-2_000:] + result.stderr[-2_000:]
     rules, _ = RULES[name]
-    assert any(f'"rule": "{rule}"' in done.stdout for rule in rules), done.stdout[-2_000:]
+    assert any(f'"rule": "{rule}"' in result.stdout for rule in rules), result.stdout[-2_000:]
 
 
 def test_nothing_is_found_without_a_defect() -> None:
-    done = soak("--seed", "1", "--seconds", "10")
-    assert done.returncode == CLEAN, done.stdout[-4_000:] + done.stderr[-2_000:]
+    result = soak("--seed", "1", "--seconds", "10")
+    assert result.returncode == CLEAN, result.stdout[-4_000:] + result.stderr[-2_000:]
--- a/tests/test_soak_ends.py
+++ b/tests/test_soak_ends.py
@@ -1,4 +1,4 @@
-"""A soak that is told to end ends all that it has started."""
+"""A soak that receives SIGTERM stops every process that it has started."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from mastturn.soak.commands import TERMINATED
 
 ROOT = Path(__file__).parent.parent
-UP_S, END_S = 60.0, 30.0
+START_TIMEOUT_S, EXIT_TIMEOUT_S = 60.0, 30.0
 
 
-def running(folder: Path) -> list[int]:
-    """The processes that have a file of a folder open: their logs."""
-    found = []
+def processes_using(folder: Path) -> list[int]:
+    """Return the processes that have a file below a folder open, such as their logs."""
+    pids = []
     for process in Path("/proc").glob("[0-9]*"):
         try:
             targets = [str(file.readlink()) for file in (process / "fd").iterdir()]
         except OSError:
-            continue  # it has ended meanwhile
+            continue  # it has exited meanwhile
         if any(target.startswith(str(folder)) for target in targets):
-            found.append(int(process.name))
-    return found
+            pids.append(int(process.name))
+    return pids
 
 
 def test_a_soak_that_gets_sigterm_leaves_no_process_behind(tmp_path: Path) -> None:
-    words = ["soak", "--seed", "1", "--seconds", "120", "--out", str(tmp_path)]
-    command = [sys.executable, "-u", "-c", "from mastturn.cli import main; main()", *words]
+    arguments = ["soak", "--seed", "1", "--seconds", "120", "--out", str(tmp_path)]
+    command = [sys.executable, "-u", "-c", "from mastturn.cli import main; main()", *arguments]
     with subprocess.Popen(
         command, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
     ) as soak:
         assert soak.stdout is not None and soak.stderr is not None
-        until = time.monotonic() + UP_S
+        deadline = time.monotonic() + START_TIMEOUT_S
         lines = iter(soak.stdout.readline, "")
-        assert any("are up" in line and time.monotonic() < until for line in lines)
-        assert running(tmp_path)
+        assert any("are up" in line and time.monotonic() < deadline for line in lines)
+        assert processes_using(tmp_path)
         soak.send_signal(signal.SIGTERM)
-        _, words_of_error = soak.communicate(timeout=END_S)
-    assert soak.returncode == TERMINATED, words_of_error
-    assert "ended by SIGTERM" in words_of_error
-    assert running(tmp_path) == []
+        _, stderr = soak.communicate(timeout=EXIT_TIMEOUT_S)
+    assert soak.returncode == TERMINATED, stderr
+    assert "ended by SIGTERM" in stderr
+    assert processes_using(tmp_path) == []
--- a/tests/test_soak_troubles.py
+++ b/tests/test_soak_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of a soak that overlap: none of them breaks the soak itself."""
+"""Overlapping troubles of a soak must not break the soak itself."""
 
 from __future__ import annotations
 
@@ -16,9 +16,17 @@
 from mastturn.soak.fleet import Fleet
 from mastturn.soak.logs import Logs
 from mastturn.soak.plan import Plan
-from mastturn.soak.play import play
-from mastturn.soak.records import Ask, End, EndKind, Kind, Records, Span, Style
-from mastturn.soak.surroundings import Surroundings
+from mastturn.soak.play import run_soak
+from mastturn.soak.records import (
+    ClientBehavior,
+    ClientRequest,
+    EndKind,
+    Records,
+    RequestEnd,
+    RequestKind,
+    Span,
+)
+from mastturn.soak.surroundings import Environment
 from mastturn.soak.troubles import Troubles
 from tests.loopback import run
 
@@ -26,26 +34,26 @@
 
 
 @pytest.fixture(autouse=True)
-def brief(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(surroundings, "CRASH_S", 0.0)
-    monkeypatch.setattr(surroundings, "UNLISTED_S", 0.0)
+def no_delays(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(surroundings, "REPLACE_DELAY_S", 0.0)
+    monkeypatch.setattr(surroundings, "LISTING_DELAY_S", 0.0)
     monkeypatch.setattr(surroundings, "DRAIN_S", 0.0)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_upstreams_that_crash_and_leave_at_once_never_share_an_address(seed: int) -> None:
     async def overlap() -> None:
-        around = Surroundings(lay_out(UPSTREAMS + 4), UPSTREAMS, seed, Records())
-        await around.start()
-        dice = random.Random(seed)
-        troubles = [around.crash, around.leave] * UPSTREAMS
-        dice.shuffle(troubles)
+        environment = Environment(lay_out(UPSTREAMS + 4), UPSTREAMS, seed, Records())
+        await environment.start()
+        rng = random.Random(seed)
+        troubles = [environment.crash, environment.leave] * UPSTREAMS
+        rng.shuffle(troubles)
         try:
-            await asyncio.gather(*(trouble(dice) for trouble in troubles))
-            addresses = [upstream.address for upstream in around.listed]
-            assert len(set(addresses)) == len(addresses) >= surroundings.SMALLEST
+            await asyncio.gather(*(trouble(rng) for trouble in troubles))
+            addresses = [upstream.address for upstream in environment.listed]
+            assert len(set(addresses)) == len(addresses) >= surroundings.MIN_UPSTREAMS
         finally:
-            around.stop()
+            environment.stop()
 
     run(overlap())
 
@@ -53,12 +61,12 @@
 def test_a_trouble_that_fails_fails_the_soak(tmp_path: Path) -> None:
     async def fail() -> None:
         layout = lay_out(UPSTREAMS)
-        around = Surroundings(layout, UPSTREAMS, 1, Records())
-        troubles = Troubles(Fleet(layout, tmp_path, Records()), around, 1, lambda text: None, "crash")
-        around.crash = broken  # type: ignore[method-assign]
+        environment = Environment(layout, UPSTREAMS, 1, Records())
+        troubles = Troubles(Fleet(layout, tmp_path, Records()), environment, 1, lambda text: None, "crash")
+        environment.crash = raise_os_error  # type: ignore[method-assign]
         await troubles.run(1.1)
 
-    async def broken(dice: random.Random) -> None:
+    async def raise_os_error(rng: random.Random) -> None:
         raise OSError("address already in use")
 
     with pytest.raises(OSError, match="already in use"):
@@ -68,50 +76,50 @@
 def test_a_control_process_loses_its_disk_only_in_calm(tmp_path: Path) -> None:
     records = Records()
     fleet = Fleet(lay_out(UPSTREAMS), tmp_path, records)
-    assert fleet.control_calm_s() == float("inf")
+    assert fleet.since_control_fault_s() == float("inf")
     now = time.monotonic()
     records.spans = [Span("kill", "core-a", now - 9.0, now - 8.0), Span("kill", "edge-a", now - 1.0, now)]
-    assert fleet.control_calm_s() == pytest.approx(8.0, abs=0.5)
+    assert fleet.since_control_fault_s() == pytest.approx(8.0, abs=0.5)
     records.spans.append(Span("stop", "core-b", now - 1.0))
-    assert fleet.control_calm_s() < 0.0
+    assert fleet.since_control_fault_s() < 0.0
 
 
 def test_a_folder_of_an_earlier_soak_is_refused(tmp_path: Path) -> None:
     (tmp_path / "core-a").mkdir()
     with pytest.raises(LabError, match="not empty; name another folder"):
-        play(Plan(1), lambda text: None, tmp_path)
+        run_soak(Plan(1), lambda text: None, tmp_path)
 
 
 def test_what_the_soak_itself_saw_late_is_no_finding_of_time_but_of_content(tmp_path: Path) -> None:
-    behind = Span(lag.LAG, lag.SOAK, 11.0, 11.5)
-    asked = Ask("r1", Kind.ONCE, Style.KEPT, "edge-a", 10.0, 14.0, False)
-    asked.ends.append(End(EndKind.NONE, 15.5))
-    assert [f.rule for f in Checker(Records([asked])).findings()] == ["held"]
-    assert Checker(Records([asked], spans=[behind])).findings() == []
-    asked.ends[0] = End(EndKind.INVALID, 12.0)
-    assert [f.rule for f in Checker(Records([asked], spans=[behind])).findings()] == ["mixed"]
+    lag_span = Span(lag.LAG, lag.SOAK, 11.0, 11.5)
+    request_record = ClientRequest("r1", RequestKind.ONCE, ClientBehavior.KEPT, "edge-a", 10.0, 14.0, False)
+    request_record.ends.append(RequestEnd(EndKind.NONE, 15.5))
+    assert [f.rule for f in Checker(Records([request_record])).findings()] == ["held"]
+    assert Checker(Records([request_record], spans=[lag_span])).findings() == []
+    request_record.ends[0] = RequestEnd(EndKind.INVALID, 12.0)
+    assert [f.rule for f in Checker(Records([request_record], spans=[lag_span])).findings()] == ["mixed"]
 
 
 def test_a_loop_that_has_no_turn_is_noticed() -> None:
-    async def be_late(records: Records) -> None:
-        watching = asyncio.create_task(lag.watch(records))
+    async def block_loop(records: Records) -> None:
+        watcher = asyncio.create_task(lag.watch(records))
         await asyncio.sleep(0.0)
-        time.sleep(lag.PERIOD_S + 2 * lag.LATE_S)  # the event loop is held up
+        time.sleep(lag.PERIOD_S + 2 * lag.MAX_DELAY_S)  # blocks the event loop
         while not records.spans:
             await asyncio.sleep(0.0)
-        watching.cancel()
+        watcher.cancel()
 
     records = Records()
-    asyncio.run(be_late(records))
+    asyncio.run(block_loop(records))
     (span,) = records.spans
-    assert (span.what, span.who) == (lag.LAG, lag.SOAK)
+    assert (span.cause, span.subject) == (lag.LAG, lag.SOAK)
     assert span.end - span.begin == pytest.approx(records.worst_lag_s)
-    assert records.worst_lag_s >= lag.LATE_S
+    assert records.worst_lag_s >= lag.MAX_DELAY_S
 
 
 def test_log_lines_are_found_by_their_request(tmp_path: Path) -> None:
     (tmp_path / "edge-a.log").write_text("event=cut request=r1 status=200\nevent=started\n")
     (tmp_path / "core-a.log").write_text("event=cut request=r2\n")
     logs = Logs(tmp_path)
-    assert logs.about("r1") == ["edge-a: event=cut request=r1 status=200"]
-    assert logs.about("") == logs.about("r9") == []
+    assert logs.lines_about("r1") == ["edge-a: event=cut request=r1 status=200"]
+    assert logs.lines_about("") == logs.lines_about("r9") == []
