--- a/mastturn/soak/fleet.py
+++ b/mastturn/soak/fleet.py
@@ -113,7 +113,7 @@
     async def terminate(self, member: Member) -> None:
         """Send SIGTERM, SIGKILL after the grace period, and restart the process."""
         async with member.lock:
-            if self.is_stopping or not member.process.runs:
+            if self.is_stopping or not member.process.is_running:
                 return
             span = self._records.begin("term", member.machine.node, time.monotonic())
             member.process.signal(signal.SIGTERM)
@@ -123,10 +123,10 @@
 
     async def _wait_for_exit(self, member: Member) -> None:
         if await _exits_within(member.process, GRACE_S):
-            ended_before_start = member.process.status == -signal.SIGTERM and not member.has_started()
-            if member.process.status != 0 and not ended_before_start:
+            ended_before_start = member.process.exit_status == -signal.SIGTERM and not member.has_started()
+            if member.process.exit_status != 0 and not ended_before_start:
                 self._records.unclean_exits.append(
-                    f"{member.machine.node} exited with status {member.process.status}"
+                    f"{member.machine.node} exited with status {member.process.exit_status}"
                 )
             return
         kill = self._records.begin("kill", member.machine.node, time.monotonic())
@@ -139,7 +139,7 @@
     async def kill(self, member: Member, wipe_disk: bool = False) -> None:
         """Send SIGKILL and restart the process; with `wipe_disk`, on an empty disk."""
         async with member.lock:
-            if self.is_stopping or not member.process.runs:
+            if self.is_stopping or not member.process.is_running:
                 return
             span = self._records.begin("kill", member.machine.node, time.monotonic())
             await member.process.kill()
@@ -151,7 +151,7 @@
     async def pause(self, member: Member, seconds: float) -> None:
         """Send SIGSTOP, and SIGCONT after `seconds`."""
         async with member.lock:
-            if self.is_stopping or not member.process.runs:
+            if self.is_stopping or not member.process.is_running:
                 return
             span = self._records.begin("stop", member.machine.node, time.monotonic())
             member.process.signal(signal.SIGSTOP)
@@ -192,14 +192,14 @@
             member.process.signal(signal.SIGCONT)
             member.process.signal(signal.SIGTERM)
         for member in members:
-            if member.process.runs and not await _exits_within(member.process, GRACE_S + 1.0):
+            if member.process.is_running and not await _exits_within(member.process, GRACE_S + 1.0):
                 self._records.unclean_exits.append(
                     f"{member.machine.node} did not exit at the end of the soak"
                 )
                 await member.process.kill()
 
     def _last_log_lines(self) -> str:
-        return "; ".join(f"{name}: {m.process.last_words()}" for name, m in list(self.members.items())[:4])
+        return "; ".join(f"{name}: {m.process.last_log_line()}" for name, m in list(self.members.items())[:4])
 
 
 def configuration(ver: int, idle_routes: int = 0, mark: str = "") -> dict[str, object]:
@@ -219,9 +219,9 @@
 
 async def _exits_within(process: Process, timeout_s: float) -> bool:
     deadline = time.monotonic() + timeout_s
-    while process.runs and time.monotonic() < deadline:
+    while process.is_running and time.monotonic() < deadline:
         await asyncio.sleep(0.01)
-    return not process.runs
+    return not process.is_running
 
 
 async def _is_ready(address: str) -> bool:
