--- a/mastturn/control_check/__init__.py
+++ b/mastturn/control_check/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of the control state: seeded histories with faults, and every order of events up to a bound."""
+"""Checks the control state by seeded fault-injection simulations and by bounded exhaustive state search."""
--- a/mastturn/control_check/__main__.py
+++ b/mastturn/control_check/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mastturn.control_check`: search all orders of events, play histories, draw take-over times."""
+"""Command line of the control state checks: `python -m mastturn.control_check`."""
 
 from __future__ import annotations
 
--- a/mastturn/control_check/disk.py
+++ b/mastturn/control_check/disk.py
@@ -1,4 +1,4 @@
-"""A disk of simulated time: one queue in order; slow, full or hanging; emptied by a wipe."""
+"""A simulated disk with one FIFO queue of records; it can be slow, full, hanging or wiped."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class Disk:
-    """Keeps what was synced; `done(True)` comes after the sync, `done(False)` when it refuses."""
+    """Stores synced records; calls `done(True)` after the sync, `done(False)` if it is rejected."""
 
     def __init__(
         self, sync_ms: float, rng: random.Random, later: Callable[[float, Callable[[], None]], None]
     ) -> None:
         self._sync_ms, self._random, self._later = sync_ms, rng, later
-        self.synced_state: DurableState | None = None  # None: empty
+        self.synced_state: DurableState | None = None  # None: the disk is empty
         self._queue: deque[tuple[Record, Callable[[bool], None]]] = deque()
         self._group = 0
-        self._turn = 0  # of the sync under way; a later one makes it void
+        self._turn = 0  # number of the sync in flight; a later number invalidates it
         self.refuses = False
         self.hangs = False
-        self.slow = 1.0  # times as slow
+        self.slow = 1.0  # factor on the duration of a sync
         self.syncs = 0
 
     def sync(self, record: Record, done: Callable[[bool], None]) -> None:
-        """Sync a record behind those that wait."""
+        """Queues a record to be synced after those already queued."""
         self._queue.append((record, done))
         if len(self._queue) == 1:
             self._start()
 
     def power_off(self) -> None:
-        """The process or the machine dies: of what waits, a part may have reached the disk."""
+        """Drops the queue when the process or machine dies; a random prefix may be on disk."""
         for _ in range(self._random.choice((0, 0, 1, 9))):
             if not self._queue or self.refuses or self.synced_state is None:
                 break
@@ -42,13 +42,13 @@
         self._turn += 1
 
     def wipe(self, identity: str) -> None:
-        """An empty disk, on which a new identity was synced."""
+        """Empties the disk and stores a new identity."""
         self._queue.clear()
         self._turn += 1
         self.synced_state = DurableState(identity)
 
     def recover(self) -> None:
-        """The trouble is over; what hung is synced now."""
+        """Ends all disk faults; a sync that hung starts again."""
         self.refuses, self.slow = False, 1.0
         if self.hangs:
             self.hangs = False
@@ -57,7 +57,7 @@
 
     def _start(self) -> None:
         self._turn += 1
-        self._group = len(self._queue)  # what waits is written together and synced once
+        self._group = len(self._queue)  # all queued records are written together and synced once
         turn = self._turn
         self._later(self._sync_ms * self.slow * self._random.uniform(0.5, 2.0), lambda: self._synced(turn))
 
@@ -67,7 +67,7 @@
         if self.refuses:
             waiting = list(self._queue)
             self._queue.clear()
-            for _, done in waiting:  # what was given behind a refused record fails with it
+            for _, done in waiting:  # records queued behind a rejected one fail with it
                 done(False)
             return
         group, self._group = self._group, 0
--- a/mastturn/control_check/explore.py
+++ b/mastturn/control_check/explore.py
@@ -1,4 +1,4 @@
-"""The search: every history within bounds, the shortest first; and long ones by chance."""
+"""Breadth-first search over all histories within bounds, and random walks over long histories."""
 
 from __future__ import annotations
 
@@ -20,23 +20,25 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search has given."""
+    """The result of a search or a random walk."""
 
     states: int = 0
-    depth: int = 0  # every history of fewer actions was played
-    is_whole: bool = False  # nothing was left to play
+    depth: int = 0  # every history with fewer actions was explored
+    is_whole: bool = False  # the whole state space was explored
     seconds: float = 0.0
-    broken: str = ""  # "" where every rule has held
+    broken: str = ""  # the violated rule with details; "" if none was violated
     rule: str = ""
     story: tuple[str, ...] = ()
-    taken_over: int = 0  # states in which another than the first leads
+    taken_over: int = 0  # states in which a process other than the first leads
     acknowledged: int = 0  # states in which a write is acknowledged
-    outcomes: set[Hashable] = field(default_factory=set, repr=False)  # all that was ever said
+    outcomes: set[Hashable] = field(
+        default_factory=set, repr=False
+    )  # every distinct set of reported outcomes
 
 
 @dataclass(slots=True)
 class _Seen:
-    """The states that were met, by their hashes, and how each was come by."""
+    """The visited states, by hash, with the parent and the action that led to each."""
 
     places: dict[int, int]
     parents: array[int]
@@ -61,7 +63,7 @@
 def explore(
     bounds: Bounds, make: ReplicaFactory = Replica, most_states: int = 200_000, most_s: float = math.inf
 ) -> SearchResult:
-    """Breadth first; ends at a broken rule, at the bounds, or at so many states or seconds."""
+    """Searches breadth-first until a rule is broken, the bounds are exhausted, or a limit is reached."""
     began = time.monotonic()
     steps, found = Steps(bounds, make), SearchResult()
     seen = _Seen({}, array("q"), [])
@@ -103,7 +105,7 @@
     make: ReplicaFactory = Replica,
     pace: float = 0.6,
 ) -> SearchResult:
-    """So many histories by chance; `pace`: how often what lies in the way of progress is done first."""
+    """Plays random histories; `pace` is the probability of preferring deliveries, syncs and settling."""
     began = time.monotonic()
     steps, found, rng = Steps(bounds, make), SearchResult(), random.Random(seed)
     met: set[int] = set()
--- a/mastturn/control_check/history.py
+++ b/mastturn/control_check/history.py
@@ -1,4 +1,4 @@
-"""Plays seeded histories, over several processes, and sums up what was seen."""
+"""Plays seeded histories, in several worker processes, and collects their results."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """What one seed has given."""
+    """The result of one seeded history."""
 
     seed: int
-    broken: str  # "" where every rule has held
+    broken: str  # the violated rule with details; "" if none was violated
     rule: str
     at_ms: float
     acknowledged: int
@@ -32,7 +32,7 @@
     slots_taken: tuple[float, ...]
     healed: tuple[Takeover, ...]
     slowest_ms: float
-    leaders: int = 0  # how often another led than before
+    leaders: int = 0  # number of leader changes
     story: tuple[str, ...] = field(default=(), repr=False)
 
 
@@ -43,7 +43,10 @@
     with_story: bool = False,
     handles_disk_errors: bool = True,
 ) -> History:
-    """One history; `told`: with its story; `heeds_refusals` False is a planted defect of the host."""
+    """Plays one history; `with_story` records its events.
+
+    `handles_disk_errors=False` is a planted defect of the host.
+    """
     world = World(shape, seed, make)
     world.handles_disk_errors = handles_disk_errors
     if with_story:
@@ -86,7 +89,7 @@
 
 
 def play_all(shape: Shape, seeds: Iterable[int], workers: int = 1) -> list[History]:
-    """Many histories, over at most so many processes."""
+    """Plays one history per seed, in at most `workers` processes."""
     jobs = [(shape, seed) for seed in seeds]
     if workers <= 1:
         return [_play(job) for job in jobs]
--- a/mastturn/control_check/inert.py
+++ b/mastturn/control_check/inert.py
@@ -1,7 +1,7 @@
-"""Messages that can mean nothing any more: the search leaves them out, so that many states are one.
+"""Detects inert messages, which the search drops so that equivalent states are merged.
 
-A message is inert for a process if whatever may still happen, its delivery changes nothing and brings nothing
-new: what it asks for is below a promise that lasts, or the campaign or term that it answers is over for good.
+A message is inert for a process if its delivery can have no effect in any continuation: its request is below
+a durable promise, or the campaign or term that it answers is over for good.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 def is_inert(message: Message, kept: WholeRecord, facts: Facts, may_crash: bool, joins: bool) -> bool:
-    """Whether a message can mean nothing to the process with this disk any more.
+    """Returns whether a message can no longer affect the process with this disk.
 
-    Where the process may crash, only what its disk holds lasts. What a process has acted on for good counts
-    as answered: its answer was sent with the sync, and once more it would be the same. `joins`: somebody may
-    ask for a slot.
+    If the process may crash, only its durable state counts. A request that was already acted on counts as
+    answered: the reply was sent with the sync, and would be the same again. `joins`: a process may still
+    request a slot.
     """
     if message.to not in (facts.identity, ""):
-        return True  # it was for a process that has lost its disk since
+        return True  # addressed to an identity that was wiped since
     promised = kept.promised if may_crash else facts.promised
     accepted = kept.view if may_crash else facts.view
     change = kept.document.latest_change() if may_crash else facts.change
--- a/mastturn/control_check/judged.py
+++ b/mastturn/control_check/judged.py
@@ -1,4 +1,4 @@
-"""What processes have said in a state of the search, as a value, and the rules for what they say next."""
+"""Checks the rules within a search, whose states hold the state of the rules as an immutable snapshot."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from mastturn.control_check.rules import PendingCall, Rules
 
 RulesSnapshot = tuple[Any, ...]
-Calls = tuple[tuple[int, int, int], ...]  # of operators, without an answer yet: token, command, floor
+Calls = tuple[tuple[int, int, int], ...]  # unanswered operator calls: token, command, floor
 
 
 def judge(
@@ -18,7 +18,7 @@
     reported: tuple[Reply | Committed | Lead, ...],
     commands: list[Command],
 ) -> tuple[RulesSnapshot, Calls]:
-    """The book and the open calls after processes have said these; raises BrokenRuleError."""
+    """Returns the snapshot and the unanswered calls after these effects; raises BrokenRuleError."""
     rules = restore_rules(rules_snapshot)
     for effect in reported:
         match effect:
@@ -35,7 +35,7 @@
 
 
 def snapshot_rules(rules: Rules) -> RulesSnapshot:
-    """All that rules remember, as a value."""
+    """Returns the state of the rules as an immutable, hashable value."""
     return (
         tuple(sorted(rules.chain.items(), key=lambda item: item[0])),
         tuple(sorted(rules.epochs.items())),
@@ -48,6 +48,6 @@
 
 
 def restore_rules(rules_snapshot: RulesSnapshot) -> Rules:
-    """Rules that remember that."""
+    """Returns rules restored from a snapshot."""
     chain, epochs, reported, winners, refused, leaders, taken = rules_snapshot
     return Rules(dict(chain), dict(epochs), reported, dict(winners), dict(refused), set(taken), dict(leaders))
--- a/mastturn/control_check/kept.py
+++ b/mastturn/control_check/kept.py
@@ -1,4 +1,4 @@
-"""What histories and searches have given, kept as lines of JSON; and both summed up as tables."""
+"""Stores the results of histories as JSON, and formats results of histories and searches as tables."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """The histories of one shape: over how many machines, how long a sync takes, and which seeds."""
+    """Summary of the histories of one configuration: machines, duration of a sync, and range of seeds."""
 
     machines: int
     sync_ms: float
@@ -48,13 +48,15 @@
     acknowledged: int
     reads: int
     views: int
-    gaps: dict[str, list[float]]  # ms without an answer, by trouble, sorted
-    slots_taken: list[float]  # ms until a newcomer has a slot, sorted
-    healed: dict[str, list[float]] = field(default_factory=dict)  # ms from a return to full membership
+    gaps: dict[str, list[float]]  # ms of unavailability by fault, sorted
+    slots_taken: list[float]  # ms until a new process has a slot, sorted
+    healed: dict[str, list[float]] = field(
+        default_factory=dict
+    )  # ms from the return of a machine to full membership
 
 
 def summarize(shape: Shape, histories: Sequence[History]) -> Series:
-    """A series out of its histories."""
+    """Returns the series that summarizes these histories."""
     gaps: defaultdict[str, list[float]] = defaultdict(list)
     for history in histories:
         for gap in history.gaps:
@@ -82,13 +84,13 @@
 
 
 def write_series(path: Path, series: Series) -> None:
-    """Write a series to a file."""
+    """Writes a series to a JSON file."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(asdict(series)) + "\n", encoding="utf-8")
 
 
 def read_series(path: Path) -> Series:
-    """A series out of its file; raises LabError."""
+    """Reads a series from a JSON file; raises LabError."""
     try:
         raw = json.loads(path.read_text(encoding="utf-8"))
         return Series(**{**raw, "broken": tuple(raw["broken"])})
@@ -97,12 +99,12 @@
 
 
 def at_share(values: Sequence[float], share: float) -> float:
-    """The value that so large a share of the sorted ones doesn't exceed."""
+    """Returns the quantile `share` of sorted values."""
     return values[min(int(len(values) * share), len(values) - 1)]
 
 
 def histories_table(found: Iterable[Series]) -> list[str]:
-    """How much was played, and what was broken."""
+    """Returns a table of the number of histories, broken rules and operations per series."""
     lines = [
         "| histories of 60 s | seeds | broken | acknowledged | reads | views |",
         "|---|---|---|---|---|---|",
@@ -116,7 +118,7 @@
 
 
 def takeovers_table(found: Sequence[Series]) -> list[str]:
-    """Time without an answer by trouble: how many; median, 95 of 100, most; how many above the aim."""
+    """Returns a table of unavailability by fault: count; median, p95, maximum; count above the target."""
     heads = "".join(f" {one.machines} machines, {one.sync_ms:g} ms a sync |" for one in found)
     lines = [f"| trouble |{heads}", "|---|" + "---|" * len(found)]
     for kind, words in (*TROUBLE_LABELS.items(), (TWO_TROUBLES, TWO_TROUBLES)):
@@ -126,7 +128,7 @@
 
 
 def healed_table(found: Sequence[Series]) -> list[str]:
-    """Time from a machine's return until the next loss is borne: how many; median, 99 of 100, most; in ms."""
+    """Returns a table of times in ms until the next loss is tolerated: count; median, p99, maximum."""
     kinds = list(dict.fromkeys(kind for one in found for kind in one.healed))
     if not kinds:
         return []
@@ -152,7 +154,7 @@
 
 
 def search_row(bounds: Bounds, found: SearchResult) -> str:
-    """A line of the table of searches."""
+    """Returns one row of the table of searches."""
     extra = f", {bounds.wipes} wipes" if bounds.wipes else ""
     whole = f"yes, depth {found.depth}" if found.is_whole else f"no: all of fewer than {found.depth} steps"
     return (
--- a/mastturn/control_check/liveness.py
+++ b/mastturn/control_check/liveness.py
@@ -1,4 +1,4 @@
-"""What has to happen within a time: somebody answers, and whoever has no slot gets one. It measures both."""
+"""Liveness checks: calls are answered and processes get a slot within deadlines; both times are measured."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 DISK_TROUBLES = ("full", "hang", "slow")
 PROBE_MS = 500.0
 GAP_PROBE_MS = 20.0
-ANSWER_MS = 3_000.0  # a majority that is calm for so long has a primary that answers
-WAIT_MS = 1_000.0  # beyond it: so long an operator's call may take besides, with one machine lost
-SLOT_MS = 4_000.0  # a process that is in touch has a slot within this
+ANSWER_MS = 3_000.0  # a majority without faults for this long has a primary that answers
+WAIT_MS = 1_000.0  # additional time for an operator's call, with one machine lost
+SLOT_MS = 4_000.0  # a process connected to the primary and a seed has a slot within this
 POLL_MS = 100.0
 
 
 class MonitoredWorld(Protocol):
-    """The world that is watched."""
+    """The simulated world whose liveness is checked."""
 
     now: float
     machines: dict[str, Machine]
@@ -30,51 +30,53 @@
 
     @property
     def operators(self) -> Sequence[Operator]:
-        """Who sends changes."""
+        """The simulated operators that send changes."""
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Call once the time has gone by."""
+        """Schedules a call after a delay in ms of simulated time."""
 
     def primary(self) -> Machine | None:
-        """The machine that leads the latest view, if it runs."""
+        """Returns the machine that leads the latest view, if it runs."""
 
     def ask(self, machine: Machine) -> None:
-        """Bring a read to a machine; `probed` hears of its answer."""
+        """Sends a read to a machine; its reply goes to `on_probe_reply`."""
 
 
 class Liveness:
-    """The bounds of one history, and how long everything took."""
+    """Checks the deadlines of one history and records the measured times."""
 
     def __init__(self, world: MonitoredWorld) -> None:
         self._world = world
         self.wait_ms = WAIT_MS
-        self.calm_since = 0.0  # the last change of any trouble
-        self.answered_at = 0.0  # when a question asked since then was last answered
+        self.calm_since = 0.0  # time of the last change of any fault
+        self.answered_at = 0.0  # send time of the latest answered probe
         self.gaps: list[Takeover] = []
         self.slots_taken: list[float] = []
-        self.healed: list[Takeover] = []  # from the return of a machine until it was a full member again
-        self.is_disturbed = False  # more may be in trouble than is to be borne: nothing has to be answered
-        self._open: tuple[str, float] | None = None  # a trouble of the primary that nobody has made up for
-        self._open_write: tuple[str, float] | None = None  # a trouble of the primary's disk
-        self._slotless: dict[str, tuple[float, int]] = {}  # ip: since when it runs without a slot, its life
+        self.healed: list[Takeover] = []  # from the return of a machine to its full membership
+        self.is_disturbed = False  # more faults than are tolerated: deadlines are suspended
+        self._open: tuple[str, float] | None = None  # a fault of the primary, until a probe is answered
+        self._open_write: tuple[str, float] | None = None  # a disk fault of the primary
+        self._slotless: dict[
+            str, tuple[float, int]
+        ] = {}  # by IP: since when it runs without a slot, incarnation
 
     def begin(self, watches: bool) -> None:
-        """Ask now and then; `watches`: hold the bounds."""
+        """Starts probing; `watches`: also enforces the deadlines."""
         self._world.later(2_000.0, self._probe)
         if watches:
             self._world.later(POLL_MS, self._watch)
 
     def on_trouble_changed(self) -> None:
-        """A trouble has begun, changed or ended."""
+        """Records that a fault has begun, changed or ended."""
         self.calm_since = self._world.now
 
     def on_process_started(self, machine: Machine) -> None:
-        """A process runs from now on."""
+        """Starts timing a process that has no slot."""
         if machine.replica is not None and machine.replica.durable_state.slot() is None:
             self._slotless[machine.ip] = (self._world.now, machine.incarnation)
 
     def on_trouble(self, kind: str, machine: Machine | None) -> None:
-        """A trouble begins; of what befalls the primary it is measured how long nobody answers."""
+        """Records the begin of a fault; for faults of the primary the unavailability is measured."""
         self.on_trouble_changed()
         now, primary = self._world.now, self._world.primary()
         if self._open is not None:
@@ -85,10 +87,10 @@
         if kind in DISK_TROUBLES and machine is primary:
             self._open_write = (f"{kind}, write", now)
         elif self._open_write is not None:
-            self._open_write = None  # two at once tell nothing of one
+            self._open_write = None  # overlapping faults can't be attributed
 
     def acknowledged(self, operator: Operator) -> None:
-        """An operator's change was acknowledged."""
+        """Records that an operator's change was acknowledged."""
         if self._open_write is not None and operator.since >= self._open_write[1]:
             self.gaps.append(Takeover(self._open_write[0], self._world.now - operator.since))
             self._open_write = None
@@ -111,7 +113,7 @@
             self._world.ask(machine)
 
     def on_probe_reply(self, reply: Reply, asked: float) -> None:
-        """A read that was asked then has its answer."""
+        """Handles the reply to a probe sent at `asked`."""
         if reply.verdict is not Verdict.DONE:
             return
         self.answered_at = max(self.answered_at, asked)
@@ -155,17 +157,17 @@
             raise BrokenRuleError("a slot", f"{ip} has none since {began:.0f}")
 
     def _is_apart(self, ip: str) -> bool:
-        """Whether a machine and the primary can't speak to each other."""
+        """Returns whether either direction between a machine and the primary is cut."""
         primary, cuts = self._world.primary(), self._world.network.cuts
         return primary is not None and ((ip, primary.ip) in cuts or (primary.ip, ip) in cuts)
 
     def _reaches_a_seed(self, machine: Machine) -> bool:
-        """Whether one of the seeds that a process knows is in touch with it: they are all that it is told."""
+        """Returns whether a process can reach one of its seeds, the only addresses that it is given."""
         assert machine.replica is not None
         return any(self._are_in_touch(machine.ip, seed) for seed in machine.replica.seeds())
 
     def _are_in_touch(self, ip: str, other: str) -> bool:
-        """Whether another machine is there, runs, and both hear one another."""
+        """Returns whether another machine exists, runs, and is reachable in both directions."""
         there, cuts = self._world.machines.get(other), self._world.network.cuts
         runs = there is not None and there.replica is not None and not there.frozen
         return runs and (ip, other) not in cuts and (other, ip) not in cuts
--- a/mastturn/control_check/machine.py
+++ b/mastturn/control_check/machine.py
@@ -1,4 +1,4 @@
-"""A machine of simulated time: a process, its disk, and the carrying out of what the process asks for."""
+"""A simulated machine: a process, its disk, and the execution of the effects that the process emits."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 from mastturn.control_check.disk import Disk
 
 TICK_MS = 25.0
-CHECKPOINT_MS = 400.0  # after a refusal the whole state is tried so often
+CHECKPOINT_MS = 400.0  # retry interval of a full-state write after a rejected write
 
 
 class MachineEnvironment(Protocol):
-    """What a machine needs of the world."""
+    """The part of the simulated world that a machine uses."""
 
     now: float
     rng: random.Random
     spec: Spec
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Call once the time has gone by."""
+        """Schedules a call after a delay in ms of simulated time."""
 
     def transmit(self, sender: str, ip: str, message: Message) -> None:
-        """Bring a message to another machine."""
+        """Sends a message to another machine."""
 
     def replied(self, machine: Machine, reply: Reply) -> None:
-        """An operator's call has its answer."""
+        """Handles the reply to an operator's call."""
 
     def committed(self, machine: Machine, effect: Committed) -> None:
-        """A document stays."""
+        """Handles the commit of a document."""
 
     def leads(self, machine: Machine, effect: Lead) -> None:
-        """A process begins or ends to lead."""
+        """Handles a process that starts or stops leading."""
 
     def make(
         self, me: Member, durable_state: DurableState, seeds: tuple[str, ...], founder: bool, seed: int
     ) -> Replica:
-        """A process."""
+        """Creates a replica."""
 
 
 class Machine:
-    """One machine; `life` counts the starts, so that nothing of an earlier process is carried out."""
+    """One machine; `incarnation` counts process starts, so that stale callbacks are dropped."""
 
     def __init__(
         self, environment: MachineEnvironment, node: str, ip: str, zone: str, sync_ms: float
@@ -58,7 +58,7 @@
         self.replica: Replica | None = None
         self.incarnation = 0
         self.frozen = False
-        self._waiting: list[Callable[[], None]] = []  # for the thaw
+        self._waiting: list[Callable[[], None]] = []  # calls deferred until the thaw
         self._local: deque[Message] = deque()
         self._is_disk_failed = False
         self.skew_ms = 0.0
@@ -66,7 +66,7 @@
         self.handles_disk_errors = True  # False: a planted defect of the host
 
     def clock(self) -> float:
-        """What the process takes for the time."""
+        """Returns the time as the process reads it, in ms."""
         return self._clock.read(self._environment.now + self.skew_ms)
 
     def _stalled(self, stall_ms: float, now: float) -> None:
@@ -74,7 +74,7 @@
             self.replica.on_stall(stall_ms, now)
 
     def start(self, seeds: tuple[str, ...], founder: bool) -> None:
-        """A process starts on what the disk holds."""
+        """Starts a process from the durable state on the disk."""
         synced_state = self.disk.synced_state
         assert synced_state is not None
         durable_state = DurableState(
@@ -90,7 +90,7 @@
         self._tick(self.incarnation)
 
     def end(self, power: bool) -> None:
-        """The process dies, with or without power."""
+        """Ends the process, by a kill or by loss of power."""
         self.incarnation += 1
         self.replica = None
         self.frozen = False
@@ -99,11 +99,11 @@
         self.disk.power_off()
 
     def freeze(self) -> None:
-        """Nothing runs until the thaw."""
+        """Suspends the process until `thaw`."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """What has come meanwhile is done now, in any order."""
+        """Resumes the process and runs the deferred calls, in random order in half of the cases."""
         self.frozen = False
         waiting, self._waiting = self._waiting, []
         if self._environment.rng.random() < 0.5:
@@ -112,7 +112,7 @@
             self.run(call)
 
     def run(self, call: Callable[[], None]) -> None:
-        """Let the process do something, and carry out what follows."""
+        """Runs a call of the process and applies the effects that it emits."""
         if self.replica is None:
             return
         if self.frozen:
@@ -122,7 +122,7 @@
         self._apply_effects()
 
     def deliver(self, ip: str, message: Message) -> None:
-        """A message has arrived."""
+        """Delivers a message to the process."""
         incarnation = self.incarnation
 
         def call() -> None:
--- a/mastturn/control_check/machine_troubles.py
+++ b/mastturn/control_check/machine_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of one machine: its process, its power, its disk, its place."""
+"""Faults of one machine: its process, power or disk, and its replacement."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from mastturn.control_check.world import World
 
 POLL_MS = 25.0
-STOP_TIMEOUT_MS = 5_600.0  # a process that is told to stop is killed after that
+STOP_TIMEOUT_MS = 5_600.0  # a process that is asked to stop is killed after this
 
 
 class MachineTroubles:
-    """Each befalls a machine, and calls `returned` once it is over."""
+    """Injects faults into a machine; each method calls `returned` once the fault is over."""
 
     def __init__(self, world: World, joined: Callable[[str, str], None], wiped: Callable[[], None]) -> None:
-        """`joined`: another machine runs in the place of one, by their addresses; `wiped`: a disk is lost."""
+        """`joined` gets the old and new IP of a replaced machine; `wiped` is called on the loss of a disk."""
         self._world, self._joined, self._wiped = world, joined, wiped
 
     def kill(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """Its process is killed, and starts again."""
+        """Kills the process and restarts it after a delay."""
         self._down("kill", machine, returned, wipe=False, power=False)
 
     def power(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It loses power, and starts again."""
+        """Cuts the power and restarts the machine after a delay."""
         self._down("power", machine, returned, wipe=False, power=True)
 
     def wipe(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It loses its disk."""
+        """Wipes the disk and restarts the machine with a new identity."""
         self._down("wipe", machine, returned, wipe=True, power=True)
         self._wiped()
 
@@ -49,7 +49,7 @@
         world.later(delay, back)
 
     def replace(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It goes for good, and another comes in its place."""
+        """Removes the machine for good and starts another in its place."""
         world = self._world
         world.trouble(f"replace {machine.ip}", machine)
         if world.rng.random() < 0.5 and machine.replica is not None:
@@ -65,7 +65,7 @@
         world.later(self._world.rng.uniform(300, 3_000), back)
 
     def _join(self, machine: Machine, ip: str) -> None:
-        """Another machine starts in the place of one, with an empty disk."""
+        """Starts a replacement of a machine with an empty disk."""
         world = self._world
         other = world.add(f"core-{ip.split('.')[2]}", ip, machine.zone)
         world.restart(other)
@@ -73,7 +73,7 @@
         self._joined(machine.ip, ip)
 
     def replace_planned(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """The new one comes first; the old one is told to stop, and goes for good once it has ended."""
+        """Starts the replacement, stops the old machine, and removes it once its process has ended."""
         world = self._world
         self._join(machine, self._world.next_ip())
 
@@ -89,7 +89,7 @@
         world.later(self._world.rng.uniform(200, 4_000), stop)
 
     def _stop(self, machine: Machine, ended: Callable[[], None]) -> None:
-        """Tell a process to stop; it ends once it may, or is killed after a while."""
+        """Asks a process to stop; it ends once it may, or is killed after `STOP_TIMEOUT_MS`."""
         world = self._world
         replica = machine.replica
         until = world.now + STOP_TIMEOUT_MS
@@ -115,7 +115,7 @@
         look()
 
     def freeze(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It stands still for a while."""
+        """Freezes the machine for a random time."""
         world = self._world
         world.trouble(f"freeze {machine.ip}", machine)
         machine.freeze()
@@ -129,7 +129,7 @@
         world.later(self._world.rng.uniform(100, 7_000), thaw)
 
     def term(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """The process is told to stop, and starts again."""
+        """Stops the process gracefully and restarts it."""
         world = self._world
         world.trouble(f"term {machine.ip}", machine)
 
@@ -140,17 +140,17 @@
         self._stop(machine, lambda: world.later(self._world.rng.uniform(50, 2_000), back))
 
     def full(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """Its disk refuses everything."""
+        """Makes the disk reject all writes."""
         machine.disk.refuses = True
         self._disk("full", machine, returned)
 
     def hang(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """Its disk answers nothing."""
+        """Makes the disk hang."""
         machine.disk.hangs = True
         self._disk("hang", machine, returned)
 
     def slow(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """Its disk takes many times as long."""
+        """Slows the disk down by a factor of 10, 60 or 300."""
         machine.disk.slow = self._world.rng.choice((10.0, 60.0, 300.0))
         self._disk("slow", machine, returned)
 
--- a/mastturn/control_check/network.py
+++ b/mastturn/control_check/network.py
@@ -1,4 +1,4 @@
-"""The network of simulated time: delay, loss, repeats, other orders, cuts in one direction or both."""
+"""A simulated network with delay, loss, duplication, reordering, and one-way or two-way partitions."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkProfile:
-    """How a message travels, in milliseconds and shares of one."""
+    """Delays in milliseconds and probabilities of faults on the links."""
 
     delay_ms: float = 1.4
-    slow_share: float = 0.01  # of messages that take up to `slow_ms`
+    slow_share: float = 0.01  # share of messages delayed by up to `slow_ms` more
     slow_ms: float = 200.0
     lost_share: float = 0.003
     repeated_share: float = 0.005
-    held_share: float = 0.3  # of messages into a cut that come out of it later
+    held_share: float = 0.3  # share of messages into a partition that are delivered once it heals
 
 
 class Network:
-    """Carries messages between IPs; a cut is a pair (from, to)."""
+    """Delivers messages between IPs; a cut is a pair (from, to)."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.sent = 0
 
     def transmit(self, sender: str, ip: str, message: Message) -> None:
-        """Send one message on its way."""
+        """Schedules the delivery of a message."""
         air, rng = self._air, self._random
         self.sent += 1
         if (sender, ip) in self.cuts:
@@ -55,11 +55,11 @@
             self._later(delay, lambda: self._deliver(sender, ip, message))
 
     def cut(self, pairs: set[tuple[str, str]]) -> None:
-        """Nothing goes over these any more."""
+        """Cuts these links."""
         self.cuts |= pairs
 
     def join(self, pairs: set[tuple[str, str]]) -> None:
-        """Everything goes over these again; what was held up follows."""
+        """Heals these links and sends the messages that were held back."""
         self.cuts -= pairs
         held, self._held = self._held, []
         for sender, ip, message in held:
--- a/mastturn/control_check/network_troubles.py
+++ b/mastturn/control_check/network_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of one machine's links."""
+"""Faults of one machine's network links."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class NetworkTroubles:
-    """Each befalls a machine, and calls `returned` once it is over."""
+    """Injects link faults; each method calls `returned` once the fault is over."""
 
     def __init__(self, world: World) -> None:
         self._world = world
 
     def isolate(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It is cut off from all others."""
+        """Partitions the machine from all others."""
         others = self._others(machine)
         pairs = {(machine.ip, o) for o in others} | {(o, machine.ip) for o in others}
         self._cut("isolate", machine, pairs, returned)
 
     def deaf(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It hears nobody."""
+        """Cuts all links to the machine."""
         self._cut("deaf", machine, {(o, machine.ip) for o in self._others(machine)}, returned)
 
     def mute(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """Nobody hears it."""
+        """Cuts all links from the machine."""
         self._cut("mute", machine, {(machine.ip, o) for o in self._others(machine)}, returned)
 
     def pair(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """It and another are cut off from each other, or one from the other."""
+        """Cuts the link to another machine, in both directions or one."""
         other = self._world.rng.choice([ip for ip in self._world.machines if ip != machine.ip])
         pairs = {(machine.ip, other), (other, machine.ip)}
         if self._world.rng.random() < 0.3:
@@ -37,7 +37,7 @@
         self._cut("pair", machine, pairs, returned)
 
     def flap(self, machine: Machine, returned: Callable[[], None]) -> None:
-        """Cut and healed again and again."""
+        """Cuts and heals all links of the machine repeatedly."""
         world = self._world
         others = self._others(machine)
         pairs = {(machine.ip, o) for o in others} | {(o, machine.ip) for o in others}
--- a/mastturn/control_check/operators.py
+++ b/mastturn/control_check/operators.py
@@ -1,4 +1,4 @@
-"""Operators of simulated time: chains of changes with If-Match, resends, races, reads."""
+"""Simulated operators: chains of conditional changes (If-Match), retries, races and reads."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 from consensus.primary import Command, Get, Put
 from mastturn.control_check.rules import PendingCall, Rules
 
-CALL_TIMEOUT_MS = 1_000.0  # without an answer for so long the call is sent again
-REPEAT_SHARE = 0.1  # of the calls are a change of before, sent once more: its acknowledgement was lost
+CALL_TIMEOUT_MS = 1_000.0  # an unanswered call is retried after this
+REPEAT_SHARE = 0.1  # share of calls that resend an earlier change, as after a lost acknowledgement
 
 
 class OperatorEnvironment(Protocol):
-    """How an operator reaches the machines."""
+    """The part of the simulated world that an operator uses."""
 
     now: float
     rng: random.Random
     rules: Rules
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Call once the time has gone by."""
+        """Schedules a call after a delay in ms of simulated time."""
 
     def acknowledged(self, operator: Operator) -> None:
-        """Its change was acknowledged."""
+        """Handles the acknowledgement of a change."""
 
     def call(self, operator: Operator, command: Command) -> None:
-        """Bring a command to some machine; its answer, if any, comes by `told`."""
+        """Sends a command to some machine; a reply goes to `on_reply`."""
 
 
 class Operator:
-    """One operator: one call at a time, sent again unchanged until it has an answer."""
+    """One operator: one call at a time, retried unchanged until it is answered."""
 
     def __init__(self, line: OperatorEnvironment, name: str, pause_ms: float, repeats: bool = False) -> None:
-        """`repeats`: now and then it sends a change of before once more."""
+        """`repeats`: some calls resend an earlier acknowledged change."""
         self._line, self.name, self._pause, self._repeats = line, name, pause_ms, repeats
         self._asked: PendingCall | None = None
-        self._version = 0  # the newest that we know of
+        self._version = 0  # newest version known to this operator
         self.reads_next = True
         self._turn = 0
         self._followed = 0
         self._count = 0
-        self.since = 0.0  # when the call under way began
-        self.hint = ""  # where the last answer pointed
+        self.since = 0.0  # start of the call in flight
+        self.hint = ""  # leader's address in the last reply
         self.tried = line.rng.randrange(100)
         self.stopped = False
         self.slowest = 0.0
         self._acknowledged: list[Put] = []
 
     def begin(self) -> None:
-        """Make the next call."""
+        """Starts the next call."""
         if self.stopped:
             return
         rng = self._line.rng
@@ -70,7 +70,7 @@
         self._send()
 
     def is_waiting(self) -> bool:
-        """Whether a call is under way."""
+        """Returns whether a call is in flight."""
         return self._asked is not None
 
     def _send(self) -> None:
@@ -88,12 +88,14 @@
         self._line.later(CALL_TIMEOUT_MS, again)
 
     def on_reply(self, reply: Reply, of: Command, hint: str) -> None:
-        """An answer to a call, perhaps to one of before."""
+        """Handles a reply, which may belong to an earlier call."""
         if self._asked is None or of is not self._asked.command:
             return
         if reply.verdict is Verdict.MOVED:
             self._followed = self._followed + 1 if hint else 0
-            self.hint = hint if self._followed <= 2 else ""  # then to any, as a client would
+            self.hint = (
+                hint if self._followed <= 2 else ""
+            )  # after two redirects any machine is tried, as a client would
             self._followed %= 3
             self._line.later(self._line.rng.uniform(20, 120), self._again_for(of))
             return
--- a/mastturn/control_check/overlaps.py
+++ b/mastturn/control_check/overlaps.py
@@ -1,8 +1,8 @@
-"""Troubles beyond what is to be borne: nothing acknowledged is lost, and service is back once all are.
+"""Faults beyond the tolerated number: no acknowledged write is lost, and service recovers afterwards.
 
-They come in waves. In a wave any number of machines are killed, frozen, cut off, cut into halves or without
-power, or have disks in trouble, in any overlap; at most as many disks are lost as may be. Then all come back,
-and the next wave begins as soon as they have recovered, which has a bound.
+Faults come in waves. In a wave any number of machines are killed, frozen, partitioned, without power or have
+faulty disks, in any overlap; at most the tolerated number of disks is lost. Then all machines return, and the
+next wave begins once they have recovered, which has a deadline.
 """
 
 from __future__ import annotations
@@ -16,15 +16,17 @@
 from mastturn.control_check.troubles import BEGIN_MS, END_MS, Troubles
 from mastturn.control_check.world import World
 
-WAVE_MS = 2_000.0  # the troubles of a wave begin within this
-RECOVERY_MS = 6_000.0  # after the last return somebody answers, and all are members; half of what is allowed
+WAVE_MS = 2_000.0  # the faults of a wave begin within this time
+RECOVERY_MS = (
+    6_000.0  # deadline for answers and full membership after the last return; half of the allowed time
+)
 HALVES_MS = (500.0, 20_000.0)
-HERD_SHARE = 0.5  # of the waves in which all are killed, or lose power, at some moment
-AIMED_SHARE = 0.5  # of those: right after something was acknowledged
+HERD_SHARE = 0.5  # share of waves in which all machines are killed or lose power
+AIMED_SHARE = 0.5  # share of those that strike right after an acknowledgement
 
 
 class Overlaps(Troubles):
-    """Runs the waves of one history."""
+    """Runs the fault waves of one history."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -48,7 +50,7 @@
         self._loses = [machine.wipe, machine.wipe, machine.replace, machine.replace_planned]
 
     def begin(self) -> None:
-        """The first wave."""
+        """Schedules the first wave."""
         self._world.later(BEGIN_MS, self._wave)
 
     def _wave(self) -> None:
@@ -74,12 +76,12 @@
 
     def _strike(self, kind: Callable[[Machine, Callable[[], None]], None], machine: Machine) -> None:
         if machine.replica is None or self._world.machines.get(machine.ip) is not machine:
-            self._over()  # it is down with all others
+            self._over()  # already down with all others
         else:
             kind(machine, self._over)
 
     def _halves(self) -> None:
-        """The machines are cut into two halves; operators reach both."""
+        """Partitions the machines into two halves; operators reach both."""
         world = self._world
         ips = list(world.machines)
         world.rng.shuffle(ips)
@@ -95,7 +97,7 @@
         world.later(self._ago(*HALVES_MS), heal)
 
     def _herd_once(self) -> None:
-        """All are killed, or lose power: at once, or right after the next acknowledgement."""
+        """Kills all machines, or cuts their power: now, or right after the next acknowledgement."""
         world = self._world
         if world.rng.random() < AIMED_SHARE:
             world.on_acknowledged = self._herd
@@ -112,7 +114,7 @@
             self._settle()
 
     def _settle(self) -> None:
-        """Wait until all have recovered."""
+        """Polls until all machines have recovered, then schedules the next wave."""
         world = self._world
         self._began = max(self._began, self._herd_at + 1_000.0)
         running = [m for m in world.machines.values() if m.replica is not None]
--- a/mastturn/control_check/pictures.py
+++ b/mastturn/control_check/pictures.py
@@ -1,4 +1,4 @@
-"""The picture of take-over times: for each trouble of the primary, how long nobody answered."""
+"""Plots take-over times: the unavailability after each kind of fault of the primary."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def plot_takeovers(found: Sequence[Series]) -> Figure:
-    """A row for each trouble: each time a dot, the median a bar; a colour for each series."""
+    """Returns a figure with a row per fault: dots for times, a bar for the median, a colour per series."""
     figure = Figure(figsize=(WIDTH_IN, 8.0), layout="constrained")
     axes = figure.subplots()
     kinds = [kind for kind in (*TROUBLE_LABELS, TWO_TROUBLES) if any(one.gaps.get(kind) for one in found)]
--- a/mastturn/control_check/planted.py
+++ b/mastturn/control_check/planted.py
@@ -1,4 +1,4 @@
-"""Each planted defect with the shortest way to show it: the command prints it, the tests ask for it."""
+"""Planted defects with the bounds or seeds that expose them, for the command and the tests."""
 
 from __future__ import annotations
 
@@ -50,15 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchCase:
-    """A defect that the search finds from some first steps on."""
+    """A defect that the search finds after given initial steps."""
 
     name: str
-    rule: str  # that it breaks
+    rule: str  # the rule that it breaks
     make: ReplicaFactory
     bounds: Bounds
 
     def show(self) -> SearchResult:
-        """The shortest history from there on that breaks a rule."""
+        """Returns the search result, with the shortest history that breaks a rule."""
         return explore(self.bounds, self.make)
 
 
@@ -145,22 +145,22 @@
 
 
 def ends_at_once() -> Iterator[Outcome]:
-    """A holder that is let go before its data is elsewhere: replacements with a further loss."""
+    """Yields replacements with a further loss, where a holder may end before its data is replicated."""
     return (Replacement(case, EndsAtOnce).play() for case in cases(3))
 
 
 def shrinks(seeds: range = range(8)) -> Iterator[History]:
-    """Holders that shrink without a majority: histories of the simulator."""
+    """Yields simulated histories in which the set of holders shrinks without a majority."""
     return (play(Shape(3, 1), seed, HoldersShrinkAlone) for seed in seeds)
 
 
 def failed_syncs(seeds: tuple[int, ...] = (9, 214)) -> Iterator[History]:
-    """A failed sync that is taken for done: histories of the simulator."""
+    """Yields simulated histories in which a failed sync is treated as successful."""
     return (play(STORM, seed, handles_disk_errors=False) for seed in seeds)
 
 
 def brief(line: str) -> str:
-    """A step of a story in a few words: `1 to 2 Prepare 2`, or `sync 2` as it stands."""
+    """Returns a short form of a message, as `1 to 2 Prepare 2`; other steps unchanged."""
     message = re.match(r"10\.0\.(\d+)\.1 -> 10\.0\.(\d+)\.1 (\w+)\((.*)", line)
     if message is None:
         return line
--- a/mastturn/control_check/reduction.py
+++ b/mastturn/control_check/reduction.py
@@ -1,4 +1,4 @@
-"""What makes two states of a search one: messages that mean nothing any more, syncs that can't be lost."""
+"""Reduces the state space of a search: drops inert messages, and runs syncs early that can't be lost."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Reduction:
-    """The reduction of one search; without `bounds.reduced` it changes nothing."""
+    """The state-space reduction of one search; inactive unless `bounds.reduced`."""
 
     def __init__(
         self,
@@ -27,21 +27,21 @@
         self._known: dict[tuple[int, int, int, bool], bool] = {}
 
     def without_inert(self, state: State) -> State:
-        """The same without messages that can mean nothing any more."""
+        """Returns the state without inert messages."""
         if not self._bounds.reduced:
             return state
         kept = sum(1 << number for number in numbers_in(state.sent) if not self._is_inert(state, number))
         return state if kept == state.sent else replace(state, sent=kept)
 
     def is_late(self, state: State, index: int) -> bool:
-        """Whether the next sync of a process can neither be lost nor tell anything to itself."""
+        """Returns whether the next sync of a process can't be lost and sends nothing to itself."""
         if not self._bounds.reduced or self._may_crash(state, index):
             return False
         _, sends = self._values[state.queues[index][0]]
         return all(send.ip != self._ips[index] for send in sends)
 
     def _may_crash(self, state: State, index: int) -> bool:
-        """Whether a process may still lose what it has not synced."""
+        """Returns whether a process may still lose unsynced records."""
         return bool(state.remaining.wipes or (state.remaining.crashes and index in self._victims))
 
     def _is_inert(self, state: State, number: int) -> bool:
--- a/mastturn/control_check/rules.py
+++ b/mastturn/control_check/rules.py
@@ -1,4 +1,4 @@
-"""What must hold in every history of the control state; judged by what processes and operators have said."""
+"""Safety rules of the control state, checked on the outputs of processes and the replies to operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BrokenRuleError(Exception):
-    """A history in which a rule does not hold; `rule` is its short name."""
+    """Raised when a history violates a rule; `rule` is its short name."""
 
     def __init__(self, rule: str, what: str) -> None:
         super().__init__(f"{rule}: {what}")
@@ -20,36 +20,36 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """An operator's call: what was known when it was first sent."""
+    """An operator's call with the newest committed number known when it was first sent."""
 
     command: Put | Get
-    floor: int  # the number of the newest document that anybody had been told of
+    floor: int  # number of the newest document reported to any operator by then
 
 
 @dataclass(slots=True)
 class Rules:
-    """Takes every outcome as it happens; raises BrokenRuleError on the first that may not be."""
+    """Checks each output as it occurs; raises BrokenRuleError on the first violation."""
 
     chain: dict[int, Document] = field(default_factory=dict)
-    epochs: dict[int, int] = field(default_factory=dict)  # epoch: the newest number committed in it
-    reported: int = 0  # the newest number that an operator was told of
+    epochs: dict[int, int] = field(default_factory=dict)  # by epoch: the newest number committed in it
+    reported: int = 0  # the newest number reported to an operator
     winners: dict[int, AcceptedVersion] = field(
         default_factory=dict
-    )  # by base version: what was acknowledged
+    )  # by base version: the acknowledged change
     refused: dict[AcceptedVersion, int] = field(default_factory=dict)
     taken: set[AcceptedVersion] = field(
         default_factory=set
-    )  # all that was ever committed, also what is forgotten
-    leaders: dict[int, str] = field(default_factory=dict)  # epoch: who led it
+    )  # every committed change, also those dropped from the document's history
+    leaders: dict[int, str] = field(default_factory=dict)  # by epoch: the leader's identity
     acknowledged: int = 0
     reads: int = 0
 
     def committed(self, effect: Committed) -> None:
-        """A process says that a document stays.
+        """Checks a document that a process reports as committed.
 
-        Whatever an operator was told of was committed in some epoch, so all later epochs have it. A process
-        that learns late that it had won an earlier epoch may begin with what was newest then: it is judged
-        by the chain, and what it answers by what was known when the question was asked.
+        Whatever was reported to an operator was committed in some epoch, so all later epochs contain it. A
+        process that learns late that it won an earlier epoch may start from the newest document of that time:
+        it is checked against the chain, and its replies against what was known when the call was made.
         """
         document = effect.document
         known = self.chain.setdefault(document.number, document)
@@ -71,23 +71,23 @@
             raise BrokenRuleError("refused", f"{document.taken[-1]} was refused and is in force")
 
     def _check_follows(self, document: Document | None, before: Document | None) -> None:
-        """Whether a document is the one before it with one change more."""
+        """Checks that a document extends its predecessor by exactly one change."""
         if document is None or before is None:
             return
         if document.taken != (*before.taken, document.taken[-1])[-views.MAX_HISTORY :]:
             raise BrokenRuleError("one chain", f"{_brief(document)} does not follow {_brief(before)}")
 
     def leads(self, epoch: int, identity: str) -> None:
-        """A process says that it leads an epoch."""
+        """Checks that an epoch has only one leader."""
         if self.leaders.setdefault(epoch, identity) != identity:
             raise BrokenRuleError("one primary", f"epoch {epoch} has {self.leaders[epoch]} and {identity}")
 
     def ask(self, command: Put | Get) -> PendingCall:
-        """An operator makes a call."""
+        """Registers an operator's call."""
         return PendingCall(command, self.reported)
 
     def replied(self, asked: PendingCall, reply: Reply) -> None:
-        """An operator is told the outcome; MOVED tells nothing."""
+        """Checks the reply to an operator; MOVED carries no result."""
         command, document = asked.command, reply.document
         if reply.verdict is Verdict.MOVED:
             return
--- a/mastturn/control_check/sent.py
+++ b/mastturn/control_check/sent.py
@@ -1,4 +1,4 @@
-"""The network of a search: all that was ever sent, by number; a set of messages is an integer."""
+"""The network of a search: numbers every message ever sent; a set of messages is an integer bit mask."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SentMessages:
-    """Messages between the processes at these IPs, numbered as they come up."""
+    """Messages between the processes at these IPs, numbered in order of first use."""
 
     def __init__(self, ips: tuple[str, ...]) -> None:
         self._ips = ips
@@ -17,7 +17,7 @@
         self._by_number: list[tuple[int, Delivery]] = []  # index of the receiver
 
     def bit(self, sender: int, send: Send) -> int:
-        """The message as a set of one; none where nobody has that IP."""
+        """Returns the bit of a message; 0 if no process has the receiver's IP."""
         if send.ip not in self._ips:
             return 0
         key = (self._ips[sender], send.ip, send.message)
@@ -28,14 +28,14 @@
         return 1 << number
 
     def __getitem__(self, number: int) -> tuple[int, Delivery]:
-        """The receiver's index, and the message as it hears it."""
+        """Returns the receiver's index and the delivery."""
         return self._by_number[number]
 
     def __len__(self) -> int:
         return len(self._by_number)
 
     def latest(self, kind: str, sender: int, receiver: int) -> int | None:
-        """The number of the latest message of that type from one process to another."""
+        """Returns the number of the latest message of a type from one process to another."""
         for number in reversed(range(len(self._by_number))):
             index, delivery = self._by_number[number]
             ends = index == receiver and delivery.ip == self._ips[sender]
@@ -45,7 +45,7 @@
 
 
 def numbers_in(sent: int) -> Iterator[int]:
-    """The numbers of a set of messages, from the first."""
+    """Yields the numbers in a set of messages, in ascending order."""
     number = 0
     while sent:
         if sent & 1:
@@ -55,7 +55,7 @@
 
 
 def by_name(messages: SentMessages, action: str) -> str:
-    """`deliver Prepare 1 2`: the latest message of that kind from one to the other; else as it stands."""
+    """Resolves `deliver TYPE FROM TO` to the latest such message; returns other actions unchanged."""
     verb, *rest = action.split()
     if verb != "deliver":
         return action
--- a/mastturn/control_check/stalls.py
+++ b/mastturn/control_check/stalls.py
@@ -1,4 +1,4 @@
-"""Processes that stand still for a moment again and again, as on a machine whose processors are all taken."""
+"""Repeated short stalls of processes, as on a machine whose CPUs are overloaded."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from mastturn.control_check.machine import Machine
 from mastturn.control_check.world import World
 
-MIN_STALL_MS, MAX_STALL_MS = 100.0, 2_000.0  # of one stall; shorter ones are the more frequent
-EVERY_MS = 5_000.0  # from the end of one stall of a process to its next, in the mean
+MIN_STALL_MS, MAX_STALL_MS = 100.0, 2_000.0  # of one stall, log-uniform: shorter ones are more frequent
+EVERY_MS = 5_000.0  # mean time from the end of one stall of a process to its next
 BEGIN_MS = 5_000.0
 
 
 class Stalls:
-    """Each machine by itself; nothing is lost. Judged is what must never happen, and who leads is counted."""
+    """Stalls each machine independently, losing nothing; checks only safety and counts leader changes."""
 
     def __init__(self, world: World) -> None:
         self._world = world
 
     def begin(self) -> None:
-        """Let each machine stand still now and then."""
+        """Schedules the stalls of all machines."""
         self._world.liveness.is_disturbed = True
         for machine in self._world.machines.values():
             self._world.later(BEGIN_MS, partial(self._later, machine))
--- a/mastturn/control_check/state.py
+++ b/mastturn/control_check/state.py
@@ -1,4 +1,4 @@
-"""The state of a search as a value, the bounds within which it may change, and a table of large values."""
+"""The immutable state of a search, its bounds, and an interning table for large values."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How much may happen in one history."""
+    """The maximum number of each kind of event in one history."""
 
     machines: int = 3
     losses: int = 1
-    writes: int = 2  # that race on the first version
-    chained: int = 0  # further ones, each on top of the one before; the first is on top of the first write
-    same_number: bool = False  # the writes that race have one number
+    writes: int = 2  # concurrent writes on the first version
+    chained: int = 0  # further writes, each based on the previous one; the first on the first write
+    same_number: bool = False  # the concurrent writes have the same version number
     reads: int = 0
-    tries: int = 2  # of each command
+    tries: int = 2  # attempts per command
     campaigns: int = 2  # for the same members
     changes: int = 0  # campaigns of a leader that change the members
     crashes: int = 1
     wipes: int = 0
     joins: int = 0
-    newcomers: int = 0  # machines with empty disks beside the members
-    stops: int = 0  # processes that are told to stop; one that may end is gone for good
-    leavers: tuple[int, ...] = ()  # who may be told to stop, if not all
-    losses_for_good: int = 0  # machines that go, with their disks, at any moment
-    victims: tuple[int, ...] = ()  # who may crash, if not all; a machine's number
-    reduced: bool = True  # states that can only become the same are one
-    before: tuple[str, ...] = ()  # actions that have happened already, by their names
+    newcomers: int = 0  # machines with empty disks in addition to the members
+    stops: int = 0  # processes asked to stop; once one may end it is gone for good
+    leavers: tuple[int, ...] = ()  # machines that may be asked to stop; empty: all
+    losses_for_good: int = 0  # machines lost with their disks at any time
+    victims: tuple[int, ...] = ()  # indices of machines that may crash; empty: all
+    reduced: bool = True  # merge states that are equivalent in all continuations
+    before: tuple[str, ...] = ()  # actions applied before the search starts
 
 
 @dataclass(frozen=True, slots=True)
 class RemainingBudget:
-    """How much may still happen."""
+    """The remaining number of each kind of event."""
 
     campaigns: int
     changes: int
@@ -51,21 +51,21 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All of it as a value; what is large stands as its number in the explorer's table."""
+    """An immutable state; large values are stored as their numbers in `Values`."""
 
     processes: tuple[int, ...]
-    kept: tuple[int, ...]  # on the disks
-    queues: tuple[tuple[int, ...], ...]  # of the disks: a record and what is sent after its sync
-    sent: int  # which messages were ever sent, by bit
+    kept: tuple[int, ...]  # durable states
+    queues: tuple[tuple[int, ...], ...]  # per disk: records with the messages sent after their sync
+    sent: int  # bit mask of all messages ever sent
     remaining: RemainingBudget
-    tries: tuple[int, ...]  # left, of each command
+    tries: tuple[int, ...]  # remaining attempts per command
     asked: tuple[tuple[int, int, int], ...]  # token, command, floor
-    rules_snapshot: int  # of the rules
-    gone: tuple[int, ...] = ()  # machines that went for good
+    rules_snapshot: int  # snapshot of the rules
+    gone: tuple[int, ...] = ()  # machines lost for good
 
 
 def initial_budget(bounds: Bounds) -> RemainingBudget:
-    """All that may happen."""
+    """Returns the full budget of events."""
     return RemainingBudget(
         bounds.campaigns,
         bounds.changes,
@@ -78,12 +78,12 @@
 
 
 def victims_of(bounds: Bounds) -> tuple[int, ...]:
-    """The machines that may crash."""
+    """Returns the machines that may crash."""
     return bounds.victims or tuple(range(bounds.machines))
 
 
 def commands_of(bounds: Bounds) -> list[Command]:
-    """What operators ask: changes that race on the first version, changes in a chain, reads."""
+    """Returns the operators' commands: concurrent changes on the first version, chained changes, reads."""
     found: list[Command] = []
     for i in range(min(bounds.writes, 2)):
         ver = 1 if bounds.same_number else 1 + i
@@ -94,14 +94,14 @@
 
 
 class Values:
-    """Values by number: what is large stands in a state as its number here."""
+    """Interns large values, which states refer to by number."""
 
     def __init__(self) -> None:
         self._values: list[Any] = []
         self._numbers: dict[Hashable, int] = {}
 
     def number(self, value: Hashable) -> int:
-        """The number of a value."""
+        """Returns the number of a value, adding it if new."""
         number = self._numbers.get(value)
         if number is None:
             number = self._numbers[value] = len(self._values)
@@ -113,5 +113,5 @@
 
 
 def replace_at(values: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
-    """The same with another value at one place."""
+    """Returns the tuple with the value at `index` replaced."""
     return (*values[:index], value, *values[index + 1 :])
--- a/mastturn/control_check/troubles.py
+++ b/mastturn/control_check/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles: no more machines lost at once than are to be borne, and what may befall them all."""
+"""Fault injection: at most the tolerated number of machines is lost at once, except when all are killed."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from mastturn.control_check.shape import Takeover
 from mastturn.control_check.world import World
 
-SYNC_MS = 4_000.0  # a machine counts as lost for so long after its return
+SYNC_MS = 4_000.0  # a machine counts as lost until this long after its return
 BEGIN_MS = 5_000.0
-END_MS = 8_000.0  # the last of a history: no new troubles, so that what was acknowledged is read back
+END_MS = 8_000.0  # no new faults in the last part of a history, so that acknowledged writes are read back
 
 
 class Troubles:
-    """As many lanes as machines may be lost; each lane troubles one machine at a time."""
+    """Runs one fault loop per tolerated loss; each loop injects faults into one machine at a time."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._lost: set[str] = set()  # IPs
-        self._troubled: set[str] = set()  # those of them whose trouble is not over
+        self._troubled: set[str] = set()  # those whose fault is not over
         self._herd_at = -1e9
-        self._successors: dict[str, str] = {}  # who came in the place of a machine that is gone, by IP
+        self._successors: dict[str, str] = {}  # by IP of a removed machine: IP of its replacement
         machine, network = MachineTroubles(world, self._joined, self._wiped), NetworkTroubles(world)
         self._machine, self._network = machine, network
         self._kinds: list[Callable[[Machine, Callable[[], None]], None]] = [
@@ -49,7 +49,7 @@
             self._kinds += [machine.replace_planned, machine.replace_planned]
 
     def begin(self) -> None:
-        """Let the lanes run, and something befall everybody now and then."""
+        """Schedules the fault loops and the faults that hit all machines."""
         world = self._world
         for _ in range(world.shape.losses):
             world.later(BEGIN_MS + world.rng.uniform(0, 3_000), self._next)
@@ -89,9 +89,9 @@
                 world.later(SYNC_MS, rested)
 
         def rested() -> None:
-            if world.now - self._herd_at < SYNC_MS:  # killed with all others since its return
+            if world.now - self._herd_at < SYNC_MS:  # killed with all others after its return
                 world.later(SYNC_MS, rested)
-            elif world.shape.storm and self._somebody_waits():  # a slot is lost until it is given anew
+            elif world.shape.storm and self._somebody_waits():  # a slot counts as lost until it is reassigned
                 world.later(SYNC_MS / 8, rested)
             else:
                 over()
@@ -104,9 +104,9 @@
         kind(machine, returned)
 
     def _await_member(self, what: str, ip: str, since: float, over: Callable[[], None]) -> None:
-        """The next loss is borne once whoever came back, or came in its place, and all others are members.
+        """Waits until the returned machine, or its replacement, and all others are members again.
 
-        `what`: the trouble whose time is kept; none where that would tell of something else.
+        Only then is the next loss tolerated. `what`: the fault whose recovery time is recorded; "" for none.
         """
         world = self._world
         back = self._successors.get(ip, ip)
@@ -119,7 +119,7 @@
         over()
 
     def _joined(self, gone: str, ip: str) -> None:
-        """Another machine runs in the place of one: it counts as lost until it is a member."""
+        """Records a replacement, which counts as lost until it is a member."""
         self._successors[gone] = ip
         self._lost.add(ip)
         if self._world.shape.eager:
@@ -128,12 +128,12 @@
             self._world.later(SYNC_MS, lambda: self._lost.discard(ip))
 
     def _wiped(self) -> None:
-        """Some lose their disks while all others lose power."""
+        """In a storm, kills all machines in half of the cases when one has lost its disk."""
         if self._world.shape.storm and self._world.rng.random() < 0.5:
             self._herd()
 
     def _somebody_waits(self) -> bool:
-        """Whether a process runs that has no slot."""
+        """Returns whether a running process has no slot."""
         running = [m.replica for m in self._world.machines.values() if m.replica is not None]
         return any(replica.durable_state.slot() is None for replica in running)
 
@@ -141,7 +141,7 @@
         return self._world.rng.uniform(least, most)
 
     def _herd(self) -> None:
-        """All processes are killed, or lose power, at once; those that were down stay so."""
+        """Kills all running processes, or cuts their power, at once; those already down stay down."""
         world = self._world
         power = world.rng.random() < 0.5
         world.trouble(f"{'herd-beside-another' if self._troubled else 'herd'} power={power}", None)
@@ -154,7 +154,7 @@
             world.later(self._ago(100, 1_000), self._back(machine))
 
     def _storm(self) -> None:
-        """Again and again, most often right after something was acknowledged."""
+        """Kills all machines repeatedly, mostly right after an acknowledgement."""
         world = self._world
         if world.now > world.shape.length_ms - END_MS:
             return
@@ -165,7 +165,7 @@
         world.later(self._ago(1_500, 5_000), self._storm)
 
     def _jump(self) -> None:
-        """The clock of a machine jumps by seconds."""
+        """Lets the clock of a machine jump by up to 4 s."""
         world = self._world
         machine = world.rng.choice(list(world.machines.values()))
         machine.skew_ms += world.rng.uniform(-4_000, 4_000)
--- a/mastturn/control_check/world.py
+++ b/mastturn/control_check/world.py
@@ -1,4 +1,4 @@
-"""One history of the control state in simulated time: machines, network, operators, and what is measured."""
+"""Discrete-event simulation of one history: machines, network, operators, rules and measurements."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from mastturn.control_check.shape import ReplicaFactory, Shape
 
 SEED_LAG_MS = 3_000.0
-SETTINGS_MS = 2_000.0  # a process looks for new settings so often
+SETTINGS_MS = 2_000.0  # interval at which a process reloads its settings
 
 
 class World:
-    """Runs events in their order; all chance comes from one seed."""
+    """Runs events in order of simulated time; all randomness comes from one seed."""
 
     def __init__(self, shape: Shape, seed: int, make: ReplicaFactory = Replica) -> None:
         self.shape, self.seed, self._make = shape, seed, make
@@ -37,8 +37,10 @@
         self._count = 0
         self.rules = Rules()
         self.network = Network(shape.air, self.rng, self.later, self._deliver)
-        self.machines: dict[str, Machine] = {}  # by IP; those that are gone are out
-        self._listed: list[tuple[float, tuple[str, ...]]] = []  # since when: the operators' list
+        self.machines: dict[str, Machine] = {}  # by IP, without removed machines
+        self._listed: list[
+            tuple[float, tuple[str, ...]]
+        ] = []  # (since, IPs): versions of the operators' machine list
         self.operators = [
             Operator(self, name, pause, shape.repeats) for name, pause in (("ann", 400.0), ("bob", 700.0))
         ]
@@ -46,22 +48,22 @@
         self._identities = 0
         self.views = 0
         self.leader_changes = 0
-        self._leader = (0, "")  # the latest epoch that was led, and by whom
-        self.made = shape.machines + shape.spares  # machines, in all
+        self._leader = (0, "")  # the latest epoch that was led, and its leader
+        self.made = shape.machines + shape.spares  # number of machines ever created
         self.liveness = Liveness(self)
         self.on_acknowledged: Callable[[], None] | None = None
         self.handles_disk_errors = True
-        self.story: list[str] | None = None  # kept on request
+        self.story: list[str] | None = None  # recorded on request
 
     # ---- time
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Call once the time has gone by."""
+        """Schedules a call after a delay in ms of simulated time."""
         self._count += 1
         heapq.heappush(self._heap, (self.now + delay, self._count, call))
 
     def run(self, until: float) -> None:
-        """Play up to a time; raises BrokenRuleError."""
+        """Runs all events up to a time; raises BrokenRuleError."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, call = heapq.heappop(heap)
@@ -71,7 +73,7 @@
     # ---- machines
 
     def begin(self) -> None:
-        """All machines start on empty disks."""
+        """Creates all machines with empty disks and schedules their start."""
         for index in range(self.made):
             self.add(f"core-{index}", f"10.0.{index}.1", f"zone-{index % 3}")
         ips = tuple(self.machines)
@@ -86,7 +88,7 @@
         return lambda: machine.start(seeds, founder)
 
     def add(self, node: str, ip: str, zone: str) -> Machine:
-        """A machine with an empty disk; it does not run yet."""
+        """Adds a machine with an empty disk, without starting it."""
         machine = Machine(self, node, ip, zone, self.shape.sync_ms)
         machine.disk.wipe(self.identity())
         machine.handles_disk_errors = self.handles_disk_errors
@@ -95,12 +97,12 @@
         return machine
 
     def next_ip(self) -> str:
-        """The address of a machine to come."""
+        """Returns the address of the next new machine."""
         self.made += 1
         return f"10.0.{self.made - 1}.1"
 
     def remove(self, ip: str) -> None:
-        """A machine goes for good."""
+        """Removes a machine for good."""
         machine = self.machines.pop(ip)
         machine.end(power=True)
         self._list()
@@ -109,35 +111,35 @@
         self._listed.append((self.now, tuple(self.machines)))
 
     def seeds(self) -> tuple[str, ...]:
-        """Three machines of the operators' list, which lags."""
+        """Returns three machines of the operators' list, which lags by `SEED_LAG_MS`."""
         known = [ips for since, ips in self._listed if since <= self.now - SEED_LAG_MS]
         ips = list(known[-1] if known else self._listed[0][1])
         self.rng.shuffle(ips)
         return tuple(ips[:3])
 
     def restart(self, machine: Machine) -> None:
-        """A process starts again, with the settings of this moment."""
+        """Restarts a process with the current settings."""
         if self.machines.get(machine.ip) is machine and machine.replica is None:
             machine.start(self.seeds(), False)
             assert machine.replica is not None
             if self.shape.eager or self.shape.overlaps or self.shape.zone_losses:
                 self.later(SETTINGS_MS, lambda: self._follow(machine))
-            if not self.shape.spares:  # else somebody always waits
+            if not self.shape.spares:  # with spares some process is always without a slot
                 self.liveness.on_process_started(machine)
 
     def identity(self) -> str:
-        """A new one."""
+        """Returns a new identity."""
         self._identities += 1
         return f"i{self._identities}"
 
     def make(
         self, me: Member, durable_state: DurableState, seeds: tuple[str, ...], founder: bool, seed: int
     ) -> Replica:
-        """A process."""
+        """Creates a replica."""
         return self._make(me, durable_state, self.spec, seeds, founder, seed)
 
     def primary(self) -> Machine | None:
-        """The machine that leads the latest view, if it runs."""
+        """Returns the machine that leads the latest view, if it runs."""
         found, epoch = None, 0
         for machine in self.machines.values():
             primary = machine.replica.primary if machine.replica is not None else None
@@ -146,7 +148,7 @@
         return found
 
     def _follow(self, machine: Machine) -> None:
-        """A process reads its settings now and then, which name other seeds by then."""
+        """Reloads the settings of a process periodically, as its seeds change."""
         replica, incarnation = machine.replica, machine.incarnation
         if replica is None:
             return
@@ -154,7 +156,7 @@
         self.later(SETTINGS_MS, lambda: self._follow(machine) if machine.incarnation == incarnation else None)
 
     def is_member(self, machine: Machine) -> bool:
-        """Whether a machine has a place in the view in force, and has accepted it."""
+        """Returns whether a machine is a member of the current view and has accepted it."""
         leader = self.primary()
         if leader is None or machine.replica is None or machine.frozen:
             return False
@@ -166,26 +168,26 @@
         return has_accepted and view.extra_member() is None
 
     def log_event(self, what: str) -> None:
-        """A line of the story."""
+        """Records an event in the story, if requested."""
         if self.story is not None:
             self.story.append(f"{self.now:9.1f} {what}")
 
     def trouble(self, what: str, machine: Machine | None) -> None:
-        """Something changes."""
+        """Records the begin of a fault."""
         self.log_event(what)
         self.liveness.on_trouble(what.split()[0], machine)
 
     def acknowledged(self, operator: Operator) -> None:
-        """An operator's change was acknowledged."""
+        """Handles the acknowledgement of an operator's change."""
         then, self.on_acknowledged = self.on_acknowledged, None
         if then is not None:
             self.later(self.rng.uniform(0.0, 5.0), then)
         self.liveness.acknowledged(operator)
 
-    # ---- what the machines ask for
+    # ---- effects of the machines
 
     def transmit(self, sender: str, ip: str, message: Message) -> None:
-        """Bring a message to another machine."""
+        """Sends a message to another machine."""
         if self.story is not None:
             self.log_event(f"{sender} -> {ip} {message}")
         self.network.transmit(sender, ip, message)
@@ -196,12 +198,12 @@
             machine.deliver(sender, message)
 
     def committed(self, machine: Machine, effect: Committed) -> None:
-        """A document stays."""
+        """Checks a committed document."""
         self.log_event(f"{machine.ip} commits {effect.document.number} in {effect.epoch}")
         self.rules.committed(effect)
 
     def leads(self, machine: Machine, effect: Lead) -> None:
-        """A process begins or ends to lead."""
+        """Handles a process that starts or stops leading."""
         self.log_event(f"{machine.ip} leads {effect.view}")
         if effect.view is not None:
             self.views += 1
@@ -211,7 +213,7 @@
             self._leader = max(self._leader, leads)
 
     def replied(self, machine: Machine, reply: Reply) -> None:
-        """An operator's call has its answer, which travels."""
+        """Sends the reply to an operator's call or a probe."""
         operator, command, asked = self._calls.pop(reply.token, (None, None, 0.0))
         if command is None:
             raise BrokenRuleError("one answer", f"a second one for call {reply.token}")
@@ -219,7 +221,7 @@
             self.liveness.on_probe_reply(reply, asked)
             return
         replica = machine.replica
-        # As the host tells callers: a leader that was not heard of a moment ago is nobody to go to.
+        # Like the host, redirects only to a leader that was heard from recently.
         leader = replica.live_leader(machine.clock()) if replica is not None else None
         hint = leader.ip if leader is not None and leader.ip != machine.ip else ""
         self.log_event(f"{machine.ip} answers {operator.name} {reply.verdict} {command}")
@@ -229,14 +231,14 @@
     # ---- operators and probes
 
     def call(self, operator: Operator, command: Command) -> None:
-        """Bring a command to the machine that was named, or to any."""
+        """Sends a command to the hinted leader, or to the next machine in turn."""
         ips = list(self.machines)
-        operator.tried += 1  # one after the other
+        operator.tried += 1  # round robin
         ip = operator.hint if operator.hint in self.machines else ips[operator.tried % len(ips)]
         self.later(self.rng.uniform(2, 5), lambda: self._submit(ip, command, operator))
 
     def ask(self, machine: Machine) -> None:
-        """Bring a read to a machine, on behalf of nobody."""
+        """Sends a probe, a read without an operator, to a machine."""
         self._submit(machine.ip, Get(0), None)
 
     def _submit(self, ip: str, command: Command, operator: Operator | None) -> None:
--- a/mastturn/control_check/zone_losses.py
+++ b/mastturn/control_check/zone_losses.py
@@ -1,7 +1,7 @@
-"""Whole zones that are lost one after the other, between changes of machines that bring members out of place.
+"""Losses of whole zones, one after the other, between machine replacements that unbalance the placement.
 
-All core machines run, more than there are slots. A zone is lost once every machine has been there for as long
-as a loss counts (`SYNC_MS`); by then the members have to be so placed that it is borne.
+More core machines run than there are slots. A zone is lost once every machine has been up for as long as a
+loss counts (`SYNC_MS`); by then the members must be placed so that the loss is tolerated.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 AWAY_MS = (200.0, 8_000.0)
 REPLACED_AFTER_MS = (0.0, 1_500.0)
-REPLACED_SHARE = 0.5  # of the pauses between two losses in which a machine is replaced
+REPLACED_SHARE = 0.5  # share of the pauses between two losses in which a machine is replaced
 OVER_BY_MS = AWAY_MS[1] + REPLACED_AFTER_MS[1] + 2 * SYNC_MS
 
 
 class ZoneLosses:
-    """Runs the losses of one history."""
+    """Runs the zone losses of one history."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._spread: Spread = world.spec.spread
 
     def begin(self) -> None:
-        """The first loss."""
+        """Schedules the first loss."""
         self._world.later(BEGIN_MS, self._lose_zone)
 
     def _lose_zone(self) -> None:
@@ -40,7 +40,7 @@
         self._check_spread()
         zone = rng.choice(sorted({machine.zone for machine in world.machines.values()}))
         struck = [machine for machine in world.machines.values() if machine.zone == zone]
-        world.liveness.wait_ms = CALL_TIMEOUT_MS * len(struck)  # an operator may call on each of them first
+        world.liveness.wait_ms = CALL_TIMEOUT_MS * len(struck)  # an operator may try each of them first
         how = rng.choice([self._cut_off, self._power_off, self._freeze])
         world.trouble(f"zone {zone} {how.__name__}", self._led_by(struck))
         bring_back = how(struck)
@@ -54,7 +54,7 @@
         world.later(rng.uniform(*AWAY_MS), back)
 
     def _pause(self) -> None:
-        """Between two losses: perhaps a machine is replaced by one in another zone."""
+        """Replaces a machine between two losses, with probability `REPLACED_SHARE`."""
         rng = self._world.rng
         if rng.random() < REPLACED_SHARE:
             self._world.later(rng.uniform(*REPLACED_AFTER_MS), self._replace)
@@ -62,7 +62,7 @@
             self._lose_zone()
 
     def _replace(self) -> None:
-        """A machine goes for good; a new one starts in another zone, where that leaves enough zones."""
+        """Replaces a machine by one in another zone, or in the same zone if members could not be spread."""
         world, rng = self._world, self._world.rng
         gone = rng.choice(list(world.machines.values()))
         rest = [machine for machine in world.machines.values() if machine is not gone]
@@ -82,7 +82,7 @@
         world.later(rng.uniform(100.0, 1_000.0), start)
 
     def _can_be_spread(self, zones: list[str]) -> bool:
-        """Whether members could be so chosen among machines of these zones that a zone's loss is borne."""
+        """Returns whether members on machines in these zones can be chosen to tolerate the loss of a zone."""
         members = [Member(f"m{n}", f"m{n}", f"m{n}", 1, "", zone) for n, zone in enumerate(zones)]
         slots = self._world.spec.slots
         return not self._spread.excess(self._spread.choose(members[0], members[1:], slots))
@@ -98,11 +98,11 @@
             raise BrokenRuleError("spread", f"a zone's loss takes too many of {', '.join(zones)}")
 
     def _led_by(self, struck: list[Machine]) -> Machine:
-        """The machine that leads, if it is among them; else any of them."""
+        """Returns the leader if it is among these machines, else the first of them."""
         primary = self._world.primary()
         return primary if primary is not None and primary in struck else struck[0]
 
-    # ---- ways to lose a zone: each is given its machines, and gives what brings them back
+    # ---- kinds of zone loss: each takes the zone's machines and returns the function that restores them
 
     def _cut_off(self, struck: list[Machine]) -> Callable[[], None]:
         inside = [machine.ip for machine in struck]
