--- a/mastturn/smallfleet/__init__.py
+++ b/mastturn/smallfleet/__init__.py
@@ -1,1 +1,1 @@
-"""A small whole fleet of the system on loopback, for newcomers: real programs, with stand-ins around them."""
+"""A small demonstration fleet on loopback: the real programs, with stand-ins for their environment."""
--- a/mastturn/smallfleet/layout.py
+++ b/mastturn/smallfleet/layout.py
@@ -1,4 +1,4 @@
-"""Which programs there are, on which addresses of 127/8, and the settings file of each."""
+"""The machines of a small fleet, their addresses in 127/8, and the settings file of each."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from mastturn.files import LabError
 
 ZONES = ("hall-a", "hall-b", "hall-c")
-EDGE_ZONES = ("hall-a", "hall-a", "hall-b")  # two in one, so that one of them can be drained
-PORTS = 8  # that are looked for side by side
+EDGE_ZONES = ("hall-a", "hall-a", "hall-b")  # two in one zone, so that one of them can be drained
+PORT_COUNT = 8  # consecutive ports of a layout
 PROGRAM, FORMER_PROGRAM = "mastturnd", "station"  # packages; the latter in checkouts of earlier releases
-FORMER_ROLES = {"balancer": "windvane"}  # as that program names them
-HTTP, READYZ, CTL, PLATFORM, UPSTREAM, CONTROL, BALANCER = range(7)  # their places from the first
+FORMER_ROLES = {"balancer": "windvane"}  # role names of the former program
+HTTP, READYZ, CTL, PLATFORM, UPSTREAM, CONTROL, BALANCER = range(7)  # offsets from the first port
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One program of the fleet: its name, role and address."""
+    """One machine of the fleet."""
 
     node: str
     role: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """The fleet's machines; all of them use the same ports, counted from `first`."""
+    """The fleet's machines, all of which use the same ports, from `first` on."""
 
     first: int
     cores: tuple[Machine, ...]
@@ -40,24 +40,24 @@
     platform: str
     upstreams: tuple[str, ...]
 
-    def port(self, place: int) -> int:
-        """The port of a purpose."""
-        return self.first + place
+    def port(self, port_offset: int) -> int:
+        """Return the port with this offset."""
+        return self.first + port_offset
 
     def ctl(self) -> list[str]:
-        """The addresses for operators."""
+        """Return the operator addresses of the control processes."""
         return [f"{m.ip}:{self.port(CTL)}" for m in self.cores]
 
     def http(self, machine: Machine) -> str:
-        """Where a balancer takes clients."""
+        """Return the address at which a balancer serves clients."""
         return f"{machine.ip}:{self.port(HTTP)}"
 
     def readyz(self, machine: Machine) -> str:
-        """Where a balancer's readiness is asked for."""
+        """Return the address of a balancer's readiness check."""
         return f"{machine.ip}:{self.port(READYZ)}"
 
     def settings(self, machine: Machine, folder: Path, bootstrap: bool) -> dict[str, Any]:
-        """What a machine's settings file holds."""
+        """Return the settings of a machine."""
         is_core = machine.role == "control"
         listen = (
             {"ctl": f"{machine.ip}:{self.port(CTL)}"}
@@ -86,54 +86,58 @@
         }
 
     def operator(self) -> dict[str, Any]:
-        """A settings file for operators' commands alone: whom to ask."""
-        raw = self.settings(self.edges[0], Path("."), False)
-        return raw | {"node": "operator", "role": ""}
+        """Return the settings for operators' commands, which need only the addresses."""
+        values = self.settings(self.edges[0], Path("."), False)
+        return values | {"node": "operator", "role": ""}
 
 
-def lay_out(
+def allocate_layout(
     upstreams: int, cores: int = len(ZONES), edges: int = len(EDGE_ZONES), shared: bool = False
 ) -> Layout:
-    """A layout on ports that are free now; raises LabError if there are none.
+    """Return a layout whose ports are free now; raises LabError if there are none.
 
-    `shared`: a balancer runs on each machine of the control state, as far as there are balancers.
+    `shared`: balancers run on the machines of the control processes, as far as there are any.
     """
     subnet = random.SystemRandom().randrange(1, 250)
     control = tuple(
-        Machine(f"core-{_name(i)}", "control", f"127.{subnet}.{i + 1}.1", ZONES[i % len(ZONES)])
+        Machine(f"core-{_name_suffix(i)}", "control", f"127.{subnet}.{i + 1}.1", ZONES[i % len(ZONES)])
         for i in range(cores)
     )
     balancers = tuple(
-        Machine(f"edge-{_name(i)}", "balancer", f"127.{subnet}.{i + 1}.2", EDGE_ZONES[i % len(EDGE_ZONES)])
+        Machine(
+            f"edge-{_name_suffix(i)}", "balancer", f"127.{subnet}.{i + 1}.2", EDGE_ZONES[i % len(EDGE_ZONES)]
+        )
         for i in range(edges)
     )
     if shared:
         balancers = (
             tuple(
-                replace(m, ip=beside.ip, zone=beside.zone)
-                for m, beside in zip(balancers, control, strict=False)
+                replace(m, ip=control_machine.ip, zone=control_machine.zone)
+                for m, control_machine in zip(balancers, control, strict=False)
             )
             + balancers[len(control) :]
         )
-    around = [f"127.{subnet}.255.{i + 1}" for i in range(upstreams + 1)]
-    ips = [m.ip for m in (*control, *balancers)] + around
-    for first in random.SystemRandom().sample(range(20_000, 30_000, PORTS), 50):
-        if all(_is_free(ip, first + i) for ip in ips for i in range(PORTS)):
-            places = tuple(f"{ip}:{first + UPSTREAM}" for ip in around[1:])
-            return Layout(first, control, balancers, f"{around[0]}:{first + PLATFORM}", places)
-    raise LabError("no free ports on loopback addresses: end whatever holds ports 20000 to 30000")
+    stand_in_ips = [f"127.{subnet}.255.{i + 1}" for i in range(upstreams + 1)]
+    ips = [m.ip for m in (*control, *balancers)] + stand_in_ips
+    for first in random.SystemRandom().sample(range(20_000, 30_000, PORT_COUNT), 50):
+        if all(_is_free(ip, first + i) for ip in ips for i in range(PORT_COUNT)):
+            upstream_addresses = tuple(f"{ip}:{first + UPSTREAM}" for ip in stand_in_ips[1:])
+            return Layout(
+                first, control, balancers, f"{stand_in_ips[0]}:{first + PLATFORM}", upstream_addresses
+            )
+    raise LabError("no free ports on loopback addresses: stop the processes that use ports 20000 to 30000")
 
 
-def _name(number: int) -> str:
-    """A machine's name among its kind: a letter, or a number where there are many."""
+def _name_suffix(number: int) -> str:
+    """Return the last part of a machine's name: a letter, or a number from the eleventh on."""
     letters = "abcdefghij"
     return letters[number] if number < len(letters) else str(number)
 
 
 def program_of(checkout: Path) -> str:
-    """The package of the program in a checkout; empty where there is none."""
-    found = (p for p in (PROGRAM, FORMER_PROGRAM) if (checkout / p / "__main__.py").is_file())
-    return next(found, "")
+    """Return the package of the program in a checkout, empty if there is none."""
+    packages = (p for p in (PROGRAM, FORMER_PROGRAM) if (checkout / p / "__main__.py").is_file())
+    return next(packages, "")
 
 
 def _is_free(ip: str, port: int) -> bool:
@@ -146,13 +150,13 @@
     return True
 
 
-def write(path: Path, raw: dict[str, Any]) -> None:
+def write(path: Path, values: dict[str, Any]) -> None:
     """Write a settings file."""
-    path.write_text(yaml.safe_dump(raw, sort_keys=False), encoding="utf-8")
+    path.write_text(yaml.safe_dump(values, sort_keys=False), encoding="utf-8")
 
 
-def configuration(ver: int, aim_ms: float = 800.0) -> dict[str, Any]:
-    """What the operator's stand-in puts: one service, a route of streams and one of whole answers."""
+def configuration(ver: int, target_ms: float = 800.0) -> dict[str, Any]:
+    """Return a configuration with one service, a resumable route and one that is not resumable."""
     backend = {
         "capacity": 16,
         "kv_cap": 100_000,
@@ -163,13 +167,13 @@
         "swap_s": 0.5,
         "models": [{"name": "m"}],
     }
-    stream = {
+    ask_route = {
         "name": "ask",
         "host": "llm.example",
         "path_prefix": "/ask/",
         "route_type": "stream",
         "deadline_ms": 8000,
-        "target_ms": aim_ms,
+        "target_ms": target_ms,
         "prio": 0,
         "svc": "llm",
         "tries": 2,
@@ -177,6 +181,11 @@
         "resumable": True,
         "gap_aim_ms": 300,
     }
-    once = stream | {"name": "tag", "path_prefix": "/tag/", "prio": 1, "resumable": False}
+    tag_route = ask_route | {"name": "tag", "path_prefix": "/tag/", "prio": 1, "resumable": False}
     service = {"name": "llm", "health_path": "/healthz", "max_conns": 360, "proto": "h1", "tls": False}
-    return {"ver": ver, "routes": [stream, once], "svcs": [service | {"backend": backend}], "limits": {}}
+    return {
+        "ver": ver,
+        "routes": [ask_route, tag_route],
+        "svcs": [service | {"backend": backend}],
+        "limits": {},
+    }
--- a/mastturn/smallfleet/surroundings.py
+++ b/mastturn/smallfleet/surroundings.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform's list and for upstreams that read prompts or make tokens, on real sockets."""
+"""Stand-ins for the platform's list and for prefill and decode upstreams, on real sockets."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from aiohttp import ClientSession, ClientTimeout, web
 
 NOT_RUN = {"Mastturn-Not-Run": "1"}
-READ_S = 1 / 48_200  # for each token of a prompt
-STEP_S = 0.012  # for each token of an answer
-ITSELF = 2.0  # times as long a decode upstream takes to read
+PREFILL_TOKEN_S = 1 / 48_200  # per token of a prompt
+DECODE_TOKEN_S = 0.012  # per token of a response
+DECODE_PREFILL_FACTOR = 2.0  # factor by which a decode upstream prefills more slowly
 FETCH_S = 0.002
-KEPT_S = 5.0  # a handle nobody fetches lapses after this
-SWAP_S = 0.5
+HANDLE_LIFETIME_S = 5.0  # lifetime of a handle that is not fetched
+PHASE_CHANGE_S = 0.5
 
 
 class Upstream:
-    """One upstream: `phase` is prefill or decode, an order may change it."""
+    """One upstream; `phase` is prefill or decode, and orders may change it."""
 
     def __init__(self, name: str, address: str, zone: str, phase: str, capacity: int = 16) -> None:
         self.name, self.address, self.zone, self.phase, self.capacity = name, address, zone, phase, capacity
-        self.ran: dict[str, int] = {}  # how often each request was run here
+        self.runs: dict[str, int] = {}  # number of runs by request id
         self._active, self._seq, self._fence = 0, 0, 0
         self._handles: dict[str, float] = {}
-        self._reading = asyncio.Lock()
+        self._prefill_lock = asyncio.Lock()
         self._runner: web.AppRunner | None = None
         self._session: ClientSession | None = None
 
     def entry(self) -> dict[str, Any]:
-        """Its entry in the platform's list."""
+        """Return its entry in the platform's list."""
         return {
             "id": self.name,
             "svc": "llm",
@@ -47,19 +47,19 @@
         }
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application()
         app.router.add_get("/healthz", self._health)
         app.router.add_get("/api/report", self._report)
         app.router.add_post("/api/order", self._order)
-        app.router.add_get("/api/kv/{handle}", self._give)
+        app.router.add_get("/api/kv/{handle}", self._hand_over)
         app.router.add_delete("/api/kv-handle/{handle}", self._free)
-        app.router.add_route("*", "/{path:.*}", self._take)
+        app.router.add_route("*", "/{path:.*}", self._handle_request)
         self._runner = await _serve(app, self.address)
         self._session = ClientSession(timeout=ClientTimeout(total=2.0))
 
     async def stop(self) -> None:
-        """End."""
+        """Stop listening."""
         if self._session is not None:
             await self._session.close()
         if self._runner is not None:
@@ -69,8 +69,8 @@
         return web.Response(headers={"Mastturn-Upstream-Id": self.name})
 
     async def _report(self, request: web.Request) -> web.Response:
-        told = {"phase": self.phase, "models": [], "util": False, "seq": self._seq, "active": self._active}
-        return web.json_response(told)
+        report = {"phase": self.phase, "models": [], "util": False, "seq": self._seq, "active": self._active}
+        return web.json_response(report)
 
     async def _order(self, request: web.Request) -> web.Response:
         order = await request.json()
@@ -84,85 +84,91 @@
         def change() -> None:
             self.phase = phase
 
-        asyncio.get_running_loop().call_later(SWAP_S, change)
+        asyncio.get_running_loop().call_later(PHASE_CHANGE_S, change)
         return web.Response(status=202)
 
-    async def _give(self, request: web.Request) -> web.Response:
-        """Another upstream fetches the memory behind a handle: that works once."""
-        born = self._handles.pop(request.match_info["handle"], None)
-        return web.Response(status=200 if born is not None and time.monotonic() - born < KEPT_S else 404)
+    async def _hand_over(self, request: web.Request) -> web.Response:
+        """Hand over the KV cache behind a handle to another upstream; a handle works only once."""
+        created_at = self._handles.pop(request.match_info["handle"], None)
+        return web.Response(
+            status=200
+            if created_at is not None and time.monotonic() - created_at < HANDLE_LIFETIME_S
+            else 404
+        )
 
     async def _free(self, request: web.Request) -> web.Response:
         self._handles.pop(request.match_info["handle"], None)
         return web.Response()
 
-    async def _take(self, request: web.Request) -> web.StreamResponse:
-        number = request.headers.get("Mastturn-Request-Id", "")
-        told = {"Mastturn-Request-Id": number}
+    async def _handle_request(self, request: web.Request) -> web.StreamResponse:
+        request_id = request.headers.get("Mastturn-Request-Id", "")
+        id_header = {"Mastturn-Request-Id": request_id}
         await request.read()
-        if not number:
+        if not request_id:
             return web.Response(status=400, headers=NOT_RUN)
         if request.headers.get("Mastturn-Target-Upstream", self.name) != self.name:
-            return web.Response(status=421, headers=told)
+            return web.Response(status=421, headers=id_header)
         if self._active >= self.capacity:
-            return web.Response(status=503, headers=told | NOT_RUN)
-        reads = request.headers.get("Mastturn-Stage") == "prefill"
-        if reads != (self.phase == "prefill"):
-            return web.Response(status=421, headers=told)
+            return web.Response(status=503, headers=id_header | NOT_RUN)
+        is_prefill = request.headers.get("Mastturn-Stage") == "prefill"
+        if is_prefill != (self.phase == "prefill"):
+            return web.Response(status=421, headers=id_header)
         self._active += 1
         try:
-            return await (self._read if reads else self._run)(request, told)
+            return await (self._prefill if is_prefill else self._decode)(request, id_header)
         finally:
             self._active -= 1
 
-    async def _read(self, request: web.Request, told: dict[str, str]) -> web.Response:
+    async def _prefill(self, request: web.Request, id_header: dict[str, str]) -> web.Response:
         tokens = _tokens(request)[0]
-        async with self._reading:
-            await asyncio.sleep(tokens * READ_S)
+        async with self._prefill_lock:
+            await asyncio.sleep(tokens * PREFILL_TOKEN_S)
         handle = secrets.token_hex(6)
         now = time.monotonic()
-        self._handles = {h: born for h, born in self._handles.items() if now - born < KEPT_S}
+        self._handles = {
+            h: created_at for h, created_at in self._handles.items() if now - created_at < HANDLE_LIFETIME_S
+        }
         self._handles[handle] = now
-        return web.json_response({"kv_ref": handle, "ntokens": tokens, "ver": 1}, headers=told)
+        return web.json_response({"kv_ref": handle, "ntokens": tokens, "ver": 1}, headers=id_header)
 
-    async def _run(self, request: web.Request, told: dict[str, str]) -> web.StreamResponse:
-        tokens, out = _tokens(request)
+    async def _decode(self, request: web.Request, id_header: dict[str, str]) -> web.StreamResponse:
+        tokens, max_output = _tokens(request)
         source = request.headers.get("Kv-From")
         if source is not None and not await self._fetch(source):
-            return web.Response(status=503, headers=told | NOT_RUN)
-        number = told["Mastturn-Request-Id"]
-        self.ran[number] = self.ran.get(number, 0) + 1
+            return web.Response(status=503, headers=id_header | NOT_RUN)
+        request_id = id_header["Mastturn-Request-Id"]
+        self.runs[request_id] = self.runs.get(request_id, 0) + 1
         if source is None:
-            await asyncio.sleep(tokens * READ_S * ITSELF)
+            await asyncio.sleep(tokens * PREFILL_TOKEN_S * DECODE_PREFILL_FACTOR)
         seal = {"Mastturn-Server-Seal": f"{self.name}.{secrets.token_hex(4)}", "Versions": "1"}
-        answer = web.StreamResponse(headers=told | seal | {"Content-Type": "text/event-stream"})
-        await answer.prepare(request)
-        after = int(request.headers.get("Last-Event-Id", "0"))
-        for event in range(after + 1, out + 1):
-            await asyncio.sleep(STEP_S)
-            await answer.write(f"id: {event}\ndata: token {event} of {out}\n\n".encode())
-        await answer.write_eof()
-        return answer
+        response = web.StreamResponse(headers=id_header | seal | {"Content-Type": "text/event-stream"})
+        await response.prepare(request)
+        last_event = int(request.headers.get("Last-Event-Id", "0"))
+        for event in range(last_event + 1, max_output + 1):
+            await asyncio.sleep(DECODE_TOKEN_S)
+            await response.write(f"id: {event}\ndata: token {event} of {max_output}\n\n".encode())
+        await response.write_eof()
+        return response
 
     async def _fetch(self, source: str) -> bool:
-        place, _, handle = source.partition("/")
+        address, _, handle = source.partition("/")
         assert self._session is not None
         await asyncio.sleep(FETCH_S)
         try:
-            async with self._session.get(f"http://{place}/api/kv/{handle}") as answer:
-                return answer.status == 200
+            async with self._session.get(f"http://{address}/api/kv/{handle}") as response:
+                return response.status == 200
         except (OSError, TimeoutError):
             return False
 
 
 def _tokens(request: web.Request) -> tuple[int, int]:
-    """Tokens of the prompt, and the most out."""
+    """Return the number of prompt tokens, and the limit of output tokens."""
     count = request.headers.get("Mastturn-Token-Count", "0,1").split(",")
     return int(count[0]), int(count[1])
 
 
 class Platform:
-    """The list of upstreams, in pages."""
+    """Serves the list of upstreams as one page."""
 
     def __init__(self, address: str, upstreams: list[Upstream]) -> None:
         self.calls = 0
@@ -170,17 +176,17 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application()
-        app.router.add_get("/upstreams", self._list)
+        app.router.add_get("/upstreams", self._serve_list)
         self._runner = await _serve(app, self._address)
 
     async def stop(self) -> None:
-        """End."""
+        """Stop listening."""
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _list(self, request: web.Request) -> web.Response:
+    async def _serve_list(self, request: web.Request) -> web.Response:
         self.calls += 1
         page = {"upstreams": [u.entry() for u in self._upstreams], "next_cursor": None}
         return web.Response(text=json.dumps(page), content_type="application/json")
--- a/mastturn/soak/fleet.py
+++ b/mastturn/soak/fleet.py
@@ -178,7 +178,9 @@
 
     async def leader(self) -> Member | None:
         """Return the control process that reports to be the primary, in the latest epoch."""
-        statuses = await asyncio.gather(*(callers.ask(place, "/api/status") for place in self.layout.ctl()))
+        statuses = await asyncio.gather(
+            *(callers.get_json(address, "/api/status") for address in self.layout.ctl())
+        )
         primaries = [
             (int(a["epoch"]), a["node"]) for a in statuses if a is not None and a["standing"] == "primary"
         ]
--- a/mastturn/soak/play.py
+++ b/mastturn/soak/play.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from mastturn.files import LabError
-from mastturn.smallfleet.layout import lay_out
+from mastturn.smallfleet.layout import allocate_layout
 from mastturn.soak import clients, lag, operators
 from mastturn.soak.checker import Checker, Finding
 from mastturn.soak.fleet import Fleet
@@ -52,7 +52,7 @@
     # The default action would end this process and leave the fleet's processes running.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, soak.cancel)
     records = Records()
-    layout = lay_out(plan.upstreams + SPARE_ADDRESSES, plan.control, plan.balancers, plan.shared)
+    layout = allocate_layout(plan.upstreams + SPARE_ADDRESSES, plan.control, plan.balancers, plan.shared)
     environment = Environment(layout, plan.upstreams, plan.seed, records, plan.answers)
     fleet = Fleet(layout, folder, records, plan.defect)
     troubles = Troubles(fleet, environment, plan.seed, log, plan.only)
--- a/tests/test_mastturnd_cli_fleet.py
+++ b/tests/test_mastturnd_cli_fleet.py
@@ -13,7 +13,7 @@
 
 from mastturn.smallfleet import callers, layout
 from mastturn.smallfleet.__main__ import main
-from mastturn.smallfleet.play import Play, left
+from mastturn.smallfleet.play import SmallFleet, still_running
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 60.0  # upper bound for a hanging fleet; no test depends on the value
@@ -48,8 +48,8 @@
         finally:
             stop.set()
 
-    async def test() -> tuple[Play, list[subprocess.CompletedProcess[str]]]:
-        play, stop = Play(tmp_path, said.append), asyncio.Event()
+    async def test() -> tuple[SmallFleet, list[subprocess.CompletedProcess[str]]]:
+        play, stop = SmallFleet(tmp_path, said.append), asyncio.Event()
         async with asyncio.timeout(PATIENCE_S):
             beside = asyncio.create_task(commands(stop))
             result = await play.run(PATIENCE_S, False, stop)
@@ -60,7 +60,7 @@
         return play, done
 
     play, done = asyncio.run(test())
-    assert left(play.pids()) == []
+    assert still_running(play.pids()) == []
     assert all(command.stderr == "" and command.returncode == 0 for command in done), done
     assert done[0].stdout.startswith("led by core-")
     assert "3 of 3 control processes and 3 of 3 balancers answer" in done[0].stdout
@@ -82,7 +82,7 @@
     assert re.search(r"core-[abc] leads after \d+\.\d s", found.stdout)
     assert found.stdout.endswith("all that was started has ended\n")
     pids = [int(pid) for pid in re.findall(r"\((\d+)\)", found.stdout.splitlines()[0])]
-    assert len(pids) == 6 and left(pids) == []
+    assert len(pids) == 6 and still_running(pids) == []
 
 
 @pytest.mark.parametrize("argv", [["--seconds=soon"], ["--nothing"], ["now"], ["--seconds=0"]])
@@ -107,7 +107,7 @@
 
 
 def test_all_machines_have_addresses_of_their_own() -> None:
-    found = layout.lay_out(5)
+    found = layout.allocate_layout(5)
     places = [*found.ctl(), found.platform, *found.upstreams]
     places += [found.http(m) for m in found.edges] + [found.readyz(m) for m in found.edges]
     assert len(set(places)) == len(places) == 15
@@ -115,4 +115,4 @@
 
 
 def test_a_process_that_answers_nothing_is_none() -> None:
-    assert asyncio.run(callers.ask("127.0.0.1:1", "/api/status")) is None
+    assert asyncio.run(callers.get_json("127.0.0.1:1", "/api/status")) is None
--- a/tests/test_soak_troubles.py
+++ b/tests/test_soak_troubles.py
@@ -10,7 +10,7 @@
 import pytest
 
 from mastturn.files import LabError
-from mastturn.smallfleet.layout import lay_out
+from mastturn.smallfleet.layout import allocate_layout
 from mastturn.soak import lag, surroundings
 from mastturn.soak.checker import Checker
 from mastturn.soak.fleet import Fleet
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_upstreams_that_crash_and_leave_at_once_never_share_an_address(seed: int) -> None:
     async def overlap() -> None:
-        environment = Environment(lay_out(UPSTREAMS + 4), UPSTREAMS, seed, Records())
+        environment = Environment(allocate_layout(UPSTREAMS + 4), UPSTREAMS, seed, Records())
         await environment.start()
         rng = random.Random(seed)
         troubles = [environment.crash, environment.leave] * UPSTREAMS
@@ -60,7 +60,7 @@
 
 def test_a_trouble_that_fails_fails_the_soak(tmp_path: Path) -> None:
     async def fail() -> None:
-        layout = lay_out(UPSTREAMS)
+        layout = allocate_layout(UPSTREAMS)
         environment = Environment(layout, UPSTREAMS, 1, Records())
         troubles = Troubles(Fleet(layout, tmp_path, Records()), environment, 1, lambda text: None, "crash")
         environment.crash = raise_os_error  # type: ignore[method-assign]
@@ -75,7 +75,7 @@
 
 def test_a_control_process_loses_its_disk_only_in_calm(tmp_path: Path) -> None:
     records = Records()
-    fleet = Fleet(lay_out(UPSTREAMS), tmp_path, records)
+    fleet = Fleet(allocate_layout(UPSTREAMS), tmp_path, records)
     assert fleet.since_control_fault_s() == float("inf")
     now = time.monotonic()
     records.spans = [Span("kill", "core-a", now - 9.0, now - 8.0), Span("kill", "edge-a", now - 1.0, now)]
