--- a/mastturn/bench/__init__.py
+++ b/mastturn/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of our own: figures of speed and size, never verdicts."""
+"""Benchmarks of the project; they report figures and do not judge them."""
--- a/mastturn/bench/commands.py
+++ b/mastturn/bench/commands.py
@@ -27,13 +27,11 @@
 @click.option("--watchers", type=click.IntRange(1, 20_000), default=10_000, show_default=True)
 @click.option("--entries", type=click.IntRange(1, 20_000), default=5_000, show_default=True)
 @click.option("--rate", type=click.FloatRange(1.0, 1_000.0), default=100.0, show_default=True)
-@click.option(
-    "--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="Write the result there."
-)
+@click.option("--json", "file", type=click.Path(dir_okay=False, path_type=Path), help="File for the result.")
 def bench_registry(
     replicas: int, agents: int, watchers: int, entries: int, rate: float, file: Path | None
 ) -> None:
-    """How long a change takes to all watchers, and what idle watchers and a restart cost.
+    """Measure how long a change takes to reach all watchers, and the cost of idle watchers and a restart.
 
     \b
     Example:
@@ -41,15 +39,15 @@
     """
     from mastturn.bench.registry import Size, measure
 
-    found = measure(Size(replicas, agents, watchers, entries, rate=rate), click.echo)
-    for name, values in found.items():
-        click.echo(f"{name:>28}  {_plain(values)}")
+    figures = measure(Size(replicas, agents, watchers, entries, rate=rate), click.echo)
+    for name, values in figures.items():
+        click.echo(f"{name:>28}  {_format_values(values)}")
     if file is not None:
         try:
-            file.write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
+            file.write_bytes(msgspec.json.format(msgspec.json.encode(figures), indent=1) + b"\n")
         except OSError as error:
             raise LabError(f"{file}: {error.strerror}") from None
 
 
-def _plain(values: dict[str, Any]) -> str:
+def _format_values(values: dict[str, Any]) -> str:
     return "  ".join(f"{name} {value}" for name, value in values.items())
