--- a/features/environment.py
+++ b/features/environment.py
@@ -9,9 +9,9 @@
 
 def before_scenario(context: Any, scenario: Any) -> None:
     """A fabric of its own."""
-    context.stories = ScenarioRunner()
+    context.scenario_runner = ScenarioRunner()
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
     """Nothing that no program caught may be left."""
-    context.stories.end()
+    context.scenario_runner.end()
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -1,4 +1,4 @@
-"""Steps about operators and their orders."""
+"""Steps about operators and their changes of the configuration."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 def _put(context: Any, body: bytes, base: int, name: str = "operator") -> Ended:
-    world: World = context.stories.world
+    world: World = context.scenario_runner.world
 
     async def step() -> Ended:
-        since = world.loop.time()
-        ended = await world.operator(name).put(body, base)
-        context.took_s = world.loop.time() - since
-        return ended
+        started_at = world.loop.time()
+        result = await world.operator(name).put(body, base)
+        context.duration_s = world.loop.time() - started_at
+        return result
 
-    ended: Ended = context.stories.play(step())
-    return ended
+    result: Ended = context.scenario_runner.play(step())
+    return result
 
 
 @given("the operator does not hear the answer")
-def answer_lost(context: Any) -> None:
-    """The link to the operator fails right after his order got through, for a second."""
-    world: World = context.stories.world
+def cut_operator_link(context: Any) -> None:
+    """Cut the link to the operator for about a second, right after the request has arrived."""
+    world: World = context.scenario_runner.world
 
     async def fail() -> None:
         await world.wait(0.0015)
@@ -46,87 +46,87 @@
         await world.wait(1.1)
         world.network.heal()
 
-    context.fails = world.loop.create_task(fail())
+    context.link_failure = world.loop.create_task(fail())
 
 
 @when("an operator puts version {ver:d} on top of version {base:d}")
 @when("he puts version {ver:d} on top of version {base:d}, again and again")
 def put(context: Any, ver: int, base: int) -> None:
-    """He sends it until he gets a clear answer."""
+    """Put the version, retrying until the response is conclusive."""
     context.ver = ver
-    context.ended = _put(context, configuration(ver), base)
+    context.result = _put(context, configuration(ver), base)
 
 
 @when("two operators put versions {one:d} and {two:d} on top of version {base:d} at the same time")
 def put_two(context: Any, one: int, two: int, base: int) -> None:
-    """Each asks another control machine first."""
-    world: World = context.stories.world
+    """Put two versions concurrently, each at another control machine first."""
+    world: World = context.scenario_runner.world
 
     async def step() -> list[Ended]:
         first = world.operator("one", "core-1", "core-2").put(configuration(one), base)
         second = world.operator("two", "core-2", "core-3").put(configuration(two), base)
         return list(await asyncio.gather(first, second))
 
-    context.ends = dict(zip((one, two), context.stories.play(step()), strict=True))
+    context.results = dict(zip((one, two), context.scenario_runner.play(step()), strict=True))
 
 
 @when("an operator puts a configuration {that_is_wrong} on top of version {base:d}")
 def put_invalid(context: Any, that_is_wrong: str, base: int) -> None:
-    """He gets a clear answer at once."""
-    context.ended = _put(context, INVALID[that_is_wrong], base)
+    """Put an invalid configuration."""
+    context.result = _put(context, INVALID[that_is_wrong], base)
 
 
 @then("it is acknowledged within {seconds:d} seconds")
-def acknowledged(context: Any, seconds: int) -> None:
-    """The operator has heard 200."""
-    assert context.ended.status == 200
-    assert context.took_s < seconds
+def check_acknowledged(context: Any, seconds: int) -> None:
+    """Check that the operator received 200 in time."""
+    assert context.result.status == 200
+    assert context.duration_s < seconds
 
 
 @then("version {ver:d} was taken once")
-def taken_once(context: Any, ver: int) -> None:
-    """The holders have written it once, however often it came."""
-    world: World = context.stories.world
+def check_applied_once(context: Any, ver: int) -> None:
+    """Check that the version was applied once, although it was sent more than once."""
+    world: World = context.scenario_runner.world
     durable_state = world.node(world.primary())._keeper.durable_state
     assert [t.ver for t in durable_state.document.taken].count(ver) == 1
-    assert context.ended.tries > 1
+    assert context.result.tries > 1
 
 
 @then("reading the configuration back gives version {ver:d} as it was sent")
-def read_back(context: Any, ver: int) -> None:
-    """Byte by byte."""
-    world: World = context.stories.world
-    ended: Ended = context.stories.play(world.operator("reader").get())
-    assert ended.status == 200 and ended.body == configuration(ver)
+def check_read_back(context: Any, ver: int) -> None:
+    """Check that the configuration is the same byte by byte."""
+    world: World = context.scenario_runner.world
+    result: Ended = context.scenario_runner.play(world.operator("reader").get())
+    assert result.status == 200 and result.body == configuration(ver)
 
 
 @then("one of them is acknowledged, and the other hears that another version is in place")
-def one_wins(context: Any) -> None:
-    """200 and 412."""
-    assert sorted(ended.status for ended in context.ends.values()) == [200, 412]
-    context.ver = next(ver for ver, ended in context.ends.items() if ended.status == 200)
+def check_one_wins(context: Any) -> None:
+    """Check that one response is 200 and the other 412."""
+    assert sorted(result.status for result in context.results.values()) == [200, 412]
+    context.ver = next(ver for ver, result in context.results.items() if result.status == 200)
 
 
 @then("all balancers serve the acknowledged one within {seconds:d} seconds")
-def all_serve_it(context: Any, seconds: int) -> None:
-    """And not the other."""
-    world: World = context.stories.world
-    everywhere = world.wait_until(
+def check_all_serve_acknowledged(context: Any, seconds: int) -> None:
+    """Check that all balancers apply the acknowledged version and never the other."""
+    world: World = context.scenario_runner.world
+    all_applied = world.wait_until(
         lambda: all(m.plane.ver == context.ver for m in world.edges()), float(seconds)
     )
-    context.stories.play(everywhere)
+    context.scenario_runner.play(all_applied)
     assert all(c.ver in (5, context.ver) for m in world.edges() for _, c in m.plane.configured)
 
 
 @then("it is turned away with a status of {status:d} and {remedy}")
-def turned_away(context: Any, status: int, remedy: str) -> None:
-    """At once, in a line that says what to do."""
-    assert context.ended.status == status and context.ended.tries == 1
-    assert remedy in json.loads(context.ended.body)["error"]
+def check_rejected(context: Any, status: int, remedy: str) -> None:
+    """Check that the first response has this status, and a message with the remedy."""
+    assert context.result.status == status and context.result.tries == 1
+    assert remedy in json.loads(context.result.body)["error"]
 
 
 @then("he hears that version {ver:d} is in place")
-def is_in_place(context: Any, ver: int) -> None:
-    """412, and the version to build on."""
-    assert context.ended.status == 412
-    assert f"version {ver} is in place" in json.loads(context.ended.body)["error"]
+def check_current_version(context: Any, ver: int) -> None:
+    """Check that the response is 412 and names the current version."""
+    assert context.result.status == 412
+    assert f"version {ver} is in place" in json.loads(context.result.body)["error"]
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""The features in the operators' words, played by behave in a process of its own."""
+"""Runs the behave features in a process of their own."""
 
 from __future__ import annotations
 
