--- a/mastturn/chaos/__init__.py
+++ b/mastturn/chaos/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet rig: real copies of every program on loopback, faults between them, rules read off a history."""
+"""Chaos tests: runs every program on loopback, injects faults and checks the recorded history."""
--- a/mastturn/chaos/commands.py
+++ b/mastturn/chaos/commands.py
@@ -9,24 +9,24 @@
 import click
 
 BROKEN = 1
-MOST_SHOWN = 20
+MAX_SHOWN = 20
 
 
-class _PlanFirst(click.Group):
-    """A word that is no command is the plan to run."""
+class _DefaultToRun(click.Group):
+    """Group that runs `run` if the first argument is not a command."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """`mastturn chaos FILE ...` is `mastturn chaos run FILE ...`."""
+        """Resolve `mastturn chaos FILE ...` as `mastturn chaos run FILE ...`."""
         if args and args[0] not in self.commands and not args[0].startswith("-"):
             args = ["run", *args]
         return super().resolve_command(ctx, args)
 
 
-@click.group(cls=_PlanFirst)
+@click.group(cls=_DefaultToRun)
 def chaos() -> None:
-    """Run real copies of every program on loopback with faults between them, and judge what happened.
+    """Run every program on loopback, inject faults, and check the recorded history against the rules.
 
     \b
     Example:
@@ -37,12 +37,14 @@
 
 @chaos.command("run")
 @click.argument("path", type=click.Path(path_type=Path), metavar="PLAN")
-@click.option("--seed", type=click.IntRange(0), help="Of load and drawn faults; the plan's own if not said.")
-@click.option("--seconds", type=float, help="How long clients ask; the plan's own if not said.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Keep history and logs there.")
-@click.option("--quiet", is_flag=True, help="No line for each fault.")
+@click.option("--seed", type=click.IntRange(0), help="Seed of load and random faults; default: the plan's.")
+@click.option("--seconds", type=float, help="Duration of the load; default: the plan's.")
+@click.option(
+    "--out", type=click.Path(file_okay=False, path_type=Path), help="Keep history and logs in this folder."
+)
+@click.option("--quiet", is_flag=True, help="Print no line for each fault.")
 def run_plan(path: Path, seed: int | None, seconds: float | None, out: Path | None, quiet: bool) -> None:
-    """Run PLAN, a TOML file, and judge it. Exit status 1: a rule is broken.
+    """Run PLAN, a TOML file, and check its history. Exit status 1: a rule is broken.
 
     \b
     Example:
@@ -53,44 +55,44 @@
 
     plan = read_plan(path, seed, seconds)
 
-    def say(text: str) -> None:
+    def log(text: str) -> None:
         if not quiet:
             click.echo(text)
 
     if out is not None:
-        run(plan, out, say)
-        _judge(out)
+        run(plan, out, log)
+        _report(out)
         return
     with tempfile.TemporaryDirectory(prefix="mastturn-") as folder:
-        run(plan, Path(folder), say)
-        _judge(Path(folder))
+        run(plan, Path(folder), log)
+        _report(Path(folder))
 
 
 @chaos.command("judge")
 @click.argument("folder", type=click.Path(path_type=Path), metavar="DIR")
-def judge_again(folder: Path) -> None:
-    """Judge a kept history again. Exit status 1: a rule is broken.
+def judge_history(folder: Path) -> None:
+    """Check a kept history again. Exit status 1: a rule is broken.
 
     \b
     Example:
       mastturn chaos judge run
     """
-    _judge(folder)
+    _report(folder)
 
 
-def _judge(folder: Path) -> None:
+def _report(folder: Path) -> None:
     from mastturn.chaos.history import read
-    from mastturn.chaos.rules import counts, judge
+    from mastturn.chaos.rules import find_violations, summarize
 
     rows = read(folder)
-    began = float(rows[0]["t"])
-    for name, value in counts(rows).items():
+    start = float(rows[0]["t"])
+    for name, value in summarize(rows).items():
         click.echo(f"{name:>24}  {value}")
-    breaches = judge(rows)
-    for breach in breaches[:MOST_SHOWN]:
-        click.echo(f"{breach.at_s - began:7.2f} s  {breach.rule}: {breach.words}", err=True)
-    if len(breaches) > MOST_SHOWN:
-        click.echo(f"and {len(breaches) - MOST_SHOWN} more", err=True)
-    click.echo("every rule kept" if not breaches else f"rules broken: {len(breaches)}")
-    if breaches:
+    violations = find_violations(rows)
+    for violation in violations[:MAX_SHOWN]:
+        click.echo(f"{violation.at_s - start:7.2f} s  {violation.rule}: {violation.description}", err=True)
+    if len(violations) > MAX_SHOWN:
+        click.echo(f"and {len(violations) - MAX_SHOWN} more", err=True)
+    click.echo("every rule kept" if not violations else f"rules broken: {len(violations)}")
+    if violations:
         sys.exit(BROKEN)
--- a/mastturn/chaos/history.py
+++ b/mastturn/chaos/history.py
@@ -1,7 +1,6 @@
-"""What happened, as rows of JSON: who, what, and when on one clock, written by each party into a file of
-its own.
+"""History of a run: each process appends events as JSON rows to its own file.
 
-The clock is the system's monotonic one, which all processes of a machine share; `t` is in seconds.
+`t` is in seconds of the system's monotonic clock, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -19,25 +18,25 @@
 
 
 class Recorder:
-    """One party's file; each row is there as soon as it is written."""
+    """Writer of one process's file; rows are written unbuffered."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = path.open("ab", buffering=0)
 
-    def write(self, who: str, what: str, **more: Any) -> None:
-        """Add a row."""
-        row = {"t": round(time.monotonic(), 6), "who": who, "what": what, **more}
+    def write(self, who: str, what: str, **fields: Any) -> None:
+        """Append a row."""
+        row = {"t": round(time.monotonic(), 6), "who": who, "what": what, **fields}
         self._file.write(msgspec.json.encode(row) + b"\n")
 
     def close(self) -> None:
-        """No more rows."""
+        """Close the file."""
         self._file.close()
 
 
 def read(folder: Path) -> list[Row]:
-    """All rows under a folder in the order of their moments; raises LabError.
+    """Read all rows of a folder, ordered by time; raises LabError.
 
-    The last row of a party that was killed may be torn, and is left out.
+    A torn last row, as a killed process may leave it, is skipped.
     """
     if not folder.is_dir():
         raise LabError(f"{folder}: no such folder")
@@ -50,12 +49,12 @@
                     rows.append(msgspec.json.decode(line))
             except msgspec.DecodeError:
                 if number < len(lines):
-                    raise LabError(f"{path}:{number}: no row of a history") from None
+                    raise LabError(f"{path}:{number}: no row of a history: invalid JSON") from None
     if not rows:
-        raise LabError(f"{folder}: holds no history; 'mastturn chaos PLAN --out {folder}' makes one")
+        raise LabError(f"{folder}: holds no history; 'mastturn chaos PLAN --out {folder}' records one")
     return sorted(rows, key=lambda row: float(row["t"]))
 
 
 def of_kind(rows: Iterable[Row], *kinds: str) -> list[Row]:
-    """The rows that say one of these."""
+    """Rows whose `what` is one of `kinds`."""
     return [row for row in rows if row["what"] in kinds]
--- a/mastturn/chaos/rules.py
+++ b/mastturn/chaos/rules.py
@@ -1,18 +1,18 @@
-"""The rules, read off a history alone. Nothing here has seen the run.
+"""Checks the rules of a chaos run on its recorded history alone.
 
-| rule | what breaks it |
+| rule | violation |
 | --- | --- |
-| `lost` | a try that a living balancer took ends without a whole answer in its time |
-| `answered twice` | a try has two ends |
-| `duplicate` | a second copy goes out while an earlier one is still out on an open connection |
-| `once` | a request of a class that must not run twice has begun twice |
-| `drain` | a send to an upstream that the balancer's agent has told to be leaving or gone, after the grace |
-| `back` | a reader is told something older than it was told before |
-| `kept` | a write that was acknowledged is not in the list at the end |
-| `converged` | replicas, or readers' lists, still differ so long after every fault has ended |
-
-Excused is what nobody can keep: a try at a balancer that was killed or stopped while the try was open, and a
-write that was acknowledged by one replica alone whose old state was then put back.
+| `lost` | an attempt accepted by a live balancer ends without a complete answer in time |
+| `answered twice` | an attempt has two outcomes |
+| `duplicate` | a second copy is sent while an earlier one is in flight on an open connection |
+| `once` | a request of an at-most-once class starts twice |
+| `drain` | a send to an upstream that the balancer's agent listed as leaving or gone, after a grace period |
+| `back` | a reader gets older data than before |
+| `kept` | an acknowledged write is missing from the final list |
+| `converged` | replicas, or readers' lists, still differ when the plan's bound after all faults has passed |
+
+Exempt is what can't be guaranteed: an attempt at a balancer that was killed or stopped while it was open, and
+a write acknowledged by a single replica whose old state was restored afterwards.
 """
 
 from __future__ import annotations
@@ -23,119 +23,122 @@
 
 from mastturn.chaos.history import Row, of_kind
 
-TIME_SLACK_S = 0.6  # beyond a try's time: the client gives up half a second late
+TIME_SLACK_S = 0.6  # beyond an attempt's deadline: the client times out half a second late
 DRAIN_GRACE_S = 1.5
-TOLD_AT_LATEST_S = 6.0  # where the agent or the balancer was in trouble meanwhile (PROTOCOL, "Figures")
-SOON_S = 0.5  # a reader beside the balancer may hear of a return a little later than the balancer does
-PASSED_ON_S = 2.0  # until a change is at the other replicas, while no fault is on
+FAULTY_DRAIN_GRACE_S = 6.0  # grace if the agent or the balancer had a fault meanwhile (PROTOCOL, "Figures")
+READER_LAG_S = 0.5  # the recorded reader may see a return this much later than the balancer
+REPLICATION_S = 2.0  # replication delay while no fault is active
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
-    """One broken rule, in words, and when."""
+class Violation:
+    """A violation of a rule, with its time and description."""
 
     rule: str
     at_s: float
-    words: str
+    description: str
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
-    """One fault on one thing."""
+class FaultPeriod:
+    """Period of a fault on one program or link."""
 
     kind: str
     on: str
     begin: float
     end: float
 
-    def meets(self, begin: float, end: float) -> bool:
-        """Whether it was on at some moment between."""
+    def overlaps(self, begin: float, end: float) -> bool:
+        """Whether the period overlaps the given one."""
         return self.begin <= end and begin <= self.end
 
 
-def spans(rows: Iterable[Row]) -> list[Span]:
-    """All faults with their ends; one without an end lasts for ever."""
-    open_: dict[int, Row] = {}
-    found = []
+def fault_periods(rows: Iterable[Row]) -> list[FaultPeriod]:
+    """Periods of all faults; one that did not heal never ends."""
+    open_faults: dict[int, Row] = {}
+    periods = []
     for row in of_kind(rows, "fault", "healed"):
         if row["what"] == "fault":
-            open_[row["number"]] = row
-        elif (began := open_.pop(row["number"], None)) is not None:
-            found += [Span(began["kind"], name, began["t"], row["t"]) for name in began["on"]]
-    for row in open_.values():
-        found += [Span(row["kind"], name, row["t"], float("inf")) for name in row["on"]]
-    return found
+            open_faults[row["number"]] = row
+        elif (start := open_faults.pop(row["number"], None)) is not None:
+            periods += [FaultPeriod(start["kind"], name, start["t"], row["t"]) for name in start["on"]]
+    for row in open_faults.values():
+        periods += [FaultPeriod(row["kind"], name, row["t"], float("inf")) for name in row["on"]]
+    return periods
 
 
-def _troubled(faults: list[Span], names: tuple[str, ...], begin: float, end: float) -> bool:
+def _has_fault(faults: list[FaultPeriod], names: tuple[str, ...], begin: float, end: float) -> bool:
     return any(
-        span.meets(begin, end) and any(name == span.on or name in span.on.split(">") for name in names)
-        for span in faults
+        period.overlaps(begin, end)
+        and any(name == period.on or name in period.on.split(">") for name in names)
+        for period in faults
     )
 
 
-def tries(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`lost` and `answered twice`."""
-    found, ended = [], defaultdict(list)
+def check_attempts(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `lost` and `answered twice`."""
+    violations, ended = [], defaultdict(list)
     for row in of_kind(rows, "ended"):
         ended[row["txn"]].append(row)
     last = max(row["t"] for row in rows)
     for row in of_kind(rows, "asked"):
         ends = ended.get(row["txn"], [])
         if len(ends) > 1:
-            found.append(Breach("answered twice", ends[1]["t"], f"{row['txn']} has {len(ends)} ends"))
+            violations.append(Violation("answered twice", ends[1]["t"], f"{row['txn']} has {len(ends)} ends"))
         end = ends[0]["t"] if ends else last
         late = end - row["t"] > row["within_s"] + TIME_SLACK_S
-        whole = bool(ends) and ends[0]["how"] in ("served", "refused", "failed", "unreached")
-        if whole and not late:
+        is_complete = bool(ends) and ends[0]["how"] in ("served", "refused", "failed", "unreached")
+        if is_complete and not late:
             continue
         balancer = row["at"]
         if any(
-            span.on == balancer and span.kind in ("kill", "stop") and span.meets(row["t"], end)
-            for span in faults
+            period.on == balancer and period.kind in ("kill", "stop") and period.overlaps(row["t"], end)
+            for period in faults
         ):
             continue
-        why = ends[0]["why"] if ends else "no end"
-        found.append(Breach("lost", end, f"{row['txn']} ({row['kind']}): {'late' if whole else why}"))
-    return found
+        reason = ends[0]["why"] if ends else "no end"
+        violations.append(
+            Violation("lost", end, f"{row['txn']} ({row['kind']}): {'late' if is_complete else reason}")
+        )
+    return violations
 
 
-def copies(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`duplicate`, as the links before the upstreams saw it."""
-    found: list[Breach] = []
-    out: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
+def check_duplicates(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `duplicate`, as observed by the links in front of the upstreams."""
+    violations: list[Violation] = []
+    in_flight: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
     for row in of_kind(rows, "sent", "answered", "hung up"):
-        place = (row["who"], row["connection"])
+        key = (row["who"], row["connection"])
         if row["what"] == "sent":
-            if others := [where for where in out[row["txn"]] if where != place]:
+            if others := [location for location in in_flight[row["txn"]] if location != key]:
                 at = ", ".join(name for name, _ in others)
-                found.append(
-                    Breach("duplicate", row["t"], f"{row['txn']} at {row['who']}, still out at {at}")
+                violations.append(
+                    Violation("duplicate", row["t"], f"{row['txn']} at {row['who']}, still out at {at}")
                 )
-            out[row["txn"]][place] = row["t"]
+            in_flight[row["txn"]][key] = row["t"]
         else:
-            out[row["txn"]].pop(place, None)
-    return found
+            in_flight[row["txn"]].pop(key, None)
+    return violations
 
 
-def once(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`once`: what must not run twice, as the upstreams saw it begin."""
+def check_at_most_once(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `once`: starts of at-most-once requests, as recorded by the upstreams."""
     plan = of_kind(rows, "plan")
     classes = set(plan[0]["once"]) if plan else set()
     begun = Counter(row["txn"] for row in of_kind(rows, "begun") if row["kind"] in classes)
     when = {row["txn"]: row["t"] for row in of_kind(rows, "begun")}
     return [
-        Breach("once", when[txn], f"{txn} has begun {times} times")
+        Violation("once", when[txn], f"{txn} has begun {times} times")
         for txn, times in begun.items()
         if times > 1
     ]
 
 
-def drains(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`drain`: sends against what the reader beside the balancer was told."""
-    found: list[Breach] = []
-    gone: dict[tuple[str, str], float] = {}  # agent and upstream: since when it is leaving or gone
-    back: dict[tuple[str, str], float] = {}
+def check_drains(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `drain`: sends, compared with the list of the balancer's agent."""
+    violations: list[Violation] = []
+    gone: dict[tuple[str, str], float] = {}  # (agent, upstream): leaving or gone since
+    returned: dict[tuple[str, str], float] = {}
     known: dict[str, set[str]] = defaultdict(set)
     for row in of_kind(rows, "told", "sent"):
         if row["what"] == "told":
@@ -147,7 +150,7 @@
                 known[agent].add(id_)
                 if phase == "active":
                     if gone.pop((agent, id_), None) is not None:
-                        back[agent, id_] = row["t"]
+                        returned[agent, id_] = row["t"]
                 else:
                     gone.setdefault((agent, id_), row["t"])
             continue
@@ -156,18 +159,22 @@
         since = gone.get((agent, upstream))
         if since is None:
             continue
-        bad = _troubled(faults, (agent, balancer), since - 1.0, row["t"])
-        grace = TOLD_AT_LATEST_S if bad else DRAIN_GRACE_S
+        is_faulty = _has_fault(faults, (agent, balancer), since - 1.0, row["t"])
+        grace = FAULTY_DRAIN_GRACE_S if is_faulty else DRAIN_GRACE_S
         if row["t"] - since > grace:
-            words = f"{row['txn']} to {upstream}, told {row['t'] - since:.2f} s ago"
-            found.append(Breach("drain", row["t"], words))
-    # A return that the balancer heard of a moment before the reader did.
-    return [b for b in found if not any(0 <= t - b.at_s <= SOON_S for t in back.values())]
+            description = f"{row['txn']} to {upstream}, told {row['t'] - since:.2f} s ago"
+            violations.append(Violation("drain", row["t"], description))
+    # Exempt sends after a return that the balancer saw shortly before the recorded reader.
+    return [
+        violation
+        for violation in violations
+        if not any(0 <= t - violation.at_s <= READER_LAG_S for t in returned.values())
+    ]
 
 
-def backwards(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`back`: revisions of one source, and of each instance its incarnation, word and turn."""
-    found: list[Breach] = []
+def check_monotonic_reads(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `back`: revisions of a source, and incarnation, lifecycle and turn of each instance."""
+    violations: list[Violation] = []
     revisions: dict[tuple[str, str], int] = {}
     latest: dict[tuple[str, str], tuple[int, int, int]] = {}
     gone: dict[tuple[str, str], tuple[int, int, int]] = {}
@@ -176,112 +183,125 @@
         reader, source = row["who"], row["source"]
         before = revisions.get((reader, source), 0)
         if row["revision"] < before:
-            found.append(Breach("back", row["t"], f"{reader}: revision {row['revision']} after {before}"))
+            violations.append(
+                Violation("back", row["t"], f"{reader}: revision {row['revision']} after {before}")
+            )
         revisions[reader, source] = max(before, row["revision"])
-        now = set()
-        for id_, incarnation, word, turn, phase in row["members"]:
-            place, order = (reader, id_), (incarnation, word, turn)
-            had = latest.get(place, (-1, -1, -1))
-            if order < had or (phase != "left" and gone.get(place) == order):
-                found.append(Breach("back", row["t"], f"{reader}: {id_} at {order} after {had}"))
-            latest[place] = max(order, had)
+        current = set()
+        for id_, incarnation, lifecycle, turn, phase in row["members"]:
+            key, order = (reader, id_), (incarnation, lifecycle, turn)
+            previous = latest.get(key, (-1, -1, -1))
+            if order < previous or (phase != "left" and gone.get(key) == order):
+                violations.append(Violation("back", row["t"], f"{reader}: {id_} at {order} after {previous}"))
+            latest[key] = max(order, previous)
             if phase == "left":
-                gone[place] = order
+                gone[key] = order
             else:
-                gone.pop(place, None)
-                now.add(id_)
+                gone.pop(key, None)
+                current.add(id_)
         if row["whole"]:
-            for id_ in listed[reader] - now:
+            for id_ in listed[reader] - current:
                 gone.setdefault((reader, id_), latest[reader, id_])
-            listed[reader] = now
+            listed[reader] = current
         else:
-            listed[reader] = (listed[reader] | now) - {m[0] for m in row["members"] if m[-1] == "left"}
-    return found
+            listed[reader] = (listed[reader] | current) - {m[0] for m in row["members"] if m[-1] == "left"}
+    return violations
 
 
-def kept(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`kept`: every acknowledged write, or a later word on the same instance, is in the list at the end."""
-    best: dict[str, Row] = {}
+def check_durability(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `kept`: the final lists hold each acknowledged write or a later one of the same instance."""
+    latest_writes: dict[str, Row] = {}
     for row in of_kind(rows, "acknowledged"):
-        if not _was_undone(row, faults) and (row["id"] not in best or _order(row) > _order(best[row["id"]])):
-            best[row["id"]] = row
-    # A later write may have been taken though nobody said so, or though its replica has forgotten it.
-    gone_later = {
+        if not _was_rolled_back(row, faults) and (
+            row["id"] not in latest_writes or _order(row) > _order(latest_writes[row["id"]])
+        ):
+            latest_writes[row["id"]] = row
+    # A later removal may have been applied without an acknowledgement, or before its replica lost its state.
+    removed_later = {
         row["id"]
         for row in of_kind(rows, "tried")
-        if row["removed"] and row["id"] in best and _order(row) > _order(best[row["id"]])
+        if row["removed"] and row["id"] in latest_writes and _order(row) > _order(latest_writes[row["id"]])
     }
-    found = []
+    violations = []
     for final in of_kind(rows, "final"):
         listed = {item[0]: item for item in final["members"]}
-        for id_, row in best.items():
-            has = listed.get(id_)
-            what = f"{id_} {row['incarnation']}"
+        for id_, row in latest_writes.items():
+            final_entry = listed.get(id_)
+            write = f"{id_} {row['incarnation']}"
             if row["removed"]:
-                if has is not None and has[1] <= row["incarnation"]:
-                    words = f"{what}, removed at {row['replica']}, is back at {final['who']}"
-                    found.append(Breach("kept", row["t"], words))
-            elif (has is None and id_ not in gone_later) or (has is not None and has[1] < row["incarnation"]):
-                words = f"{what}, acknowledged by {row['replica']}, is not at {final['who']}"
-                found.append(Breach("kept", row["t"], words))
-    return found
+                if final_entry is not None and final_entry[1] <= row["incarnation"]:
+                    description = f"{write}, removed at {row['replica']}, is back at {final['who']}"
+                    violations.append(Violation("kept", row["t"], description))
+            elif (final_entry is None and id_ not in removed_later) or (
+                final_entry is not None and final_entry[1] < row["incarnation"]
+            ):
+                description = f"{write}, acknowledged by {row['replica']}, is not at {final['who']}"
+                violations.append(Violation("kept", row["t"], description))
+    return violations
 
 
 def _order(row: Row) -> tuple[int, bool]:
     return (row["incarnation"], row["removed"])
 
 
-def _was_undone(row: Row, faults: list[Span]) -> bool:
-    """Whether its replica was put back to a state before it, and may not have passed it on."""
-    for span in faults:
-        if span.kind == "old_state" and span.on == row["replica"] and span.begin <= row["t"] <= span.end:
+def _was_rolled_back(row: Row, faults: list[FaultPeriod]) -> bool:
+    """Whether the replica's state was restored to before the write, perhaps before it was replicated."""
+    for period in faults:
+        if (
+            period.kind == "old_state"
+            and period.on == row["replica"]
+            and period.begin <= row["t"] <= period.end
+        ):
             cut = any(
                 other.kind not in ("old_state", "delay", "throttle")
-                and span.on in other.on.split(">")
-                and other.meets(row["t"] - 0.1, span.end)
+                and period.on in other.on.split(">")
+                and other.overlaps(row["t"] - 0.1, period.end)
                 for other in faults
             )
-            if cut or span.end - row["t"] < PASSED_ON_S:
+            if cut or period.end - row["t"] < REPLICATION_S:
                 return True
     return False
 
 
-def converged(rows: list[Row], faults: list[Span]) -> list[Breach]:
-    """`converged`: within the plan's bound after each moment at which the last fault had ended."""
+def check_convergence(rows: list[Row], faults: list[FaultPeriod]) -> list[Violation]:
+    """Check `converged`: within the plan's bound each time that the last active fault has ended."""
     return [
-        Breach("converged", row["t"], f"{row['differ']} still differ {row['after_s']:.1f} s after healing")
+        Violation("converged", row["t"], f"{row['differ']} still differ {row['after_s']:.1f} s after healing")
         for row in of_kind(rows, "converged")
         if row["differ"]
     ]
 
 
-RULES: tuple[Callable[[list[Row], list[Span]], list[Breach]], ...] = (
-    tries,
-    copies,
-    once,
-    drains,
-    backwards,
-    kept,
-    converged,
+RULES: tuple[Callable[[list[Row], list[FaultPeriod]], list[Violation]], ...] = (
+    check_attempts,
+    check_duplicates,
+    check_at_most_once,
+    check_drains,
+    check_monotonic_reads,
+    check_durability,
+    check_convergence,
 )
 
 
-def judge(rows: list[Row]) -> list[Breach]:
-    """Every broken rule of a history, in the order of their moments."""
-    faults = spans(rows)
-    return sorted((b for rule in RULES for b in rule(rows, faults)), key=lambda b: (b.at_s, b.rule))
+def find_violations(rows: list[Row]) -> list[Violation]:
+    """All violations in a history, ordered by time."""
+    faults = fault_periods(rows)
+    return sorted(
+        (violation for rule in RULES for violation in rule(rows, faults)),
+        key=lambda violation: (violation.at_s, violation.rule),
+    )
 
 
-def counts(rows: list[Row]) -> dict[str, int | float]:
-    """What a run was made of."""
+def summarize(rows: list[Row]) -> dict[str, int | float]:
+    """Counts of requests, outcomes, faults and writes of a run."""
     ends = Counter(row["how"] for row in of_kind(rows, "ended"))
-    heals = [row["after_s"] for row in of_kind(rows, "converged")]
+    convergence_times = [row["after_s"] for row in of_kind(rows, "converged")]
     return {
         "requests": len(of_kind(rows, "asked")),
         **{how: ends[how] for how in ("served", "refused", "failed", "unreached", "lost")},
         "faults": len(of_kind(rows, "fault")),
         "answers to readers": len(of_kind(rows, "told")),
         "writes acknowledged": len(of_kind(rows, "acknowledged")),
-        "healings": len(heals),
-        "slowest to converge, s": round(max(heals, default=0.0), 3),
+        "healings": len(convergence_times),
+        "slowest to converge, s": round(max(convergence_times, default=0.0), 3),
     }
--- a/mastturn/chaos/run.py
+++ b/mastturn/chaos/run.py
@@ -1,4 +1,4 @@
-"""One run: the fleet, its load, its faults in order; everything heals at the end and is judged."""
+"""Runs a plan: starts the fleet and its load, injects the faults, and records the history."""
 
 from __future__ import annotations
 
@@ -16,57 +16,57 @@
 
 from mastturn.chaos.fleet import SCRATCH, Fleet, Program
 from mastturn.chaos.history import Recorder
-from mastturn.chaos.plan import ON_PROGRAMS, SCRATCH_AGENT, Fault, Plan, targets
-from mastturn.chaos.watchers import Convergence, Writer, read, write_finals
+from mastturn.chaos.plan import ON_PROGRAMS, SCRATCH_AGENT, Fault, Plan, target_names
+from mastturn.chaos.watchers import ConvergenceProbe, Writer, follow_list, record_final_lists
 from mastturn.files import LabError
 from mastturn.registry.http import session
 from mastturn.standins.clients import Clients
 
-Line = Callable[[str], None]
+LogLine = Callable[[str], None]
 
 
-class Troubles:
-    """The faults of a plan, each begun and ended at its moment, and written down."""
+class FaultRunner:
+    """Injects and heals the faults of a plan on schedule, and records them."""
 
-    def __init__(self, fleet: Fleet, recorder: Recorder, say: Line) -> None:
-        self._fleet, self._recorder, self._say = fleet, recorder, say
-        self._on = 0
-        self._convergence = Convergence(fleet, recorder)
-        self._measuring: asyncio.Task[None] | None = None
+    def __init__(self, fleet: Fleet, recorder: Recorder, log: LogLine) -> None:
+        self._fleet, self._recorder, self._log = fleet, recorder, log
+        self._active_faults = 0
+        self._convergence = ConvergenceProbe(fleet, recorder)
+        self._measurement: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Play all of them; returns when everything has healed."""
-        began = time.monotonic()
-        async with asyncio.TaskGroup() as playing:
+        """Run all faults; returns once all have healed."""
+        start = time.monotonic()
+        async with asyncio.TaskGroup() as fault_tasks:
             for number, fault in enumerate(self._fleet.plan.faults):
-                playing.create_task(self._play(number, fault, began))
-
-    async def _play(self, number: int, fault: Fault, began: float) -> None:
-        await asyncio.sleep(max(began + fault.at_s - time.monotonic(), 0.0))
-        names = targets(self._fleet.plan, fault)
-        self._on += 1
-        if self._measuring is not None:
-            self._measuring.cancel()  # the next fault is on: nothing is owed for this healing
-        self._say(f"{fault.at_s:7.1f} s  {fault.kind} for {fault.lasts_s:g} s: {', '.join(fault.on)}")
+                fault_tasks.create_task(self._run_fault(number, fault, start))
+
+    async def _run_fault(self, number: int, fault: Fault, start: float) -> None:
+        await asyncio.sleep(max(start + fault.at_s - time.monotonic(), 0.0))
+        names = target_names(self._fleet.plan, fault)
+        self._active_faults += 1
+        if self._measurement is not None:
+            self._measurement.cancel()  # the next fault has begun: convergence is not due
+        self._log(f"{fault.at_s:7.1f} s  {fault.kind} for {fault.lasts_s:g} s: {', '.join(fault.on)}")
         self._recorder.write("rig", "fault", number=number, kind=fault.kind, on=names, lasts_s=fault.lasts_s)
         try:
             if fault.kind in ON_PROGRAMS:
-                await asyncio.gather(*(self._on_program(fault, name) for name in names))
+                await asyncio.gather(*(self._apply_to_program(fault, name) for name in names))
             else:
-                await self._on_links(fault, names)
+                await self._apply_to_links(fault, names)
         finally:
             self._recorder.write("rig", "healed", number=number)
-            self._on -= 1
-        if not self._on:
+            self._active_faults -= 1
+        if not self._active_faults:
             bound = self._fleet.plan.converge_within_s
-            self._measuring = asyncio.create_task(self._convergence.measure(bound))
+            self._measurement = asyncio.create_task(self._convergence.measure(bound))
 
-    async def _on_program(self, fault: Fault, name: str) -> None:
+    async def _apply_to_program(self, fault: Fault, name: str) -> None:
         program = self._fleet.programs[name]
-        async with program.turn:
-            await self._befall(fault, program)
+        async with program.fault_lock:
+            await self._apply(fault, program)
 
-    async def _befall(self, fault: Fault, program: Program) -> None:
+    async def _apply(self, fault: Fault, program: Program) -> None:
         match fault.kind:
             case "kill":
                 await program.kill()
@@ -77,17 +77,17 @@
                 try:
                     await asyncio.sleep(fault.lasts_s)
                 finally:
-                    program.go_on()
+                    program.resume()
             case "replace":
                 await program.replace()
             case "old_state":
-                copy = self._fleet.keep_state(program.name)
+                copy = self._fleet.copy_state(program.name)
                 await asyncio.sleep(fault.lasts_s)
-                await self._fleet.put_back(program.name, copy)
+                await self._fleet.restore_state(program.name, copy)
 
-    async def _on_links(self, fault: Fault, names: list[str]) -> None:
-        found = [self._fleet.links[name] for name in names]
-        for link in found:
+    async def _apply_to_links(self, fault: Fault, names: list[str]) -> None:
+        affected = [self._fleet.links[name] for name in names]
+        for link in affected:
             match fault.kind:
                 case "cut":
                     link.cut("out")
@@ -103,21 +103,21 @@
                 case "reset":
                     link.reset()
                 case "drop":
-                    link.drops = True
+                    link.drops_connections = True
         try:
             await asyncio.sleep(fault.lasts_s)
         finally:
-            for link in found:
+            for link in affected:
                 link.heal()
 
-    async def settle(self) -> None:
-        """Wait for the last healing's measure."""
-        if self._measuring is not None:
-            await asyncio.gather(self._measuring, return_exceptions=True)
+    async def wait_for_convergence(self) -> None:
+        """Wait for the measurement after the last healing, then measure once more."""
+        if self._measurement is not None:
+            await asyncio.gather(self._measurement, return_exceptions=True)
         await self._convergence.measure(self._fleet.plan.converge_within_s)
 
 
-async def _run(plan: Plan, folder: Path, out: Path, say: Line) -> None:
+async def _run(plan: Plan, folder: Path, out: Path, log: LogLine) -> None:
     recorder = Recorder(out / "rig.jsonl")
     fleet = Fleet(plan, folder, out, recorder)
     once = [kind.name for kind in fleet.load.classes if kind.effect == "once"]
@@ -128,8 +128,8 @@
             asyncio.get_running_loop().add_signal_handler(number, stop.set)
     try:
         await fleet.start()
-        say(f"{len(fleet.programs)} programs and {len(fleet.links)} links are up")
-        await _play(plan, fleet, recorder, stop, say)
+        log(f"{len(fleet.programs)} programs and {len(fleet.links)} links are up")
+        await _run_load(plan, fleet, recorder, stop, log)
     finally:
         await fleet.stop()
         recorder.close()
@@ -137,73 +137,73 @@
             (out / f"{name}.log").write_text(text)
 
 
-async def _play(plan: Plan, fleet: Fleet, recorder: Recorder, stop: asyncio.Event, say: Line) -> None:
+async def _run_load(plan: Plan, fleet: Fleet, recorder: Recorder, stop: asyncio.Event, log: LogLine) -> None:
     balancers = [p for name, p in fleet.programs.items() if name.startswith("balancer-")]
     clients = Clients(
         fleet.load,
         [p.address for p in balancers],
         [p.name for p in balancers],
-        lambda what, **more: recorder.write("client", what, **more),
+        lambda what, **fields: recorder.write("client", what, **fields),
     )
-    troubles = Troubles(fleet, recorder, say)
+    fault_runner = FaultRunner(fleet, recorder, log)
     async with session() as client:
-        side = [
+        observers = [
             asyncio.create_task(
-                read(client, recorder, name, p.address, SCRATCH if name == SCRATCH_AGENT else "")
+                follow_list(client, recorder, name, p.address, SCRATCH if name == SCRATCH_AGENT else "")
             )
             for name, p in fleet.programs.items()
             if name.startswith(("agent-", "replica-"))
         ]
-        side.append(asyncio.create_task(Writer(fleet, recorder).run()))
+        observers.append(asyncio.create_task(Writer(fleet, recorder).run()))
         try:
-            await _while_not(stop, troubles.run(), clients.play(stop))
-            side[-1].cancel()
+            await _run_until_stopped(stop, fault_runner.run(), clients.play(stop))
+            observers[-1].cancel()
             if not stop.is_set():
-                await troubles.settle()
+                await fault_runner.wait_for_convergence()
                 await asyncio.sleep(0.2)
-                await write_finals(fleet, recorder)
+                await record_final_lists(fleet, recorder)
         finally:
-            for task in side:
+            for task in observers:
                 task.cancel()
-            ends = await asyncio.gather(*side, return_exceptions=True)
-    for end in ends:
-        if isinstance(end, Exception):
-            raise end
+            results = await asyncio.gather(*observers, return_exceptions=True)
+    for result in results:
+        if isinstance(result, Exception):
+            raise result
 
 
-async def _while_not(
-    stop: asyncio.Event, troubles: Coroutine[Any, Any, None], load: Coroutine[Any, Any, None]
+async def _run_until_stopped(
+    stop: asyncio.Event, fault_runner: Coroutine[Any, Any, None], load: Coroutine[Any, Any, None]
 ) -> None:
-    """Faults and load together; when `stop` is set, the faults end where they are."""
-    playing, loading = asyncio.create_task(troubles), asyncio.create_task(load)
-    stopping = asyncio.create_task(stop.wait())
-    await asyncio.wait({playing, stopping}, return_when=asyncio.FIRST_COMPLETED)
-    if playing.done():
-        playing.result()
+    """Run faults and load together; when `stop` is set, the faults are cancelled."""
+    fault_tasks, load_task = asyncio.create_task(fault_runner), asyncio.create_task(load)
+    stop_task = asyncio.create_task(stop.wait())
+    await asyncio.wait({fault_tasks, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+    if fault_tasks.done():
+        fault_tasks.result()
     else:
-        playing.cancel()
-        await asyncio.gather(playing, return_exceptions=True)
-    await loading
-    stopping.cancel()
+        fault_tasks.cancel()
+        await asyncio.gather(fault_tasks, return_exceptions=True)
+    await load_task
+    stop_task.cancel()
 
 
-def run(plan: Plan, out: Path, say: Line) -> None:
-    """Play a plan and keep its history and logs under `out`; raises LabError."""
+def run(plan: Plan, out: Path, log: LogLine) -> None:
+    """Run a plan and write its history and logs to `out`; raises LabError."""
     logging.getLogger("aiohttp").setLevel(logging.ERROR)
     try:
         out.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise LabError(f"{out}: {error.strerror}") from None
     if any(out.glob("*.jsonl")):
-        raise LabError(f"{out}: holds a history already; give a new folder")
+        raise LabError(f"{out}: holds a history already; name a new folder")
     with tempfile.TemporaryDirectory(prefix="mastturn-") as folder:
         try:
-            asyncio.run(_run(plan, Path(folder), out, say))
+            asyncio.run(_run(plan, Path(folder), out, log))
         except* LabError as group:
-            raise _first(group) from None
+            raise _first_error(group) from None
 
 
-def _first(group: BaseExceptionGroup[LabError]) -> BaseException:
+def _first_error(group: BaseExceptionGroup[LabError]) -> BaseException:
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
--- a/mastturn/chaos/upstream.py
+++ b/mastturn/chaos/upstream.py
@@ -1,7 +1,7 @@
-"""An upstream of the rig as a process: `python -m mastturn.chaos.upstream FILE`, the file as `Told` says.
+"""Upstream process of a chaos run: `python -m mastturn.chaos.upstream FILE`; FILE holds a `Told`.
 
-It registers itself and renews its lease, writes down each request that it begins, and on SIGTERM says that it
-is leaving, serves on for its drain, takes itself off and ends.
+It registers and renews its lease, and records the start of each request. On SIGTERM it announces that it is
+leaving, keeps serving for its drain period, deregisters and exits.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class Told(msgspec.Struct, frozen=True):
-    """What the process is told."""
+    """Settings of the process, read from a JSON file."""
 
     name: str
     port: int
-    listed_at: str  # the address that the list shows: of the link before us
+    listed_at: str  # address to register: of the link in front of the upstream
     replicas: tuple[str, ...]
     kinds: tuple[RequestClass, ...]
     cores: int
@@ -36,35 +36,37 @@
     locality: str = "a"
 
 
-async def serve(told: Told) -> None:
-    """Run until SIGTERM, and leave in order."""
+async def serve(config: Told) -> None:
+    """Serve until SIGTERM, then drain and deregister."""
     stop = stop_signal()
-    history = Recorder(Path(told.history))
-    upstream = Upstream(told.name, {kind.name: kind for kind in told.kinds}, told.cores, 1.0)
-    upstream.port = told.port
-    upstream.on_request_begin = lambda number, kind: history.write(told.name, "begun", txn=number, kind=kind)
+    history = Recorder(Path(config.history))
+    upstream = Upstream(config.name, {kind.name: kind for kind in config.kinds}, config.cores, 1.0)
+    upstream.port = config.port
+    upstream.on_request_begin = lambda number, kind: history.write(
+        config.name, "begun", txn=number, kind=kind
+    )
     await upstream.start()
-    started = int(time.time() * 1000)
-    values = {
-        "host_port": told.listed_at,
-        "locality": told.locality,
-        "incarnation": started,
-        "up_since_ms": started,
-        "lease_ms": told.lease_ms,
+    started_ms = int(time.time() * 1000)
+    registration = {
+        "host_port": config.listed_at,
+        "locality": config.locality,
+        "incarnation": started_ms,
+        "up_since_ms": started_ms,
+        "lease_ms": config.lease_ms,
     }
-    registrant = Registrant(list(told.replicas), told.name, values)
+    registrant = Registrant(list(config.replicas), config.name, registration)
     registrant.start()
-    history.write(told.name, "serves", incarnation=started)
+    history.write(config.name, "serves", incarnation=started_ms)
     await stop.wait()
-    history.write(told.name, "leaves", incarnation=started)
+    history.write(config.name, "leaves", incarnation=started_ms)
     registrant.say(phase="leaving")
-    await asyncio.sleep(told.drain_s)
+    await asyncio.sleep(config.drain_s)
     await registrant.stop()
     await upstream.stop()
 
 
 def main() -> None:
-    """Start as the file says."""
+    """Start with the settings file named on the command line."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(message)s")
     asyncio.run(serve(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Told)))
 
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -1,6 +1,4 @@
-"""The fleet rig: its rules on histories made by hand, its links, its plans, and a short run with fixed
-faults.
-"""
+"""Chaos tests: the rules on hand-made histories, links, plans, and short runs with fixed faults."""
 
 from __future__ import annotations
 
@@ -19,8 +17,17 @@
 
 from mastturn.chaos.history import Recorder, Row, read
 from mastturn.chaos.links import Link
-from mastturn.chaos.plan import Drawn, Plan, check, draw, links, programs, read_plan, targets
-from mastturn.chaos.rules import judge
+from mastturn.chaos.plan import (
+    Plan,
+    RandomFaults,
+    check,
+    draw_faults,
+    link_names,
+    program_names,
+    read_plan,
+    target_names,
+)
+from mastturn.chaos.rules import find_violations
 from mastturn.cli import main
 from mastturn.files import LabError
 from tests.loopback import FakeServer, run, until
@@ -154,7 +161,7 @@
 @pytest.mark.parametrize(("rows", "broken"), [(h[1], h[2]) for h in HISTORIES], ids=[h[0] for h in HISTORIES])
 def test_a_history_breaks_just_the_rule_that_it_breaks(rows: list[Row], broken: list[str]) -> None:
     ordered = sorted([PLAN, *rows], key=lambda r: float(r["t"]))
-    assert [breach.rule for breach in judge(ordered)] == broken
+    assert [violation.rule for violation in find_violations(ordered)] == broken
 
 
 def test_a_history_outlives_a_torn_last_row_and_no_other(tmp_path: Path) -> None:
@@ -175,9 +182,9 @@
 
 def test_a_link_holds_what_comes_in_a_cut_and_passes_it_on_when_it_heals() -> None:
     async def test() -> None:
-        server, seen = FakeServer(), list[tuple[str, str]]()
+        server, reported = FakeServer(), list[tuple[str, str]]()
         await server.start()
-        one = Link("a>b", server.host_port, lambda who, what, **more: seen.append((what, more["txn"])))
+        one = Link("a>b", server.host_port, lambda who, what, **more: reported.append((what, more["txn"])))
         await one.start()
         host, _, port = one.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -186,7 +193,7 @@
         assert (await reader.readuntil(b"ok")).startswith(b"HTTP/1.1 200")
         one.cut("in")
         writer.write(request)
-        await until(lambda: len(server.got) == 2)  # bytes out, none in
+        await until(lambda: len(server.got) == 2)  # requests pass, answers are held
         late = asyncio.create_task(reader.readuntil(b"ok"))
         _, other = await asyncio.open_connection(host, int(port))
         one.cut("out")
@@ -196,7 +203,7 @@
         one.heal()
         assert (await late).startswith(b"HTTP/1.1 200")
         await until(lambda: len(server.got) == 3)
-        assert seen[:4] == [("sent", "t1"), ("answered", "t1"), ("sent", "t1"), ("sent", "t1")]
+        assert reported[:4] == [("sent", "t1"), ("answered", "t1"), ("sent", "t1"), ("sent", "t1")]
         one.reset()
         with pytest.raises(ConnectionResetError):
             await reader.read()
@@ -213,14 +220,14 @@
         one = Link("a>b", server.host_port)
         await one.start()
         host, _, port = one.address.rpartition(":")
-        kept = await asyncio.open_connection(host, int(port))
+        established = await asyncio.open_connection(host, int(port))
         await until(lambda: server.connections == 1)
-        one.drops = True
+        one.drops_connections = True
         dropped, _ = await asyncio.open_connection(host, int(port))
-        with contextlib.suppress(ConnectionResetError):  # or an end in order: what counts is that it is over
+        with contextlib.suppress(ConnectionResetError):  # a reset or an orderly close
             assert await dropped.read() == b""
-        kept[1].write(b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-        assert (await kept[0].readuntil(b"ok")).startswith(b"HTTP/1.1 200")
+        established[1].write(b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+        assert (await established[0].readuntil(b"ok")).startswith(b"HTTP/1.1 200")
         assert server.connections == 1
         await one.stop()
         server.stop()
@@ -266,12 +273,16 @@
 
 
 def test_drawn_faults_are_the_same_for_a_seed_and_within_the_run() -> None:
-    plan = Plan(60.0, drawn=Drawn(30), seed=4)
-    one, two = draw(plan), draw(plan)
-    assert one == two and len(one.faults) == 30 and one != draw(Plan(60.0, drawn=Drawn(30), seed=5))
+    plan = Plan(60.0, drawn=RandomFaults(30), seed=4)
+    one, two = draw_faults(plan), draw_faults(plan)
+    assert (
+        one == two
+        and len(one.faults) == 30
+        and one != draw_faults(Plan(60.0, drawn=RandomFaults(30), seed=5))
+    )
     check(one, "drawn")
-    assert all(targets(one, fault) for fault in one.faults)
-    assert len(programs(plan)) == 3 + 3 + 2 + 4 and len(set(links(plan))) == 6 + 9 + 12 + 4
+    assert all(target_names(one, fault) for fault in one.faults)
+    assert len(program_names(plan)) == 3 + 3 + 2 + 4 and len(set(link_names(plan))) == 6 + 9 + 12 + 4
 
 
 # ---- runs ------------------------------------------------------------------------------------------
@@ -338,7 +349,7 @@
         for item in r["members"]
         if item[-1] == "left" and item[0].startswith("upstream-")
     ]
-    assert gone == []  # for four times their lease
+    assert gone == []  # though the cut lasts four times their lease
     asked = [r["txn"] for r in rows if r["what"] == "asked" and cut + 1.5 < r["t"] < cut + 2.5]
     ends = {r["txn"]: r["how"] for r in rows if r["what"] == "ended"}
     assert len(asked) > 20 and sum(ends[txn] == "served" for txn in asked) > 0.8 * len(asked)
@@ -356,8 +367,8 @@
     ) as process:
         assert process.stdout is not None
         assert "links are up" in process.stdout.readline()
-        place = Path(f"/proc/{process.pid}/task/{process.pid}/children")
-        children = [int(word) for word in place.read_text().split()]
+        children_file = Path(f"/proc/{process.pid}/task/{process.pid}/children")
+        children = [int(word) for word in children_file.read_text().split()]
         assert len(children) == 3 + 2 + 1 + 1
         process.send_signal(signal.SIGINT)
         process.stdout.read()
