--- a/mastturn/capacity/traffic.py
+++ b/mastturn/capacity/traffic.py
@@ -88,7 +88,7 @@
         for part, names in (("reading", self._readers), ("answering", self._runners)):
             off = true = 0
             for machine in some:
-                own, others = self._fleet.plane(machine).loads(), machine.role._others
+                own, others = self._fleet.plane(machine).loads(), machine.role._peer_loads
                 for name in names:
                     calls = max(self._out[name] - own.get(name, (0, 0))[0], 0)
                     off += abs(others.of(name)[0] - calls)
