--- a/mastturn/cli.py
+++ b/mastturn/cli.py
@@ -183,7 +183,7 @@
     Example:
       mastturn lab list
     """
-    console.print(tables.scenarios(scenarios.shipped_scenarios()))
+    console.print(tables.scenario_table(scenarios.shipped_scenarios()))
     console.print(f"\nversions: {INSTALLED}, {', '.join(BASELINES)}, '.' or any commit of git's")
 
 
@@ -221,7 +221,7 @@
         folder = versions.folder(version)
         found = [Task(scenario, number, version, folder) for number in _seeds(seeds, seed)]
         runs = _play(found, jobs, out, scenario)
-    console.print(tables.runs(runs))
+    console.print(tables.run_table(runs))
     for values in runs:
         if values["fault"]:
             click.echo(f"seed {values['seed']}: fault: {values['fault']}", err=True)
@@ -229,7 +229,7 @@
             click.echo(f"seed {values['seed']}: rule broken: {words}", err=True)
         if why_lost and "losses" in values:
             console.print(f"\nseed {values['seed']}: where the worth went")
-            console.print(tables.losses(values))
+            console.print(tables.loss_table(values))
     _write(file, combine_runs(runs))
     if any(values["fault"] for values in runs):
         sys.exit(RUN_FAILED)
@@ -267,7 +267,7 @@
                 f"{values['scenario']} seed {values['seed']} {values['version']}: {values['fault']}", err=True
             )
     seen = differences(found, base, new)
-    console.print(tables.differences(seen))
+    console.print(tables.difference_table(seen))
     _write(file, [msgspec.to_builtins(item) for item in seen])
 
 
@@ -302,7 +302,7 @@
     if server is not None and server not in world.boxes and server not in names:
         some = ", ".join([*list(world.boxes)[:2], *names[:2]])
         raise LabError(f"--server {server!r}: no such box or balancer; for example {some}")
-    console.print(tables.lines(watch.lines))
+    console.print(tables.trace_table(watch.lines))
     if watch.lines_dropped:
         click.echo(f"mastturn: {watch.lines_dropped} further lines left out", err=True)
 
@@ -319,10 +319,10 @@
     Example:
       mastturn lab run herd-40 --seeds 1..4 --out runs && mastturn lab report runs
     """
-    from mastturn.report.page import page
+    from mastturn.report.page import render_page
 
     path = file or folder / "report.html"
-    text = page(read_runs(folder))
+    text = render_page(read_runs(folder))
     try:
         path.write_text(text, encoding="utf-8")
     except OSError as error:
@@ -350,9 +350,9 @@
     plays = sum(len(validation.KINDS[kind]) for seen in versions for kind in seen.days) * len(numbers)
     with tempfile.TemporaryDirectory(prefix="mastturn-") as folder, _bar("validate", plays) as step:
         found = validation.score_versions(versions, Path(folder), numbers, jobs, lambda _: step())
-    console.print(tables.cells(found))
+    console.print(tables.cell_table(found))
     kinds = validation.by_kind(found)
-    console.print(tables.cells(kinds))
+    console.print(tables.cell_table(kinds))
     click.echo(
         f"versions {len(versions)}, rank correlation over all {validation.rank_correlation(found):.3f}, "
     )
--- a/mastturn/report/__init__.py
+++ b/mastturn/report/__init__.py
@@ -1,1 +1,1 @@
-"""What runs show: tables, pictures and one page a run."""
+"""Reports of runs: terminal tables, plots and an HTML page."""
--- a/mastturn/report/pictures.py
+++ b/mastturn/report/pictures.py
@@ -1,4 +1,4 @@
-"""The pictures of a run (matplotlib): its course, the load of each box, latencies, versions side by side."""
+"""Plots of runs (matplotlib): worth by second, core use of each server, latency, comparison of versions."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from mastturn.lab.stats import bootstrap
 
 WIDTH_IN = 9.0
-SERVED, UNSERVED, NEUTRAL = "#2a7f9e", "#d9772b", "#777777"
-TROUBLE = "#f3d9b1"
+SERVED_COLOR, UNSERVED_COLOR, NEUTRAL_COLOR = "#2a7f9e", "#d9772b", "#777777"
+FAULT_COLOR = "#f3d9b1"
 QUANTILES = np.concatenate(
     [np.linspace(0, 90, 46), np.linspace(90, 99, 19)[1:], np.linspace(99, 99.9, 10)[1:]]
 )
@@ -24,15 +24,15 @@
 Run = dict[str, Any]
 
 
-def _mark(axes: Axes, run: Run, words: bool) -> None:
-    """The troubles, where they last or strike; their names in rows that do not cover one another."""
+def _mark_faults(axes: Axes, run: Run, show_names: bool) -> None:
+    """Mark the time of each fault; names go in three rows, so that they do not overlap."""
     for row, trouble in enumerate(sorted(run["troubles"], key=lambda t: t["start_s"])):
         start, end = trouble["start_s"], trouble["end_s"]
         if end > start:
-            axes.axvspan(start, end, color=TROUBLE, alpha=0.45, lw=0, zorder=0)
+            axes.axvspan(start, end, color=FAULT_COLOR, alpha=0.45, lw=0, zorder=0)
         else:
-            axes.axvline(start, color=UNSERVED, lw=1, ls=":")
-        if words:
+            axes.axvline(start, color=UNSERVED_COLOR, lw=1, ls=":")
+        if show_names:
             name = trouble["name"].replace("_", " ")
             axes.annotate(
                 name,
@@ -43,53 +43,53 @@
             )
 
 
-def course(run: Run) -> Figure:
-    """Worth asked and served by second of arrival, the share served, and calls out to each tier."""
+def plot_worth(run: Run) -> Figure:
+    """Plot worth requested and served by second of arrival, the share served and calls in flight per tier."""
     series = run["series"]
     seconds = np.arange(len(series["asked"]))
     figure = Figure(figsize=(WIDTH_IN, 7.2), layout="constrained")
     top, middle, low = figure.subplots(3, 1, sharex=True)
     asked, served = np.array(series["asked"]), np.array(series["served"])
     top.fill_between(
-        seconds, asked, step="post", color=UNSERVED, alpha=0.55, label="asked, not served in time"
+        seconds, asked, step="post", color=UNSERVED_COLOR, alpha=0.55, label="requested, not served in time"
     )
-    top.fill_between(seconds, served, step="post", color=SERVED, label="served in time")
+    top.fill_between(seconds, served, step="post", color=SERVED_COLOR, label="served in time")
     top.set_ylim(bottom=0)
-    top.set_ylabel("worth a second")
+    top.set_ylabel("worth per second")
     top.legend(loc="lower right", fontsize=8)
     share = np.divide(served, asked, out=np.ones_like(served), where=asked > 0)
-    middle.step(seconds, share, where="post", color=SERVED)
+    middle.step(seconds, share, where="post", color=SERVED_COLOR)
     middle.set_ylim(0, 1.03)
     middle.set_ylabel("share served")
-    out = np.array(series["out"])
+    in_flight = np.array(series["out"])
     for tier, name in enumerate(run["tiers"]):
-        low.plot(np.arange(1, len(out) + 1), out[:, tier], label=f"to {name}", lw=1.4)
-    low.set_ylabel("calls out")
+        low.plot(np.arange(1, len(in_flight) + 1), in_flight[:, tier], label=f"to {name}", lw=1.4)
+    low.set_ylabel("calls in flight")
     low.set_xlabel("seconds")
     low.legend(loc="upper right", fontsize=8)
     low.set_ylim(bottom=0)
     low.set_xlim(0, len(seconds))
-    for axes, words in ((top, True), (middle, False), (low, False)):
-        _mark(axes, run, words)
+    for axes, show_names in ((top, True), (middle, False), (low, False)):
+        _mark_faults(axes, run, show_names)
         axes.grid(alpha=0.25)
     return figure
 
 
-def boxes(run: Run) -> Figure:
-    """A heat map: the use of each box's cores by second, tier under tier."""
+def plot_core_use(run: Run) -> Figure:
+    """Plot a heat map of the core use of each server by second, one panel per tier."""
     series = run["series"]
     names = series["boxes"]
-    util = np.array([row + [0.0] * (len(names) - len(row)) for row in series["util"]]).T
+    utilization = np.array([row + [0.0] * (len(names) - len(row)) for row in series["util"]]).T
     tiers = list(run["tiers"])
     groups = [[i for i, name in enumerate(names) if name.startswith(tier + "-")] for tier in tiers]
     figure = Figure(figsize=(WIDTH_IN, 6.4), layout="constrained")
     panels = figure.subplots(len(tiers), 1, sharex=True, height_ratios=[max(len(g), 1) for g in groups])
     for axes, tier, group in zip(np.atleast_1d(panels), tiers, groups, strict=True):
         image = axes.imshow(
-            util[group], aspect="auto", vmin=0, vmax=1, cmap="viridis", interpolation="nearest",
-            extent=(0.5, util.shape[1] + 0.5, len(group), 0),
+            utilization[group], aspect="auto", vmin=0, vmax=1, cmap="viridis", interpolation="nearest",
+            extent=(0.5, utilization.shape[1] + 0.5, len(group), 0),
         )  # fmt: skip
-        axes.set_ylabel(f"{tier}\n{len(group)} boxes")
+        axes.set_ylabel(f"{tier}\n{len(group)} servers")
         axes.set_yticks([])
         for trouble in run["troubles"]:
             axes.axvline(trouble["start_s"], color="white", lw=0.8, ls=":")
@@ -98,81 +98,92 @@
     return figure
 
 
-def latency(run: Run) -> Figure:
-    """Time from a client's first try to its answer, by quantile, the tail drawn out."""
+def plot_latency(run: Run) -> Figure:
+    """Plot the time from a client's first attempt to its answer by quantile; log scale for the tail."""
     histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
     histogram.decode_and_add(run["latency"]["histogram"])
     times = [histogram.get_value_at_percentile(q) / 1000 for q in QUANTILES]
     figure = Figure(figsize=(WIDTH_IN, 3.0), layout="constrained")
     axes = figure.subplots()
-    axes.plot(1 / (1 - QUANTILES / 100), times, color=SERVED)
+    axes.plot(1 / (1 - QUANTILES / 100), times, color=SERVED_COLOR)
     axes.set_xscale("log")
     axes.set_xticks([1, 2, 10, 100, 1000], ["0", "50%", "90%", "99%", "99.9%"])
     axes.minorticks_off()
     axes.set_ylim(bottom=0)
-    axes.set_xlabel("of the answers served")
+    axes.set_xlabel("quantile of the answers served")
     axes.set_ylabel("ms")
     axes.grid(alpha=0.25)
     return figure
 
 
-def versions(runs: list[Run]) -> Figure:
-    """The mean score of each version in each scenario, with its interval."""
-    scored: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
+def plot_versions(runs: list[Run]) -> Figure:
+    """Plot the mean score of each version in each scenario with its 95% interval."""
+    scores: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
     for run in runs:
-        scored[run["scenario"]][run["version"]].append(run["score"]["value"])
+        scores[run["scenario"]][run["version"]].append(run["score"]["value"])
     names = list(dict.fromkeys(run["version"] for run in runs))
-    figure = Figure(figsize=(WIDTH_IN, 1.2 + 0.28 * len(names) * len(scored)), layout="constrained")
+    figure = Figure(figsize=(WIDTH_IN, 1.2 + 0.28 * len(names) * len(scores)), layout="constrained")
     axes = figure.subplots()
-    colors = [SERVED, UNSERVED, NEUTRAL, "#5a9e4b", "#8a5aa8", "#b04a5a", "#3f5f9f", "#9a8a3a"]
-    for row, (_, by_version) in enumerate(scored.items()):
+    colors = [
+        SERVED_COLOR,
+        UNSERVED_COLOR,
+        NEUTRAL_COLOR,
+        "#5a9e4b",
+        "#8a5aa8",
+        "#b04a5a",
+        "#3f5f9f",
+        "#9a8a3a",
+    ]
+    for row, (_, by_version) in enumerate(scores.items()):
         for place, name in enumerate(names):
             if name not in by_version:
                 continue
             interval = bootstrap(by_version[name])
-            known = interval.count > 1
-            reach = [[interval.mean - interval.low], [interval.high - interval.mean]] if known else None
+            has_interval = interval.count > 1
+            error_bars = (
+                [[interval.mean - interval.low], [interval.high - interval.mean]] if has_interval else None
+            )
             axes.errorbar(
                 interval.mean,
                 row + 0.7 * (place - (len(names) - 1) / 2) / max(len(names), 1),
-                xerr=reach,
+                xerr=error_bars,
                 fmt="o",
                 color=colors[place % len(colors)],
                 capsize=3,
                 label=name if row == 0 else None,
             )
-    axes.set_yticks(range(len(scored)), list(scored))
-    axes.set_ylim(len(scored) - 0.4, -0.6)
+    axes.set_yticks(range(len(scores)), list(scores))
+    axes.set_ylim(len(scores) - 0.4, -0.6)
     axes.set_xlabel("mean score with its 95% interval")
     axes.legend(fontsize=8, loc="center left", bbox_to_anchor=(1.0, 0.5))
     axes.grid(alpha=0.25, axis="x")
     return figure
 
 
-def plot_convergence(title: str, what: str, points: list[tuple[float, float, float]]) -> Figure:
-    """How long changes take to agents, median and 99%, against one figure; points are (it, ms, ms)."""
+def plot_convergence(title: str, x_label: str, points: list[tuple[float, float, float]]) -> Figure:
+    """Plot the median and 99% delay until a change reaches an agent; `points`: (x, median ms, 99% ms)."""
     figure = Figure(figsize=(WIDTH_IN / 2, 3.2), layout="constrained")
     axes = figure.subplots()
-    places = [point[0] for point in points]
-    axes.plot(places, [point[1] for point in points], "o-", color=SERVED, label="median")
-    axes.plot(places, [point[2] for point in points], "s--", color=UNSERVED, label="99%")
-    axes.set(xlabel=what, ylabel="from the write to an agent, ms", title=title, ylim=(0, None))
+    x_values = [point[0] for point in points]
+    axes.plot(x_values, [point[1] for point in points], "o-", color=SERVED_COLOR, label="median")
+    axes.plot(x_values, [point[2] for point in points], "s--", color=UNSERVED_COLOR, label="99%")
+    axes.set(xlabel=x_label, ylabel="from the write to an agent, ms", title=title, ylim=(0, None))
     axes.legend(frameon=False)
     return figure
 
 
-def plot_by_fleet_size(title: str, rows: Sequence[Any], figure_name: str) -> Figure:
-    """One figure of each run against the size of the fleet, a line for each kind and trouble.
+def plot_by_fleet_size(title: str, rows: Sequence[Any], metric_name: str) -> Figure:
+    """Plot one metric of each run against the fleet size, a line per kind and fault.
 
-    `rows`: `kind`, `size`, `trouble` and the figure under its name, None where there is none.
+    `rows`: have `kind`, `size`, `trouble` and an attribute `metric_name`, None if not measured.
     """
     figure = Figure(figsize=(7.0, 4.2), layout="constrained")
     axes = figure.add_subplot()
     for kind, trouble in dict.fromkeys((row.kind, row.trouble) for row in rows):
         points = [
-            (row.size, getattr(row, figure_name))
+            (row.size, getattr(row, metric_name))
             for row in rows
-            if (row.kind, row.trouble) == (kind, trouble) and getattr(row, figure_name) is not None
+            if (row.kind, row.trouble) == (kind, trouble) and getattr(row, metric_name) is not None
         ]
         if points:
             style = "-" if kind == "views" else "--"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -203,7 +203,7 @@
     text = (out / "report.html").read_text()
     assert text.count("data:image/png;base64,") == 4  # versions, course, boxes, latency
     assert "http" not in text.replace("http-equiv", "")  # nothing is fetched
-    assert "Where the worth went" in text and "random" in text
+    assert "Lost worth by cause" in text and "random" in text
     assert call("lab", "report", tmp_path / "none").exit_code == 2
 
 
