--- a/mastturn/files.py
+++ b/mastturn/files.py
@@ -1,4 +1,4 @@
-"""TOML files as typed values: a fault names the file, the key and what is allowed, in one line."""
+"""Decodes TOML files to typed values; an error names the file, the key and what is allowed, in one line."""
 
 from __future__ import annotations
 
@@ -10,58 +10,58 @@
 import msgspec
 
 T = TypeVar("T")
-_UNKNOWN = re.compile(r"unknown field `(?P<field>[^`]+)`")
-_MISSING = re.compile(r"missing required field `(?P<field>[^`]+)`")
-_PLACE = re.compile(r" - at `\$(?P<place>[^`]*)`")
+_UNKNOWN_FIELD = re.compile(r"unknown field `(?P<field>[^`]+)`")
+_MISSING_FIELD = re.compile(r"missing required field `(?P<field>[^`]+)`")
+_PATH = re.compile(r" - at `\$(?P<path>[^`]*)`")
 
 
 class LabError(Exception):
-    """Something that was asked for can't be had, in one plain line."""
+    """An error of a command, reported to the user as one line."""
 
 
 def split_validation_error(error: msgspec.ValidationError) -> tuple[str, str]:
-    """Where a fault of a value stands, empty for the whole, and what is wrong there."""
+    """Return the path of an invalid value, empty for the whole document, and the message without the path."""
     text = str(error)
-    place = _PLACE.search(text)
-    said = _PLACE.sub("", text)
-    return place["place"].lstrip(".") if place else "", f"{said[:1].lower()}{said[1:]}"
+    path = _PATH.search(text)
+    message = _PATH.sub("", text)
+    return path["path"].lstrip(".") if path else "", f"{message[:1].lower()}{message[1:]}"
 
 
-def _plain(error: msgspec.ValidationError, kind: Any) -> str:
-    """A fault of a value in words: where it stands, what is wrong, what is allowed."""
-    where, said = split_validation_error(error)
-    unknown, missing = _UNKNOWN.search(said), _MISSING.search(said)
+def _format_error(error: msgspec.ValidationError, kind: Any) -> str:
+    """Return an error message for the user: the path, the problem and the allowed keys."""
+    where, message = split_validation_error(error)
+    unknown, missing = _UNKNOWN_FIELD.search(message), _MISSING_FIELD.search(message)
     if unknown:
         key = f"{where}.{unknown['field']}".lstrip(".")
-        return f"{key}: unknown key; {_allowed(kind, where)}"
+        return f"{key}: unknown key; {_format_allowed_keys(kind, where)}"
     if missing:
         return f"{f'{where}.' if where else ''}{missing['field']}: is missing"
-    return f"{where or 'the file'}: {said}"
+    return f"{where or 'the file'}: {message}"
 
 
-def _allowed(kind: Any, where: str) -> str:
-    """The keys that are known beside an unknown one."""
+def _format_allowed_keys(kind: Any, where: str) -> str:
+    """Return a hint at the allowed keys, for an unknown key at `where`."""
     if where.startswith("troubles"):
         return "see mastturn/emulator/troubles.py for the keys of each kind of trouble"
-    return "allowed: " + ", ".join(msgspec.structs.fields(kind)[i].name for i in _indices(kind))
+    return "allowed: " + ", ".join(msgspec.structs.fields(kind)[i].name for i in _field_indices(kind))
 
 
-def _indices(kind: Any) -> range:
+def _field_indices(kind: Any) -> range:
     return range(len(msgspec.structs.fields(kind)))
 
 
 def decode(text: str, kind: type[T], file: str) -> T:
-    """A TOML text as a value of `kind`; raises LabError."""
+    """Decode a TOML text to `kind`; raises LabError."""
     try:
         return msgspec.convert(tomllib.loads(text), kind)
     except tomllib.TOMLDecodeError as error:
-        raise LabError(f"{file}: no TOML: {error}") from None
+        raise LabError(f"{file}: invalid TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise LabError(f"{file}: {_plain(error, kind)}") from None
+        raise LabError(f"{file}: {_format_error(error, kind)}") from None
 
 
 def read_toml(path: Path, kind: type[T]) -> T:
-    """A file of one's own as typed values; raises LabError."""
+    """Read a TOML file, decode it to `kind` and check its ranges; raises LabError."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -72,15 +72,13 @@
 
 
 def check_ranges(value: Any, file: str, where: str = "") -> None:
-    """Refuse ranges turned round, and negative figures, wherever they stand."""
+    """Raise LabError for a reversed range or a negative number at any depth of `value`."""
     if isinstance(value, msgspec.Struct):
         for field in msgspec.structs.fields(value):
             check_ranges(getattr(value, field.name), file, f"{where}.{field.name}".lstrip("."))
     elif isinstance(value, tuple):
         if len(value) == 2 and all(isinstance(v, float) for v in value) and value[0] > value[1]:
-            raise LabError(
-                f"{file}: {where}: range turned round: [{value[0]:g}, {value[1]:g}], low end first"
-            )
+            raise LabError(f"{file}: {where}: reversed range: [{value[0]:g}, {value[1]:g}], low end first")
         for i, item in enumerate(value):
             check_ranges(item, file, f"{where}[{i}]" if isinstance(item, msgspec.Struct) else where)
     elif isinstance(value, (int, float)) and not isinstance(value, bool) and value < 0:
--- a/mastturn/jumping.py
+++ b/mastturn/jumping.py
@@ -1,8 +1,8 @@
-"""An event loop that never waits: its clock jumps to the next timer, and connections stay in memory.
+"""An asyncio event loop in simulated time: its clock jumps to the next timer; the network is in memory.
 
-The rig of the system's tests and the hollow fleets of the capacity page stand on it. Each program in the
-process has a context variable that names it; all that its code has scheduled is handed to that program, which
-carries it out, keeps it while it is frozen or busy, or drops it once it is dead.
+The system tests and the simulated fleets of the capacity page use it. A context variable names the simulated
+program that code runs for. Each callback that this code schedules is passed to the program when it is due:
+the program runs it, holds it while frozen or busy, or drops it after a kill.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-BEGIN_S = 1_000.0  # on the clock when a loop is new
+BEGIN_S = 1_000.0  # initial time of each loop's clock
 
 
 class Runner(Protocol):
-    """A program: carries out what its code has scheduled."""
+    """A simulated program, which runs the callbacks that its code has scheduled."""
 
     def run(
         self,
@@ -26,46 +26,46 @@
         callback: Callable[..., object],
         args: tuple[Any, ...],
     ) -> None:
-        """It is due; the cell holds its handle, which may be cancelled while it is kept."""
+        """Run a due callback, now or later; `cell` holds its handle, which may be cancelled meanwhile."""
 
 
 class Clock(selectors.SelectSelector):
-    """Nothing is ever waited for: the clock moves instead."""
+    """A selector that advances simulated time instead of waiting."""
 
     now = BEGIN_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Move the clock to the next timer; raises RuntimeError where there is none."""
+        """Advance the clock to the next timer; raises RuntimeError if no timer is scheduled."""
         if timeout is None:
-            raise RuntimeError("nothing is left that could ever happen")
+            raise RuntimeError("simulation deadlock: no callback or timer is scheduled")
         self.now += max(timeout, 0.0)
         return []
 
 
 class SimulatedTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop on a clock of its own and a network in memory, whose work belongs to programs."""
+    """An event loop with a simulated clock and network, which runs the callbacks of simulated programs."""
 
     network: Any  # with `connect(factory, host, port)` and `listen(factory, host, port)`
 
     def __init__(self, owner: contextvars.ContextVar[Any]) -> None:
-        """`owner`: names the program (`Runner`) that code runs for; None: nobody's."""
+        """`owner`: holds the program (`Runner`) that code runs for, or None for code outside the programs."""
         self.clock = Clock()
         super().__init__(self.clock)
         self._owner = owner
-        self.faults: list[str] = []  # what a program did not catch
-        self.set_exception_handler(self._fault)
+        self.faults: list[str] = []  # uncaught exceptions
+        self.set_exception_handler(self._record_exception)
 
-    def _fault(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.faults.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def time(self) -> float:
-        """Seconds on the clock."""
+        """Return the simulated time in seconds."""
         return self.clock.now
 
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: contextvars.Context | None = None
     ) -> Any:
-        """As asyncio has it; the work is the program's that schedules it."""
+        """Like asyncio's method; the callback belongs to the program that schedules it."""
         context = contextvars.copy_context() if context is None else context
         owner: Runner | None = context.get(self._owner)
         if owner is None:
@@ -78,7 +78,7 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: contextvars.Context | None = None
     ) -> Any:
-        """As asyncio has it; the work is the program's that schedules it."""
+        """Like asyncio's method; the callback belongs to the program that schedules it."""
         context = contextvars.copy_context() if context is None else context
         owner: Runner | None = context.get(self._owner)
         if owner is None:
@@ -88,10 +88,10 @@
         cell.append(handle)
         return handle
 
-    async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:  # type: ignore[override]
-        """A connection on the network in memory."""
+    async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **kwargs: Any) -> Any:  # type: ignore[override]
+        """Connect on the in-memory network."""
         return await self.network.connect(factory, str(host), int(port))
 
-    async def create_server(self, factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:  # type: ignore[override]
-        """A listener on the network in memory."""
+    async def create_server(self, factory: Any, host: Any = None, port: Any = None, **kwargs: Any) -> Any:  # type: ignore[override]
+        """Listen on the in-memory network."""
         return self.network.listen(factory, str(host), int(port))
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -252,7 +252,7 @@
             "faults[0].on: old_state is for replicas",
         ),
         ("seconds = 3600.0\nrequests_per_s = 900.0", "requests_per_s: over 100000 requests"),
-        ("seconds =", "no TOML"),
+        ("seconds =", "invalid TOML"),
     ],
 )
 def test_a_plan_that_can_not_be_played_is_one_line_and_nothing_starts(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -61,14 +61,14 @@
     ("change", "words"),
     [
         (("length_s = 6.0\n[fleet]", "length_ms = 6.0\n[fleet]"), ["length_ms", "unknown key", "length_s"]),
-        (("load_share = 0.4", "load_share = [0.6, 0.4]"), ["load_share", "turned round"]),
+        (("load_share = 0.4", "load_share = [0.6, 0.4]"), ["load_share", "reversed range"]),
         (("load_share = 0.4", "load_share = 'much'"), ["load_share", "got `str`"]),
         (("part = 0.3", "portion = 0.3"), ["portion", "unknown key"]),
         (("part = 0.3", "part = -0.3"), ["part", "negative"]),
         (("for_s = 2.0\n", ""), ["for_s", "is missing"]),
         (('kind = "silent"', 'kind = "flood"'), ["troubles", "flood"]),
         (("balancers_front = 2", "balancers_front = 0"), ["balancers_front", "1 and more"]),
-        (("load_share = 0.4", "load_share = "), ["no TOML"]),
+        (("load_share = 0.4", "load_share = "), ["invalid TOML"]),
         (("title =", 'site = "mars"\ntitle ='), ["mars", "midlands-main"]),
     ],
 )
