--- a/mastturn/emulator/attempts.py
+++ b/mastturn/emulator/attempts.py
@@ -73,7 +73,9 @@
             raise ContractViolation(f"{action!r} to a server that its list has not named")
         earlier = call.attempts
         if any(not a.over for a in earlier):
-            judge.record_violation("duplicate", f"{self._balancer.name}: {call.number} has two attempts out")
+            judge.record_violation(
+                "duplicate", f"{self._balancer.name}: {call.number} has two attempts in flight"
+            )
         if call.client_request.cls.once and may_have_executed(call):
             judge.record_violation(
                 "duplicate", f"{self._balancer.name}: {call.number} sent again, though it may have run"
@@ -88,8 +90,8 @@
             world.events.after(0.0, self._not_sent, attempt)
             return
         judge.record_send(self._balancer.tier, self._balancer.zone != box.zone, len(earlier) > 1)
-        if world.watch is not None:
-            world.watch.line(
+        if world.trace is not None:
+            world.trace.add_line(
                 now,
                 call.client_request,
                 self._balancer.name,
@@ -242,9 +244,9 @@
             world.judge.ended[self._balancer.tier][FinalOutcome.SERVED] += 1
         elif loss is not None and not call.done:
             call.loss = loss
-        if world.watch is not None:
+        if world.trace is not None:
             why = f" ({loss.cause.value}, {world.day.tiers[loss.tier].name})" if loss is not None else ""
-            world.watch.line(
+            world.trace.add_line(
                 now,
                 call.client_request,
                 self._balancer.name,
--- a/mastturn/emulator/baselines.py
+++ b/mastturn/emulator/baselines.py
@@ -27,7 +27,7 @@
 
     def __init__(self, interface: Any, settings: Any, seed: int, truth: Truth) -> None:
         self.interface, self.settings, self.truth = interface, settings, truth
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.ready: list[str] = []
         self.in_flight: dict[str, int] = {}
         self.now = 0.0
@@ -102,7 +102,7 @@
 
     def select(self, candidates: list[str]) -> str:
         """Select a server uniformly at random."""
-        return candidates[int(self.chance.random() * len(candidates))]
+        return candidates[int(self.rng.random() * len(candidates))]
 
 
 class RoundRobin(Baseline):
@@ -121,7 +121,7 @@
 
     def select(self, candidates: list[str]) -> str:
         """Select the server with the fewest outstanding calls."""
-        return min(candidates, key=lambda s: (self.in_flight.get(s, 0), self.chance.random()))
+        return min(candidates, key=lambda s: (self.in_flight.get(s, 0), self.rng.random()))
 
 
 class TwoChoices(Baseline):
@@ -129,7 +129,7 @@
 
     def select(self, candidates: list[str]) -> str:
         """Select the less loaded of two random servers."""
-        drawn = [candidates[int(self.chance.random() * len(candidates))] for _ in range(DRAWS)]
+        drawn = [candidates[int(self.rng.random() * len(candidates))] for _ in range(DRAWS)]
         return min(drawn, key=lambda s: self.in_flight.get(s, 0))
 
 
@@ -140,15 +140,13 @@
         """Select the lowest load after the call among DRAWS servers drawn by capacity."""
         power = [self.truth(s).power for s in candidates]
         sums = list(accumulate(power))
-        drawn = [
-            min(bisect(sums, self.chance.random() * sums[-1]), len(candidates) - 1) for _ in range(DRAWS)
-        ]
+        drawn = [min(bisect(sums, self.rng.random() * sums[-1]), len(candidates) - 1) for _ in range(DRAWS)]
         best = min(
             drawn,
             key=lambda i: (
                 (self.in_flight.get(candidates[i], 0) + 1) / power[i],
                 -power[i],
-                self.chance.random(),
+                self.rng.random(),
             ),
         )
         return candidates[best]
@@ -176,7 +174,7 @@
             serving,
             key=lambda item: (
                 (item[1].held + own_in_flight.get(item[0], 0) + 1) / max(item[1].power, 1e-9),
-                self.chance.random(),
+                self.rng.random(),
             ),
         )
         return least[0]
--- a/mastturn/emulator/clients.py
+++ b/mastturn/emulator/clients.py
@@ -42,7 +42,7 @@
     front: Front
     judge: Judge
     network: Network
-    watch: Trace | None
+    trace: Trace | None
 
     def next_number(self) -> int:
         """Return a new request number."""
@@ -53,7 +53,7 @@
 
     def __init__(self, world: ClientEnvironment, windows: list[RateWindow]) -> None:
         self._world = world
-        self._chance = Stream(world.day.seed, "clients")
+        self._rng = Stream(world.day.seed, "clients")
         self._firsts = draw_arrivals(world.day, windows)
         self._next = 0
         self.leave_share = 0.0  # share of clients that give up early; set by a trouble
@@ -69,9 +69,9 @@
         if self._next < len(self._firsts):
             self._world.events.at(self._firsts[self._next].arrived_ms, self._arrive)
         self._world.judge.client_requests.append(client_request)
-        if self.leave_share and self._chance.uniform() < self.leave_share:
+        if self.leave_share and self._rng.uniform() < self.leave_share:
             client_request.leaves_ms = (
-                client_request.arrived_ms + client_request.cls.aim_ms * self._chance.between(0.1, 0.9)
+                client_request.arrived_ms + client_request.cls.aim_ms * self._rng.between(0.1, 0.9)
             )
         self._try(client_request)
 
@@ -115,8 +115,10 @@
         client_request, final, retry_after_ms = answer
         world = self._world
         now = world.events.now
-        if world.watch is not None:
-            world.watch.line(now, client_request, "client", "", f"try {client_request.tries} {final.value}")
+        if world.trace is not None:
+            world.trace.add_line(
+                now, client_request, "client", "", f"try {client_request.tries} {final.value}"
+            )
         client_request.ended_ms = now
         if final is FinalOutcome.SERVED:
             client_request.served_ms = now
@@ -182,40 +184,40 @@
     return client_requests
 
 
-def _times(day: Day, windows: list[RateWindow], chance: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
+def _times(day: Day, windows: list[RateWindow], rng: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
     """Return times and zones of a Poisson process with a varying rate, by thinning."""
     length, parameters = day.fleet.length_ms, day.clients
     max_rate = (1.0 + parameters.swing) * math.prod(max(w.factor, 1.0) for w in windows)
-    count = int(chance.poisson(day.requests_per_s * max_rate * length / 1000))
-    times = np.sort(chance.uniform(0.0, length, count))
-    zones = chance.choice(len(day.network.zones), count, p=list(day.zone_weights))
-    rates = _shape(times, day, chance)
+    count = int(rng.poisson(day.requests_per_s * max_rate * length / 1000))
+    times = np.sort(rng.uniform(0.0, length, count))
+    zones = rng.choice(len(day.network.zones), count, p=list(day.zone_weights))
+    rates = _shape(times, day, rng)
     for window in windows:
         inside = (times >= window.start_ms) & (times < window.end_ms)
         if window.zone is not None:
             inside &= zones == window.zone % len(day.network.zones)
         rates = np.where(inside, rates * window.factor, rates)
-    kept = chance.random(count) * max_rate < rates
+    kept = rng.random(count) * max_rate < rates
     return times[kept], zones[kept]
 
 
-def _shape(times: np.ndarray, day: Day, chance: np.random.Generator) -> np.ndarray:
+def _shape(times: np.ndarray, day: Day, rng: np.random.Generator) -> np.ndarray:
     """Return the relative rate at each time, around 1: a sine wave or random steps."""
     parameters = day.clients
     if not parameters.bursty:
-        phase = chance.uniform(0.0, 2 * math.pi)
+        phase = rng.uniform(0.0, 2 * math.pi)
         return np.asarray(1.0 + parameters.swing * np.sin(2 * math.pi * times / parameters.period_ms + phase))
     ends, levels, at = [], [], 0.0
     while at < day.fleet.length_ms:
-        at += float(chance.uniform(*BURST_STEPS_MS))
+        at += float(rng.uniform(*BURST_STEPS_MS))
         ends.append(at)
-        levels.append(1.0 + parameters.swing * float(chance.uniform(-1.0, 1.0)))
+        levels.append(1.0 + parameters.swing * float(rng.uniform(-1.0, 1.0)))
     return np.asarray(np.array(levels)[np.searchsorted(np.array(ends), times, side="right")])
 
 
-def _works(day: Day, which: np.ndarray, chance: np.random.Generator) -> np.ndarray:
+def _works(day: Day, which: np.ndarray, rng: np.random.Generator) -> np.ndarray:
     """Return the work of each request, drawn from its class's distribution and capped at `most_work`."""
-    normals, uniforms = chance.standard_normal(len(which)), chance.random(len(which))
+    normals, uniforms = rng.standard_normal(len(which)), rng.random(len(which))
     works = np.empty(len(which))
     for number, cls in enumerate(day.classes):
         in_class = which == number
--- a/mastturn/emulator/discovery.py
+++ b/mastturn/emulator/discovery.py
@@ -44,8 +44,8 @@
 class Registry:
     """The server list of one tier."""
 
-    def __init__(self, parameters: DiscoveryParameters, events: Events, chance: Stream) -> None:
-        self._parameters, self._events, self._chance = parameters, events, chance
+    def __init__(self, parameters: DiscoveryParameters, events: Events, rng: Stream) -> None:
+        self._parameters, self._events, self._rng = parameters, events, rng
         self.entries: dict[str, Entry] = {}
         self._order: dict[
             str, int
@@ -64,7 +64,7 @@
     def report_change(self, entry: Entry, wait_ms: tuple[float, float]) -> None:
         """Report a change, which discovery notices after a wait drawn from the range `wait_ms`."""
         self._change_count += 1
-        wait = self._chance.between(*wait_ms) + self.added_delay_ms
+        wait = self._rng.between(*wait_ms) + self.added_delay_ms
         self._events.after(wait, self._on_noticed, (self._change_count, entry))
 
     def _on_noticed(self, news: tuple[int, Entry]) -> None:
@@ -75,7 +75,7 @@
         self._changed[entry.server] = entry
         if not self._planned:
             self._planned = True
-            self._events.after(self._parameters.period_ms * self._chance.uniform(), self._publish)
+            self._events.after(self._parameters.period_ms * self._rng.uniform(), self._publish)
 
     def _publish(self, _: Any) -> None:
         now = self._events.now
@@ -88,13 +88,13 @@
         for entry in changed:
             self.entries[entry.server] = entry
         for agent in self.agents:
-            agent.push(changed, self._chance.uniform() * self._parameters.spread_ms)
+            agent.push(changed, self._rng.uniform() * self._parameters.spread_ms)
 
     def go_silent(self, until_ms: float) -> None:
         """Stop answering until `until_ms`; open watches fail when their wait ends."""
         self.silent_until = max(self.silent_until, until_ms)
         for agent in self.agents:
-            agent.fail_watch(self._chance.uniform() * self._parameters.watch_ms + LATE_MS)
+            agent.fail_watch(self._rng.uniform() * self._parameters.watch_ms + LATE_MS)
 
     @property
     def watch_ms(self) -> float:
--- a/mastturn/emulator/front.py
+++ b/mastturn/emulator/front.py
@@ -21,9 +21,9 @@
 class Front:
     """Routes clients of a zone to a balancer."""
 
-    def __init__(self, balancers: list[Balancer], uneven: float, chance: Stream) -> None:
-        self._balancers, self._chance = balancers, chance
-        self._weights = [math.exp(uneven * chance.normal()) for _ in balancers]
+    def __init__(self, balancers: list[Balancer], uneven: float, rng: Stream) -> None:
+        self._balancers, self._rng = balancers, rng
+        self._weights = [math.exp(uneven * rng.normal()) for _ in balancers]
         self._known = [True] * len(balancers)
         self._by_zone: dict[str, tuple[list[int], list[float]]] = {}
 
@@ -44,7 +44,7 @@
         numbers, sums = self._by_zone.get(zone) or self._table(zone)
         if not numbers:
             return None
-        place = bisect(sums, self._chance.uniform() * sums[-1])
+        place = bisect(sums, self._rng.uniform() * sums[-1])
         return self._balancers[numbers[min(place, len(numbers) - 1)]]
 
     def _table(self, zone: str) -> tuple[list[int], list[float]]:
@@ -58,15 +58,15 @@
 class Restarts:
     """Kills and restarts front balancers; the front notices with a delay."""
 
-    def __init__(self, front: Front, events: Events, notice_ms: tuple[float, float], chance: Stream) -> None:
+    def __init__(self, front: Front, events: Events, notice_ms: tuple[float, float], rng: Stream) -> None:
         """`notice_ms`: minimum and maximum delay until the front notices a dead balancer."""
-        self._front, self._events, self._notice_ms, self._chance = front, events, notice_ms, chance
+        self._front, self._events, self._notice_ms, self._rng = front, events, notice_ms, rng
 
     def kill(self, balancer: Balancer) -> None:
         """Kill a balancer; the front notices some seconds later."""
         if balancer.alive:
             balancer.stop()
-            wait = self._chance.between(*self._notice_ms)
+            wait = self._rng.between(*self._notice_ms)
             self._events.after(wait, self._on_death_noticed, (balancer, balancer.life))
 
     def start(self, balancer: Balancer) -> None:
--- a/mastturn/emulator/host.py
+++ b/mastturn/emulator/host.py
@@ -34,7 +34,7 @@
     judge: Judge
     network: Network
     version: Version
-    watch: Trace | None
+    trace: Trace | None
     boxes: dict[str, Box]
 
     def settings(self, tier: int) -> Any:
@@ -184,8 +184,8 @@
         self.agent.subscribe()
 
     def _log(self, action: Any) -> None:
-        if self.world.watch is not None:
-            self.world.watch.line(self.world.events.now, None, self.name, "", f"log: {action.text}")
+        if self.world.trace is not None:
+            self.world.trace.add_line(self.world.events.now, None, self.name, "", f"log: {action.text}")
 
     # ---- the list --------------------------------------------------------------------------------
 
@@ -222,9 +222,9 @@
         world.events.at(
             call.deadline_ms + world.day.site.rules.answer_slack_ms, self._answer_overdue, (self.life, call)
         )
-        if world.watch is not None:
+        if world.trace is not None:
             time_left_ms = call.deadline_ms - now
-            world.watch.line(
+            world.trace.add_line(
                 now, client_request, self.name, "", f"request {call.number} taken, {time_left_ms:.0f} ms left"
             )
         brand = world.day.brands[client_request.brand].name
@@ -285,8 +285,8 @@
         call.loss = call.loss or Loss(self.tier, LossCause.ROOM)
         world = self.world
         world.judge.ended[self.tier][final] += 1
-        if world.watch is not None:
-            world.watch.line(
+        if world.trace is not None:
+            world.trace.add_line(
                 world.events.now,
                 call.client_request,
                 self.name,
--- a/mastturn/emulator/listing.py
+++ b/mastturn/emulator/listing.py
@@ -69,14 +69,14 @@
     waits: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.chance = Stream(self.setup.seed, "list service")
+        self.rng = Stream(self.setup.seed, "list service")
 
     def send(self, kind: str, action: Any, subject: Any) -> None:
         """Send a message, which may be lost."""
         self.messages[kind] += 1
-        if self.setup.loss and self.chance.uniform() < self.setup.loss:
+        if self.setup.loss and self.rng.uniform() < self.setup.loss:
             return
-        self.events.after(self.setup.delay_ms * (1.0 + self.chance.uniform()), action, subject)
+        self.events.after(self.setup.delay_ms * (1.0 + self.rng.uniform()), action, subject)
 
 
 class _Replica:
@@ -159,7 +159,7 @@
         self._fetch_from_peer(peer)
 
     def _on_failure(self, peer: str) -> None:
-        wait = self._simulation.chance.between(*PEER_PAUSE_MS)
+        wait = self._simulation.rng.between(*PEER_PAUSE_MS)
         self._simulation.events.after(wait, lambda _: self._fetch_from_peer(peer))
 
 
@@ -236,13 +236,13 @@
     agents = [_Agent(simulation, i, replicas) for i in range(setup.agents)]
     for agent in agents:
         simulation.events.after(
-            1_000.0 + 1_000.0 * simulation.chance.uniform(), agent.handle_event, follower.Begin()
+            1_000.0 + 1_000.0 * simulation.rng.uniform(), agent.handle_event, follower.Begin()
         )
 
     def change(number: int) -> None:
         id_ = f"s-{number % setup.entries}"
         simulation.change_started_ms[id_, number] = simulation.events.now
-        node = replicas[names[simulation.chance.below(len(names))]]
+        node = replicas[names[simulation.rng.below(len(names))]]
         node.handle_event(
             replica.Put(setup.entries + number, Entry(id_, f"127.0.0.1:{1 + number % 60_000}"), number)
         )
--- a/mastturn/emulator/machine.py
+++ b/mastturn/emulator/machine.py
@@ -21,7 +21,7 @@
 
 WARM_STEP_MS = 250.0  # update interval of a cold machine's speed
 CHECK_MS = 250.0  # check interval of a crowded machine
-DONE = 1e-9  # tolerance for rounding of progress
+PROGRESS_TOLERANCE = 1e-9  # tolerance for rounding of progress
 
 
 class BoxRequest(Protocol):
@@ -75,7 +75,7 @@
     def __init__(self, parameters: Machine, tier: TierParameters, events: Events, seed: int) -> None:
         self.parameters, self.tier, self._events = parameters, tier, events
         self.name, self.zone, self.number = parameters.name, parameters.zone, parameters.tier
-        self.chance = Stream(seed, "box", parameters.name)
+        self.rng = Stream(seed, "box", parameters.name)
         self.load_reporter = LoadReporter(tier, Stream(seed, "report", parameters.name))
         self.local_balancer: BalancerHandle | None = None  # balances this box's calls to the next tier
         self.up, self.draining, self.silent, self.fallen = True, False, False, False
@@ -167,7 +167,7 @@
         self._next_due = math.inf
         self._advance()
         done = []
-        while self._jobs and self._jobs[0][0] <= self._progress + DONE:
+        while self._jobs and self._jobs[0][0] <= self._progress + PROGRESS_TOLERANCE:
             done.append(heappop(self._jobs)[2])
         if not self._jobs:
             self._progress = 0.0
@@ -270,7 +270,7 @@
 
     def plan_pause(self, _: Any = None) -> None:
         """Schedule the next pause, which models garbage collection."""
-        self._events.after(self.pause_every_ms * (0.5 + self.chance.uniform()), self._pause, None)
+        self._events.after(self.pause_every_ms * (0.5 + self.rng.uniform()), self._pause, None)
 
     def _pause(self, _: Any) -> None:
         length = self.pause_ms
--- a/mastturn/emulator/network.py
+++ b/mastturn/emulator/network.py
@@ -12,8 +12,8 @@
 class Network:
     """Message delays, zone cuts and loss."""
 
-    def __init__(self, parameters: NetworkParameters, chance: Stream) -> None:
-        self._parameters, self._chance = parameters, chance
+    def __init__(self, parameters: NetworkParameters, rng: Stream) -> None:
+        self._parameters, self._rng = parameters, rng
         self.cut_off = set[str]()  # zones that cannot reach other zones
         self.answers_lost_share, self.resets_share = 0.0, 0.0
 
@@ -21,11 +21,11 @@
         """Return the one-way delay of a message."""
         parameters = self._parameters
         base = parameters.same_zone_ms if here == there else parameters.cross_zone_ms
-        return base * (1.0 + parameters.jitter * self._chance.uniform())
+        return base * (1.0 + parameters.jitter * self._rng.uniform())
 
     def client_delay_ms(self) -> float:
         """Return the one-way delay between a client and a balancer."""
-        return self._parameters.client_ms * (1.0 + self._parameters.jitter * self._chance.uniform())
+        return self._parameters.client_ms * (1.0 + self._parameters.jitter * self._rng.uniform())
 
     def is_cut(self, here: str, there: str) -> bool:
         """Whether the network between two zones is cut."""
@@ -33,8 +33,8 @@
 
     def loses_answer(self) -> bool:
         """Draw whether a response is lost."""
-        return self.answers_lost_share > 0 and self._chance.uniform() < self.answers_lost_share
+        return self.answers_lost_share > 0 and self._rng.uniform() < self.answers_lost_share
 
     def resets(self) -> bool:
         """Draw whether a request's connection is reset."""
-        return self.resets_share > 0 and self._chance.uniform() < self.resets_share
+        return self.resets_share > 0 and self._rng.uniform() < self.resets_share
--- a/mastturn/emulator/presence.py
+++ b/mastturn/emulator/presence.py
@@ -71,7 +71,7 @@
     def __init__(self, setup: Setup) -> None:
         self.setup = setup
         self.events = Events()
-        self.chance = Stream(setup.seed, "membership")
+        self.rng = Stream(setup.seed, "membership")
         self.hosts: dict[str, Any] = {}
         self.messages, self.bytes = 0, 0
         self.cut: frozenset[str] = frozenset()  # one side of the partition
@@ -90,9 +90,9 @@
         if self.is_counting:
             self.messages += 1
             self.bytes += HEAD_BYTES + size
-        if self.is_cut(here, there) or (self.setup.loss and self.chance.uniform() < self.setup.loss):
+        if self.is_cut(here, there) or (self.setup.loss and self.rng.uniform() < self.setup.loss):
             return
-        self.events.after(self.setup.delay_ms * (1.0 + self.chance.uniform()), action, subject)
+        self.events.after(self.setup.delay_ms * (1.0 + self.rng.uniform()), action, subject)
 
     def record_failure_report(self, name: str) -> None:
         """Record that some process declared `name` failed."""
@@ -323,9 +323,9 @@
     names = [f"b-{i}" for i in range(setup.processes)]
     for i, name in enumerate(names):
         simulation.hosts[name] = kind(simulation, name, i)
-    events, chance = simulation.events, simulation.chance
+    events, rng = simulation.events, simulation.rng
     for i, host in enumerate(simulation.hosts.values()):
-        wait = PERIOD_MS * chance.uniform()
+        wait = PERIOD_MS * rng.uniform()
         if isinstance(host, _MemberProcess):
             seeds = tuple(address(j) for j in range(min(3, setup.processes)) if j != i)
             events.after(wait, partial(host.receive, host.handle_event), core.Begin(seeds))
@@ -340,20 +340,20 @@
 
 
 def _plan(simulation: _Simulation, names: list[str], begin: float, end: float) -> None:
-    setup, chance, events = simulation.setup, simulation.chance, simulation.events
-    order = chance.order(len(names))
+    setup, rng, events = simulation.setup, simulation.rng, simulation.events
+    order = rng.order(len(names))
     for k in range(setup.kills):
         host = simulation.hosts[names[order[k]]]
         events.at(begin + (end - begin) * (k + 0.5) / (setup.kills + 1), partial(_kill, simulation), host)
     for name in (names[i] for i in order[setup.kills : setup.kills + round(setup.slow * len(names))]):
-        pause_at_ms = begin + 20_000.0 * chance.uniform()
+        pause_at_ms = begin + 20_000.0 * rng.uniform()
         while pause_at_ms < end - 10_000.0:
             events.at(
                 pause_at_ms,
-                partial(_pause, simulation, chance.between(1_000.0, 5_000.0)),
+                partial(_pause, simulation, rng.between(1_000.0, 5_000.0)),
                 simulation.hosts[name],
             )
-            pause_at_ms += 20_000.0 * (0.5 + chance.uniform())
+            pause_at_ms += 20_000.0 * (0.5 + rng.uniform())
     if setup.split_s:
         side = frozenset(names[i] for i in order[: max(round(setup.small * len(names)), 1)])
         events.at(begin + 5_000.0, lambda _: setattr(simulation, "cut", side))
--- a/mastturn/emulator/reports.py
+++ b/mastturn/emulator/reports.py
@@ -20,8 +20,8 @@
 class LoadReporter:
     """Produces one machine's load reports, refreshed only when a response reads them."""
 
-    def __init__(self, tier: TierParameters, chance: Stream) -> None:
-        self._tier, self._chance = tier, chance
+    def __init__(self, tier: TierParameters, rng: Stream) -> None:
+        self._tier, self._rng = tier, rng
         self._taken_ms, self._busy_then = 0.0, 0.0
         self._served, self._service_ms = 0, 0.0
         self._pending: deque[tuple[float, LoadReport]] = deque()
@@ -37,11 +37,11 @@
         """Return the report for a response; `busy_core_ms` is the machine's cumulative busy time."""
         gap = now - self._taken_ms
         if gap >= self._tier.report_every_ms:
-            noise = self._chance.factor(self._tier.report_noise)
+            noise = self._rng.factor(self._tier.report_noise)
             util = min(max((busy_core_ms - self._busy_then) / (cores * gap) * noise, 0.0), 1.0)
             mean = self._service_ms / self._served if self._served else 0.0
             due = now + self._tier.report_delay_ms + self.added_delay_ms
-            self._pending.append((due, LoadReport(mean * self._chance.factor(self._tier.report_noise), util)))
+            self._pending.append((due, LoadReport(mean * self._rng.factor(self._tier.report_noise), util)))
             self._taken_ms, self._busy_then = now, busy_core_ms
             self._served, self._service_ms = 0, 0.0
         while self._pending and self._pending[0][0] <= now:
--- a/mastturn/emulator/troubles.py
+++ b/mastturn/emulator/troubles.py
@@ -196,24 +196,24 @@
     """A trouble's random stream, start and end on the simulated clock."""
 
     def __init__(self, world: FaultTargets, trouble: Trouble, number: int) -> None:
-        self.chance = Stream(world.day.seed, "trouble", number)
+        self.rng = Stream(world.day.seed, "trouble", number)
         self.start_ms = START_MS + self.sample(trouble.at_s) * 1000
         self.length_ms = self.sample(trouble.for_s) * 1000 if isinstance(trouble, _Lasting) else 0.0
         self.end_ms = self.start_ms + self.length_ms
 
     def sample(self, value: Range) -> float:
         """Draw a value from a range."""
-        return self.chance.between(*span(value))
+        return self.rng.between(*span(value))
 
     def boxes(self, world: FaultTargets, part: float, tiers: tuple[str, ...]) -> list[Box]:
         """Draw a share of the tiers' boxes."""
         candidates = [b for b in world.boxes.values() if not tiers or world.day.tiers[b.number].name in tiers]
-        return [candidates[i] for i in self.chance.some(round(part * len(candidates)), len(candidates))]
+        return [candidates[i] for i in self.rng.some(round(part * len(candidates)), len(candidates))]
 
     def zone(self, world: FaultTargets) -> str:
         """Draw a zone."""
         zones = world.day.network.zones
-        return zones[self.chance.below(len(zones))]
+        return zones[self.rng.below(len(zones))]
 
 
 def rate_windows(world: FaultTargets, troubles: tuple[Trouble, ...]) -> list[RateWindow]:
@@ -222,9 +222,7 @@
     for number, trouble in enumerate(troubles):
         if isinstance(trouble, (Burst, ZoneShift)):
             drawn = DrawnTrouble(world, trouble, number)
-            zone = (
-                drawn.chance.below(len(world.day.network.zones)) if isinstance(trouble, ZoneShift) else None
-            )
+            zone = drawn.rng.below(len(world.day.network.zones)) if isinstance(trouble, ZoneShift) else None
             start, end = drawn.start_ms - START_MS, drawn.end_ms - START_MS
             windows.append(RateWindow(start, end, drawn.sample(trouble.factor), zone))
     return windows
@@ -414,7 +412,7 @@
 
 def _release(world: FaultTargets, trouble: Release, drawn: DrawnTrouble) -> None:
     boxes = drawn.boxes(world, drawn.sample(trouble.part), trouble.tiers)
-    order = [boxes[i] for i in drawn.chance.order(len(boxes))]
+    order = [boxes[i] for i in drawn.rng.order(len(boxes))]
     step_ms = drawn.sample(trouble.step_s) * 1000
     for place, box in enumerate(order):
         at = drawn.start_ms + step_ms * (place * trouble.steps // max(len(order), 1))
@@ -427,7 +425,7 @@
 
 def _kill(world: FaultTargets, trouble: KillBalancers, drawn: DrawnTrouble) -> None:
     balancers = world.balancers[0]
-    for i in drawn.chance.some(round(drawn.sample(trouble.part) * len(balancers)), len(balancers)):
+    for i in drawn.rng.some(round(drawn.sample(trouble.part) * len(balancers)), len(balancers)):
         world.events.at(drawn.start_ms, world.restarts.kill, balancers[i])
         world.events.at(
             drawn.start_ms + drawn.sample(trouble.down_s) * 1000, world.restarts.start, balancers[i]
--- a/mastturn/emulator/visit.py
+++ b/mastturn/emulator/visit.py
@@ -106,7 +106,7 @@
     def _answer(self, served: bool, loss: Loss | None) -> None:
         box = self.attempt.box
         self.answered = True
-        if served and box.errors > 0 and box.chance.uniform() < box.errors:
+        if served and box.errors > 0 and box.rng.uniform() < box.errors:
             served, loss = False, Loss(box.number, LossCause.ERROR)
         if served:
             box.load_reporter.record_served(self._world.events.now - self._begun_ms)
--- a/mastturn/emulator/watch.py
+++ b/mastturn/emulator/watch.py
@@ -29,7 +29,7 @@
         self.lines: list[TraceLine] = []
         self.lines_dropped = 0
 
-    def line(
+    def add_line(
         self, now: float, client_request: ClientRequest | None, balancer: str, server: str, text: str
     ) -> None:
         """Record an event if it matches the filter and the limit is not reached."""
--- a/mastturn/emulator/world.py
+++ b/mastturn/emulator/world.py
@@ -31,16 +31,16 @@
     """The simulation of one day; an instance runs once."""
 
     def __init__(
-        self, day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Trace | None = None
+        self, day: Day, troubles: tuple[Trouble, ...], version: Version, trace: Trace | None = None
     ) -> None:
-        self.day, self.version, self.watch = day, version, watch
+        self.day, self.version, self.trace = day, version, trace
         self.events = Events()
         self.judge = Judge(len(day.tiers))
         self.network = Network(day.network, Stream(day.seed, "network"))
         self.marks: list[Mark] = []
         self._numbers = 0
         self._noise = generator(day.seed, "attempt work").standard_normal(NOISES).tolist()
-        self._fault_chance = Stream(day.seed, "faults")
+        self._fault_rng = Stream(day.seed, "faults")
         self._members: dict[Entry, Any] = {}
         self.fallen = 0
         self.boxes: dict[str, Box] = {}
@@ -161,8 +161,8 @@
             visit.extra_ms = tier.handshake_work_ms
         attempt.visit = visit
         if box.admit(visit):
-            if self.watch is not None:
-                self.watch.line(
+            if self.trace is not None:
+                self.trace.add_line(
                     self.events.now,
                     client_request,
                     "",
@@ -177,8 +177,8 @@
     def deliver_response(self, attempt: Attempt, visit: Visit, served: bool, loss: Loss | None) -> None:
         """Send a box's response to its balancer; the network may lose it."""
         balancer, box = attempt.call.balancer, attempt.box
-        if self.watch is not None:
-            self.watch.line(
+        if self.trace is not None:
+            self.trace.add_line(
                 self.events.now,
                 attempt.call.client_request,
                 "",
@@ -196,7 +196,7 @@
 
     def reset_wait_ms(self) -> float:
         """Return the time until the connection of a request is reset."""
-        return 2 * RESET_WAIT_MS * self._fault_chance.uniform()
+        return 2 * RESET_WAIT_MS * self._fault_rng.uniform()
 
     # ---- box lifecycle ----------------------------------------------------------------------
 
@@ -224,7 +224,7 @@
         self.fallen += 1
         if box.budget.informed_share() >= COLD_SHARE:
             self.judge.record_violation(
-                "cold", f"{box.name} was pushed over {box.started_ms - START_MS:.0f} ms"
+                "cold", f"{box.name} was overloaded after its start at {box.started_ms - START_MS:.0f} ms"
             )
         self._end_process(box, silent=False)
         box.fallen = True
@@ -279,6 +279,6 @@
         self.start_box(new)
 
 
-def play(day: Day, troubles: tuple[Trouble, ...], version: Version, watch: Trace | None = None) -> DayResult:
+def play(day: Day, troubles: tuple[Trouble, ...], version: Version, trace: Trace | None = None) -> DayResult:
     """Run one day with one version of the module."""
-    return World(day, troubles, version, watch).play()
+    return World(day, troubles, version, trace).play()
--- a/mastturn/standins/clients.py
+++ b/mastturn/standins/clients.py
@@ -39,7 +39,7 @@
         self._names = names or [str(i) for i in range(len(balancers))]
         # Recorded tries use one connection each, so that the HTTP client does not resend any of them.
         self._closes_connections = on_event is not None
-        self._chance = Stream(plan.seed, "clients on sockets")
+        self._rng = Stream(plan.seed, "clients on sockets")
         self.outcomes: Counter[str] = Counter()
         self.by_class: dict[str, Counter[str]] = {
             request_class.name: Counter() for request_class in plan.classes
@@ -50,7 +50,7 @@
 
     def _draw_class(self) -> RequestClass:
         kinds = self._plan.classes
-        at = self._chance.uniform() * sum(request_class.portion for request_class in kinds)
+        at = self._rng.uniform() * sum(request_class.portion for request_class in kinds)
         for request_class in kinds:
             at -= request_class.portion
             if at < 0:
@@ -68,7 +68,7 @@
             while due_s < end and not stop.is_set():
                 await asyncio.sleep(max(due_s - time.monotonic(), 0.0))
                 tasks.create_task(self._run_request(session, self._draw_class(), due_s))
-                due_s -= math.log(1.0 - self._chance.uniform()) / self._plan.requests_per_s
+                due_s -= math.log(1.0 - self._rng.uniform()) / self._plan.requests_per_s
 
     async def _run_request(self, session: ClientSession, request_class: RequestClass, due_s: float) -> None:
         self.request_count += 1
@@ -87,7 +87,7 @@
     ) -> str:
         """Return the outcome of a request; it goes to another balancer only after a failed connection."""
         request_id = f"demo-{next(_ids)}"
-        first = self._chance.below(len(self._balancers))
+        first = self._rng.below(len(self._balancers))
         for attempt in range(len(self._balancers)):
             remaining = request_class.deadline_ms / 1000 - (time.monotonic() - due_s)
             if remaining <= 0:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -124,13 +124,13 @@
 def test_waiting_times_are_those_of_the_closed_forms(cores: int, load: float) -> None:
     """M/M/1 and M/M/c: the mean time follows the Erlang C formula, also under processor sharing."""
     fixture = MachineFixture(cores=cores, slots=10**9)
-    chance, jobs = Stream(11, "waits", cores, int(load * 10)), list[Job]()
+    rng, jobs = Stream(11, "waits", cores, int(load * 10)), list[Job]()
     mean, count = 10.0, 120_000
 
     def arrive(_: None) -> None:
-        jobs.append(fixture.put(-mean * math.log(1.0 - chance.uniform())))
+        jobs.append(fixture.put(-mean * math.log(1.0 - rng.uniform())))
         if len(jobs) < count:
-            fixture.events.after(-mean / (cores * load) * math.log(1.0 - chance.uniform()), arrive)
+            fixture.events.after(-mean / (cores * load) * math.log(1.0 - rng.uniform()), arrive)
 
     fixture.events.after(0.0, arrive)
     fixture.run(count * mean / (cores * load) * 1.2)
