--- a/mastturn/lab/__init__.py
+++ b/mastturn/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: scenarios, runs over seeds, comparison of versions, and where the worth went."""
+"""Experiments with the emulator: scenarios, runs over seeds, version comparison and loss attribution."""
--- a/mastturn/lab/bins.py
+++ b/mastturn/lab/bins.py
@@ -1,7 +1,7 @@
-"""The paper's own claim (Theorem 3): m = C balls into n bins of capacities c_i, d draws by capacity each.
+"""Simulates Theorem 3 of the paper: m = C balls into n bins of capacities c_i, with d draws by capacity each.
 
-The maximum load stays under ln ln n / ln d + O(1), with high probability, where random choice grows without
-such a bound. Played by Algorithm 1 as the paper gives it, one ball after another.
+With high probability the maximum load stays below ln ln n / ln d + O(1); a single draw has no such bound.
+Balls are placed one at a time by Algorithm 1 of the paper.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BinLoad:
-    """One filling: the largest load (balls over capacity), and the paper's bound without its constant."""
+    """Result of one simulation: maximum load (balls over capacity), and the bound without its constant."""
 
     bins: int
     draws: int
@@ -25,26 +25,26 @@
 
 
 def fill_bins(capacities: list[int], draws: int, seed: int) -> BinLoad:
-    """Throw as many balls as the capacities add up to; ValueError for no bins or no draws."""
+    """Place as many balls as the total capacity; raises ValueError for no bins or no draws."""
     if not capacities or draws < 1 or min(capacities) < 1:
         raise ValueError("capacities and draws have to be 1 or more")
-    chance = Stream(seed, "bins", len(capacities), draws)
-    sums = list(accumulate(capacities))
-    held = [0] * len(capacities)
-    for _ in range(sums[-1]):
+    rng = Stream(seed, "bins", len(capacities), draws)
+    cumulative = list(accumulate(capacities))
+    balls = [0] * len(capacities)
+    for _ in range(cumulative[-1]):
         best, chosen = (math.inf, 0, 0.0), 0
         for _ in range(draws):
-            i = min(bisect(sums, chance.uniform() * sums[-1]), len(held) - 1)
-            load = ((held[i] + 1) / capacities[i], -capacities[i], chance.uniform())
+            i = min(bisect(cumulative, rng.uniform() * cumulative[-1]), len(balls) - 1)
+            load = ((balls[i] + 1) / capacities[i], -capacities[i], rng.uniform())
             if load < best:
                 best, chosen = load, i
-        held[chosen] += 1
-    most = max(m / c for m, c in zip(held, capacities, strict=True))
+        balls[chosen] += 1
+    maximum = max(count / c for count, c in zip(balls, capacities, strict=True))
     n = len(capacities)
     bound = math.log(math.log(n)) / math.log(draws) if draws > 1 and n > 2 else math.inf
-    return BinLoad(n, draws, most, bound)
+    return BinLoad(n, draws, maximum, bound)
 
 
 def mixed_capacities(bins: int, sizes: tuple[int, ...] = (1, 2, 3, 10)) -> list[int]:
-    """Bins of the given sizes, as many of each."""
+    """Capacities of `bins` bins that cycle through `sizes`."""
     return [sizes[i % len(sizes)] for i in range(bins)]
--- a/mastturn/lab/compare.py
+++ b/mastturn/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two versions of the module on the same days: differences paired by seed, with their interval."""
+"""Compares two versions of the decision module on the same days: differences paired by seed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of one scenario: the mean of the base, and what the new version has more."""
+    """One metric of a scenario: mean of the base version, and the new version's difference to it."""
 
     scenario: str
     figure: str
@@ -27,7 +27,7 @@
     difference: Interval
 
     def verdict(self) -> str:
-        """What can be said."""
+        """Verdict on the new version, in words."""
         if self.difference.count < 2:
             return "one seed"
         if self.difference.contains_zero():
@@ -37,7 +37,7 @@
 
 
 def comparison_tasks(scenarios: list[str], seeds: list[int], versions: list[tuple[str, str]]) -> list[Task]:
-    """Every run that a comparison needs; `versions` are names and folders, the base first."""
+    """Tasks of a comparison; `versions` are pairs of name and folder, the base first."""
     return [
         Task(scenario, seed, name, folder, series=False)
         for scenario in scenarios
@@ -47,9 +47,9 @@
 
 
 def differences(runs: list[RunResult], base: str, new: str) -> list[Difference]:
-    """Pair the runs by scenario and seed; runs with a fault of the emulator's own are left out by both."""
+    """Pair runs by scenario and seed; a seed is skipped if the emulator failed on it in either version."""
     scored = {(r["scenario"], r["seed"], r["version"]): r for r in runs if "parts" in r}
-    found = []
+    results = []
     for scenario in dict.fromkeys(run["scenario"] for run in runs):
         seeds = [s for (name, s, v) in scored if name == scenario and v == base and (name, s, new) in scored]
         if not seeds:
@@ -58,5 +58,5 @@
             before = [read(scored[scenario, seed, base]) for seed in seeds]
             after = [read(scored[scenario, seed, new]) for seed in seeds]
             paired = [b - a for a, b in zip(before, after, strict=True)]
-            found.append(Difference(scenario, figure, sum(before) / len(before), bootstrap(paired)))
-    return found
+            results.append(Difference(scenario, figure, sum(before) / len(before), bootstrap(paired)))
+    return results
--- a/mastturn/lab/listing.py
+++ b/mastturn/lab/listing.py
@@ -1,4 +1,4 @@
-"""The list service over sizes and networks: one figure is varied, the others stay."""
+"""Parameter sweeps of the list service: one parameter varies, the others keep their defaults."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     "loss of messages, share": ("loss", (0.0, 0.01, 0.02, 0.05)),
     "rate of change, 1/s": ("rate_per_s", (1.0, 10.0, 50.0, 100.0)),
 }
-CHANGES = 60  # of each run
+CHANGES = 60  # changes of the list in each run
 
 
 @dataclass(frozen=True, slots=True)
 class DelaySummary:
-    """From the write to each agent, in milliseconds; and what never came."""
+    """Delays from a write to each agent, in milliseconds, and missing deliveries."""
 
     median_ms: float
-    p99_ms: float  # 99% of all
-    missing: int  # replaced by a later change first, or never told
+    p99_ms: float  # 99th percentile
+    missing: int  # superseded by a later change, or never delivered
     differing: int  # agents whose list differs at the end
 
     def describe(self) -> str:
-        """One line."""
+        """Describe the result in one line."""
         return (
             f"median {self.median_ms:.1f} ms, 99% {self.p99_ms:.1f} ms, "
             f"not told one by one {self.missing}, lists that differ at the end {self.differing}"
@@ -35,19 +35,19 @@
 
 
 def measure_delays(setup: Setup) -> DelaySummary:
-    """One run."""
+    """Run one setup and summarize its delays."""
     outcome = play(setup)
-    waits = np.array(outcome.waits_ms or [0.0])
-    median, most = (float(np.quantile(waits, q)) for q in (0.5, 0.99))
-    return DelaySummary(median, most, outcome.missing, outcome.differing)
+    delays = np.array(outcome.waits_ms or [0.0])
+    median, p99 = (float(np.quantile(delays, q)) for q in (0.5, 0.99))
+    return DelaySummary(median, p99, outcome.missing, outcome.differing)
 
 
-def sweep(what: str, agents: int, seed: int) -> list[tuple[float, DelaySummary]]:
-    """One figure varied."""
-    name, values = SWEEPS[what]
-    found = []
+def sweep(name_of_sweep: str, agents: int, seed: int) -> list[tuple[float, DelaySummary]]:
+    """Run a sweep; returns the parameter's values with their results."""
+    name, values = SWEEPS[name_of_sweep]
+    results = []
     for value in values:
         changed: dict[str, Any] = {name: int(value) if name == "replicas" else value}
         setup = replace(Setup(agents=agents, seed=seed), **changed)
-        found.append((value, measure_delays(replace(setup, seconds=CHANGES / setup.rate_per_s))))
-    return found
+        results.append((value, measure_delays(replace(setup, seconds=CHANGES / setup.rate_per_s))))
+    return results
--- a/mastturn/lab/losses.py
+++ b/mastturn/lab/losses.py
@@ -1,5 +1,4 @@
-"""Where the worth went: each first try that was not served in time, by the cause that its last try ended
-with."""
+"""Attributes lost worth: requests not served in time, by the cause with which their last attempt ended."""
 
 from __future__ import annotations
 
@@ -11,40 +10,40 @@
 from mastturn.emulator.judge import counted_requests, is_served
 from mastturn.emulator.record import DayResult
 
-UNANSWERED = "still open at the end"
+STILL_OPEN = "still open at the end"
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """One cause: at which tier, the share of the worth asked that went that way, how many, when most."""
+    """Loss by one cause at one tier: share of the requested worth, requests, split by class and second."""
 
     tier: str
     cause: str
     worth_share: float
     requests: int
-    by_class: dict[str, float]  # share of the worth asked
-    by_second: dict[int, float]  # share of the worth asked, by the second of arrival
+    by_class: dict[str, float]  # share of the requested worth
+    by_second: dict[int, float]  # share of the requested worth, by the second of arrival
 
 
-def _where(client_request: ClientRequest, tiers: list[str]) -> tuple[str, str]:
+def _attribute(client_request: ClientRequest, tiers: list[str]) -> tuple[str, str]:
     if client_request.loss is None:
-        return "client", UNANSWERED
+        return "client", STILL_OPEN
     late = client_request.served_ms >= 0
     cause = LossCause.ON_THE_WAY if late else client_request.loss.cause
     return tiers[client_request.loss.tier], "answered after its aim" if late else cause.value
 
 
 def losses(played: DayResult) -> list[Lost]:
-    """Every cause, the dearest first."""
+    """All causes, ordered by lost worth, largest first."""
     client_requests = counted_requests(played.judge.client_requests)
     asked = sum(f.worth for f in client_requests) or 1.0
     tiers = [tier.name for tier in played.day.tiers]
-    found: dict[tuple[str, str], list[ClientRequest]] = defaultdict(list)
+    by_cause: dict[tuple[str, str], list[ClientRequest]] = defaultdict(list)
     for client_request in client_requests:
         if not is_served(client_request):
-            found[_where(client_request, tiers)].append(client_request)
+            by_cause[_attribute(client_request, tiers)].append(client_request)
     lost = []
-    for (tier, cause), group in found.items():
+    for (tier, cause), group in by_cause.items():
         classes: dict[str, float] = defaultdict(float)
         seconds: dict[int, float] = defaultdict(float)
         for client_request in group:
--- a/mastturn/lab/members.py
+++ b/mastturn/lab/members.py
@@ -1,4 +1,4 @@
-"""Membership over sizes of the fleet and kinds of trouble, beside plain heartbeats to all."""
+"""Measures membership over fleet sizes and fault conditions, compared with all-to-all heartbeats."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     "bytes_s": "bytes of a process a second",
     "false_h": "live processes failed in an hour of one process",
 }
-HEARTBEATS_TO = 40  # processes: beyond that their messages, the square of the size, take too long to play
+MAX_HEARTBEAT_SIZE = 40  # processes; messages grow with the square of the size and take too long beyond this
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipResult:
-    """One run; spans in ms, medians and 99% over failures."""
+    """Result of one run; durations in ms, as median and 99th percentile over failures."""
 
     kind: str
     size: int
@@ -43,7 +43,7 @@
     healed_ms: float | None
 
     def describe(self) -> str:
-        """One line."""
+        """Describe the result in one line."""
         parts = [f"{self.kind:10} {self.size:5} {self.trouble:16}"]
         if self.first_ms is not None and self.last_ms is not None:
             parts.append(f"first {self.first_ms[0]:.0f} ms, last {self.last_ms:.0f} ms (99%)")
@@ -57,29 +57,29 @@
 
 
 def measure(size: int, seed: int) -> list[MembershipResult]:
-    """Every trouble at one size; heartbeats where that can be played."""
+    """Run all conditions at one size, with heartbeats up to `MAX_HEARTBEAT_SIZE` processes."""
     seconds = 60.0 if size <= 200 else 10.0
     rows = []
-    for trouble, words in CONDITIONS.items():
+    for trouble, overrides in CONDITIONS.items():
         if size > 200 and trouble not in ("dies", "vanishes"):
             continue
-        for kind in ("views", "heartbeats") if size <= HEARTBEATS_TO else ("views",):
+        for kind in ("views", "heartbeats") if size <= MAX_HEARTBEAT_SIZE else ("views",):
             rows.append(
                 _measure_one(
                     trouble,
-                    Setup(**{"processes": size, "seconds": seconds, "kind": kind, "seed": seed} | words),
+                    Setup(**{"processes": size, "seconds": seconds, "kind": kind, "seed": seed} | overrides),
                 )
             )
     return rows
 
 
 def _measure_one(trouble: str, setup: Setup) -> MembershipResult:
-    found = play(setup)
+    outcome = play(setup)
     first = last = None
-    if found.first_ms:
-        first = (float(np.median(found.first_ms)), float(np.quantile(found.first_ms, 0.99)))
-        last = float(np.quantile(found.last_ms, 0.99))
+    if outcome.first_ms:
+        first = (float(np.median(outcome.first_ms)), float(np.quantile(outcome.first_ms, 0.99)))
+        last = float(np.quantile(outcome.last_ms, 0.99))
     return MembershipResult(
-        setup.kind, setup.processes, trouble, first, last, found.undetected, found.false / found.hours,
-        found.messages_s, found.bytes_s, found.healed_ms,
+        setup.kind, setup.processes, trouble, first, last, outcome.undetected, outcome.false / outcome.hours,
+        outcome.messages_s, outcome.bytes_s, outcome.healed_ms,
     )  # fmt: skip
--- a/mastturn/lab/outcome.py
+++ b/mastturn/lab/outcome.py
@@ -1,5 +1,4 @@
-"""The result of one played day as plain values: what JSON files hold and what tables and pictures are made
-of."""
+"""Converts the result of a simulated day to plain values for JSON files, tables and plots."""
 
 from __future__ import annotations
 
@@ -19,12 +18,12 @@
 POINTS = "points taken off the score"
 
 
-def _figure(value: float, unit: str) -> dict[str, Any]:
+def _quantity(value: float, unit: str) -> dict[str, Any]:
     return {"value": round(value, 6), "unit": unit}
 
 
 def latencies(played: DayResult) -> HdrHistogram:
-    """Times of the answers that were served, in microseconds, from the client's first try."""
+    """Latencies of served requests, in microseconds, from the client's first attempt."""
     histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
     for client_request in counted_requests(played.judge.client_requests):
         if client_request.served_ms >= 0:
@@ -35,7 +34,7 @@
 
 
 def _series(played: DayResult) -> dict[str, Any]:
-    """Figures of each second, for pictures."""
+    """Time series by second, for plots."""
     length = int(played.day.fleet.length_ms // 1000)
     asked, served, refused = ([0.0] * length for _ in range(3))
     for client_request in played.judge.client_requests:
@@ -60,10 +59,10 @@
 
 def _parts(parts: Score) -> dict[str, Any]:
     return {
-        "whole": _figure(parts.whole, SHARE),
-        "worst_window": _figure(parts.worst_window, f"{SHARE}, of the worst 10 s"),
-        "worst_class": _figure(parts.worst_class, SHARE),
-        "worst_tenant": _figure(parts.worst_tenant, SHARE),
+        "whole": _quantity(parts.whole, SHARE),
+        "worst_window": _quantity(parts.worst_window, f"{SHARE}, of the worst 10 s"),
+        "worst_class": _quantity(parts.worst_class, SHARE),
+        "worst_tenant": _quantity(parts.worst_tenant, SHARE),
     }
 
 
@@ -71,23 +70,23 @@
     judge = played.judge
     served = sum(is_served(f) for f in judge.client_requests)
     return {
-        "requests": _figure(len(judge.client_requests), "clients' first tries"),
-        "served": _figure(served, "first tries answered within their aim"),
-        "unreached": _figure(judge.counts["unreached by clients"], "tries that met no balancer"),
-        "later_tries": _figure(judge.counts["later tries"], "tries"),
-        "list_calls": _figure(judge.counts["list calls"], "calls for the list of servers"),
-        "fallen": _figure(played.fallen, "cold boxes pushed over"),
-        "events": _figure(played.events, "simulated events"),
+        "requests": _quantity(len(judge.client_requests), "clients' first tries"),
+        "served": _quantity(served, "first tries answered within their aim"),
+        "unreached": _quantity(judge.counts["unreached by clients"], "tries that met no balancer"),
+        "later_tries": _quantity(judge.counts["later tries"], "tries"),
+        "list_calls": _quantity(judge.counts["list calls"], "calls for the list of servers"),
+        "fallen": _quantity(played.fallen, "cold boxes pushed over"),
+        "events": _quantity(played.events, "simulated events"),
     }
 
 
 def _tier(judge: Judge, number: int) -> dict[str, Any]:
-    """What the balancers before one tier did."""
+    """Counts of the balancers in front of one tier."""
     return {
-        "calls": _figure(judge.calls[number], "requests at balancers"),
-        "sends": _figure(judge.sends[number], "attempts"),
-        "retries": _figure(judge.retries[number], "attempts after the first"),
-        "handshakes": _figure(judge.handshakes[number], "connections opened"),
+        "calls": _quantity(judge.calls[number], "requests at balancers"),
+        "sends": _quantity(judge.sends[number], "attempts"),
+        "retries": _quantity(judge.retries[number], "attempts after the first"),
+        "handshakes": _quantity(judge.handshakes[number], "connections opened"),
         "outcomes": dict(sorted(judge.outcomes[number].items())),
         "answers": {final.value: count for final, count in sorted(judge.ended[number].items(), key=str)},
     }
@@ -96,7 +95,7 @@
 def _latency(played: DayResult) -> dict[str, Any]:
     histogram = latencies(played)
     return {
-        **{f"p{q:g}": _figure(histogram.get_value_at_percentile(q) / 1000, "ms") for q in QUANTILES},
+        **{f"p{q:g}": _quantity(histogram.get_value_at_percentile(q) / 1000, "ms") for q in QUANTILES},
         "histogram": histogram.encode().decode(),
     }
 
@@ -112,8 +111,8 @@
     }
 
 
-def _shape(day: Day) -> dict[str, Any]:
-    """How large the day is."""
+def _day_size(day: Day) -> dict[str, Any]:
+    """Size of the day."""
     return {
         "balancers": [
             len(day.machines[tier - 1]) if tier else day.fleet.balancers_front
@@ -128,7 +127,7 @@
 
 
 def result_values(name: str, version: str, played: DayResult, series: bool = True) -> dict[str, Any]:
-    """One run as plain values, each with its unit; nothing in it depends on when or where it ran."""
+    """Return a run as plain values with units; independent of time and machine."""
     judge, parts = played.judge, played.parts
     result: dict[str, Any] = {
         "scenario": name,
@@ -136,17 +135,17 @@
         "version": version,
         "digest": played.digest,
         "fault": played.fault,
-        "score": _figure(parts.g, SHARE),
+        "score": _quantity(parts.g, SHARE),
         "parts": _parts(parts),
-        "prices": {key: _figure(value, POINTS) for key, value in parts.prices.items()},
-        "rules": {rule: _figure(judge.rules[rule], "times broken") for rule in RULES},
+        "prices": {key: _quantity(value, POINTS) for key, value in parts.prices.items()},
+        "rules": {rule: _quantity(judge.rules[rule], "times broken") for rule in RULES},
         "breaks": judge.breaks,
         "counts": _counts(played),
         "tiers": {tier.name: _tier(judge, number) for number, tier in enumerate(played.day.tiers)},
         "latency": _latency(played),
         "losses": [_loss(lost) for lost in losses(played)],
         "troubles": [{"name": n, "start_s": s / 1000, "end_s": e / 1000} for n, s, e in played.marks],
-        "day": _shape(played.day),
+        "day": _day_size(played.day),
     }
     if series:
         result["series"] = _series(played)
--- a/mastturn/lab/run.py
+++ b/mastturn/lab/run.py
@@ -1,4 +1,4 @@
-"""Runs: a scenario over seeds, several at a time, each kept as soon as it is done."""
+"""Runs scenarios over seeds in parallel processes, and saves and reads their results."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """One run to make; `folder` is what `Versions.folder` gave for `version`."""
+    """A run to make; `folder` is the result of `Versions.folder` for `version`."""
 
     scenario: str
     seed: int
@@ -34,7 +34,7 @@
 
 
 def run_one(task: Task) -> RunResult:
-    """Play one day; a fault of the emulator itself is told as the run's, and the other seeds go on."""
+    """Simulate one day; an emulator error is returned as the run's `fault`, so that other seeds continue."""
     try:
         scenario = find_scenario(task.scenario)
         played = play(scenario.day(task.seed), scenario.troubles, open_version(task.folder))
@@ -54,16 +54,16 @@
 
 
 def run_all(tasks: Iterable[Task], jobs: int, done: Callable[[RunResult], None]) -> Iterator[RunResult]:
-    """Make the runs, `jobs` at a time, and yield them in the order asked for; `done` hears of each."""
-    asked = list(tasks)
-    if jobs <= 1 or len(asked) == 1:
-        for task in asked:
+    """Run tasks, `jobs` at a time, and yield results in task order; `done` is called as each completes."""
+    pending = list(tasks)
+    if jobs <= 1 or len(pending) == 1:
+        for task in pending:
             values = run_one(task)
             done(values)
             yield values
         return
-    with ProcessPoolExecutor(max_workers=min(jobs, len(asked))) as pool:
-        futures = {pool.submit(run_one, task): i for i, task in enumerate(asked)}
+    with ProcessPoolExecutor(max_workers=min(jobs, len(pending))) as pool:
+        futures = {pool.submit(run_one, task): i for i, task in enumerate(pending)}
         results: dict[int, RunResult] = {}
         try:
             for future in as_completed(futures):
@@ -72,12 +72,12 @@
         except BaseException:
             pool.shutdown(wait=False, cancel_futures=True)
             raise
-    for i in range(len(asked)):
+    for i in range(len(pending)):
         yield results[i]
 
 
 def save_run(values: RunResult, folder: Path) -> Path:
-    """Write one run under a folder; what is there of an interrupted lab is whole."""
+    """Write a result to a folder atomically, so that an interrupted lab leaves only complete files."""
     path = (
         folder
         / str(values["scenario"])
@@ -85,29 +85,29 @@
         / f"seed-{values['seed']}.json"
     )
     path.parent.mkdir(parents=True, exist_ok=True)
-    part = path.with_suffix(".part")
-    part.write_bytes(msgspec.json.format(msgspec.json.encode(values), indent=1))
-    part.replace(path)
+    partial = path.with_suffix(".part")
+    partial.write_bytes(msgspec.json.format(msgspec.json.encode(values), indent=1))
+    partial.replace(path)
     return path
 
 
 def read_runs(folder: Path) -> list[RunResult]:
-    """All runs kept under a folder, in the order of their names; raises LabError."""
+    """Read all results saved to a folder, ordered by path; raises LabError."""
     if not folder.is_dir():
         raise LabError(f"{folder}: no such folder")
-    found = []
+    runs = []
     for path in sorted(folder.rglob("seed-*.json")):
         try:
-            found.append(msgspec.json.decode(path.read_bytes()))
+            runs.append(msgspec.json.decode(path.read_bytes()))
         except msgspec.DecodeError as error:
-            raise LabError(f"{path}: no run: {error}") from None
-    if not found:
-        raise LabError(f"{folder}: holds no runs; 'mastturn lab run SCENARIO --out {folder}' makes some")
-    return found
+            raise LabError(f"{path}: not a saved run: {error}") from None
+    if not runs:
+        raise LabError(f"{folder}: holds no runs; 'mastturn lab run SCENARIO --out {folder}' saves some")
+    return runs
 
 
 def combine_runs(runs: list[RunResult]) -> RunResult:
-    """What JSON files hold: the one run, or all of them with their mean score and one digest."""
+    """Return the single result, or all results with their mean score and a common digest."""
     if len(runs) == 1:
         return runs[0]
     digest = hashlib.sha256("".join(str(run["digest"]) for run in runs).encode()).hexdigest()[:32]
--- a/mastturn/lab/scenario.py
+++ b/mastturn/lab/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: TOML files that ship with the package, or files of one's own of the same form.
+"""Reads scenarios: TOML files that ship with the package, or user files of the same format.
 
-A scenario names its site, its load, its troubles and the sizes of fleet that it is meant for; `KIND-SIZE` is
-one of them at one size. Values are checked when read: a fault names the file, the key and what is allowed.
+A scenario sets its site, load, faults and fleet sizes; `KIND-SIZE` names one at one size. Values are checked
+when read; an error names the file, the key and the allowed range.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class FleetFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fleet of one size."""
+    """Fleet of one size, as a TOML table."""
 
     balancers_front: int
     machines_front: int
@@ -35,15 +35,15 @@
 
 
 class ScenarioFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a scenario's file holds."""
+    """Schema of a scenario file."""
 
     title: str
-    load_share: Range  # of the capacity of the tier that runs out first
+    load_share: Range  # share of the capacity of the bottleneck tier
     sizes: tuple[int, ...] = ()
     site: str = "midlands-main"
-    length_s: float | None = None  # the fleet's own if not given
-    seen: Range = 1.0  # the number of balancers that each goes by, as a part of the true one
-    fleet: FleetFile | None = None  # a fleet of one's own, in place of `sizes`
+    length_s: float | None = None  # default: the fleet's
+    seen: Range = 1.0  # number of balancers that each one assumes, relative to the true number
+    fleet: FleetFile | None = None  # custom fleet, instead of `sizes`
     troubles: tuple[Trouble, ...] = ()
 
 
@@ -61,23 +61,23 @@
     seen: tuple[float, float] = (1.0, 1.0)
 
     def day(self, seed: int) -> Day:
-        """The day that a seed stands for."""
+        """Draw the day of a seed."""
         load = Stream(seed, "load").between(*self.load_share)
-        figures = self.fleet
+        sizes = self.fleet
         fleet = Fleet(
-            figures.balancers_front,
-            figures.machines_front,
+            sizes.balancers_front,
+            sizes.machines_front,
             load,
-            figures.stretch,
+            sizes.stretch,
             self.length_ms,
-            figures.uneven,
+            sizes.uneven,
             Stream(seed, "seen").between(*self.seen),
         )
         return draw(self.site, fleet, seed)
 
 
 def read_site(name: str) -> Site:
-    """A site that ships with the package, or a file of one's own."""
+    """Read a shipped site by name, or a user file by path; raises LabError."""
     path = SHIPPED / "sites" / f"{name}.toml"
     if not path.is_file():
         if not Path(name).is_file():
@@ -106,9 +106,9 @@
     length = read.length_s if read.length_s is not None else fleet.length_s
     if not 1 <= length <= 3_600:
         raise LabError(f"{file}: length_s: {length:g}, allowed: 1 to 3600")
-    for field, least in (("balancers_front", 1), ("machines_front", 1), ("stretch", 0.01)):
-        if getattr(fleet, field) < least:
-            raise LabError(f"{file}: fleet.{field}: {getattr(fleet, field):g}, allowed: {least:g} and more")
+    for field, minimum in (("balancers_front", 1), ("machines_front", 1), ("stretch", 0.01)):
+        if getattr(fleet, field) < minimum:
+            raise LabError(f"{file}: fleet.{field}: {getattr(fleet, field):g}, allowed: {minimum:g} and more")
     seen = span(read.seen)
     if not 0 < seen[0] <= seen[1] <= 100:
         raise LabError(f"{file}: seen: [{seen[0]:g}, {seen[1]:g}], allowed: over 0 and at most 100")
@@ -117,7 +117,7 @@
 
 
 def find_scenario(name: str) -> Scenario:
-    """A scenario by its name, or by the path of a file of one's own; raises LabError."""
+    """Return a shipped scenario by name, or a user file by path; raises LabError."""
     if name.endswith(".toml"):
         path = Path(name)
         if not path.is_file():
@@ -150,9 +150,9 @@
 
 
 def shipped_scenarios() -> list[Scenario]:
-    """Every scenario that ships, at each of its sizes."""
-    found = []
+    """Return all shipped scenarios, at each of their sizes."""
+    scenarios = []
     for kind in _names("scenarios"):
         read = _read((SHIPPED / "scenarios" / f"{kind}.toml").read_text(encoding="utf-8"), kind)
-        found += [find_scenario(f"{kind}-{size}") for size in read.sizes]
-    return found
+        scenarios += [find_scenario(f"{kind}-{size}") for size in read.sizes]
+    return scenarios
--- a/mastturn/lab/stats.py
+++ b/mastturn/lab/stats.py
@@ -1,4 +1,4 @@
-"""Statistics over seeds."""
+"""Statistics over seeds: bootstrap intervals and rank correlation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A mean and the interval that holds it with probability `LEVEL`, by bootstrap."""
+    """A mean and its bootstrap confidence interval at `LEVEL`."""
 
     mean: float
     low: float
@@ -22,12 +22,12 @@
     count: int
 
     def contains_zero(self) -> bool:
-        """Whether no difference is seen."""
+        """Whether the interval contains zero, so that no difference is significant."""
         return self.low <= 0.0 <= self.high
 
 
 def bootstrap(values: list[float], seed: int = 0) -> Interval:
-    """The mean of paired differences, or of any figures, with its interval; ValueError for none."""
+    """Mean of values with its bootstrap interval; raises ValueError if there are none."""
     if not values:
         raise ValueError("no values")
     data = np.array(values)
@@ -40,7 +40,7 @@
 
 
 def ranks(values: list[float]) -> np.ndarray:
-    """Ranks from 0, equal values sharing their mean rank."""
+    """Ranks from 0; equal values share their mean rank."""
     data = np.array(values)
     _, inverse, counts = np.unique(data, return_inverse=True, return_counts=True)
     ends = np.cumsum(counts)
@@ -48,7 +48,7 @@
 
 
 def spearman(one: list[float], other: list[float]) -> float:
-    """The rank correlation of two lists of the same length; nan if one of them is constant."""
+    """Spearman rank correlation of two lists of equal length; nan if one is constant."""
     a, b = ranks(one), ranks(other)
     if a.std() == 0 or b.std() == 0:
         return float("nan")
--- a/mastturn/lab/validate.py
+++ b/mastturn/lab/validate.py
@@ -1,9 +1,8 @@
-"""How far the emulator can be believed: earlier versions of the module, held against what the bench saw of
-them.
+"""Validates the emulator: compares its scores of earlier module versions with those of the bench.
 
-The journal keeps, for each run of the bench, the text of the module and the figures of its days. Each text
-is played on the scenarios that match these kinds of days, and the two sets of scores are compared by rank,
-as the days themselves are not the same ones. docs/emulator.md has the outcome.
+The journal holds the module's source and the scores of the days for each run of the bench. Each version runs
+on the scenarios that match these kinds of days. Scores are compared by rank, as the days themselves differ.
+Results are in docs/emulator.md.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 from mastturn.lab.run import RunResult, Task, run_all
 from mastturn.lab.stats import spearman
 
-# Kinds of days on the bench, and the scenarios that have the same troubles at about the same size.
+# Kinds of days on the bench, and the scenarios with the same faults at about the same size.
 KINDS: dict[str, tuple[str, ...]] = {
     "calm+mass": ("calm-200",),
     "roll+mass": ("release-200",),
@@ -34,14 +33,14 @@
     "zone+vast": ("lost-zone-40",),
     "join+vast": ("cold-join-40",),
 }
-AGAIN = "-2"  # a kind's second day of one score
-SHOWN = 8  # of a version's own hash, which names it
-DIGITS = 16  # of a text's hash, by which the journal names it
+SECOND_DAY_SUFFIX = "-2"  # suffix of a kind's second day in one score
+VERSION_DIGITS = 8  # digits of a version's hash used as its name
+FILE_DIGITS = 16  # digits of a file's hash used as its name in the journal
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One version on one kind of day: mean G on the bench and in the emulator."""
+    """Mean score G of one version on one kind of day, on the bench and in the emulator."""
 
     kind: str
     version: str
@@ -52,55 +51,57 @@
 
 @dataclass(frozen=True, slots=True)
 class ModuleVersion:
-    """One version of the module as the journal has it: its texts by path, and G of its days by kind."""
+    """A version of the module in the journal: source files by path, and scores G by kind of day."""
 
     version: str
-    texts: dict[str, Path]
+    files_by_path: dict[str, Path]
     days: dict[str, list[float]]
 
 
 def _entries(journal: Path) -> list[Any]:
     if not journal.is_dir():
         raise LabError(f"{journal}: no such folder")
-    found = []
+    results = []
     for path in sorted(journal.glob("*.json")):
         try:
-            found.append(msgspec.json.decode(path.read_bytes()))
+            results.append(msgspec.json.decode(path.read_bytes()))
         except msgspec.DecodeError as error:
-            raise LabError(f"{path}: no entry of a journal: {error}") from None
-    return found
+            raise LabError(f"{path}: not a journal entry: {error}") from None
+    return results
 
 
 def read_journal(journal: Path) -> list[ModuleVersion]:
-    """Every version whose texts the journal keeps and that has played days of these kinds."""
-    found: dict[str, ModuleVersion] = {}
+    """Read all versions that have source files and days of a known kind; raises LabError."""
+    results: dict[str, ModuleVersion] = {}
     for entry in _entries(journal):
         files = [*(entry.get("policy") or []), *(entry.get("node") or [])]
-        texts = {
-            f["path"]: journal / "blobs" / f"{f['sha256'][:DIGITS]}.txt"
+        files_by_path = {
+            f["path"]: journal / "blobs" / f"{f['sha256'][:FILE_DIGITS]}.txt"
             for f in files
             if f["path"].startswith(PACKAGE + "/")
         }
-        if f"{PACKAGE}/rules.py" not in texts or not all(path.is_file() for path in texts.values()):
+        if f"{PACKAGE}/rules.py" not in files_by_path or not all(
+            path.is_file() for path in files_by_path.values()
+        ):
             continue
-        stems = "".join(f"{name}{path.stem}" for name, path in sorted(texts.items()))
-        name = hashlib.sha256(stems.encode()).hexdigest()[:SHOWN]
+        joined_hashes = "".join(f"{name}{path.stem}" for name, path in sorted(files_by_path.items()))
+        name = hashlib.sha256(joined_hashes.encode()).hexdigest()[:VERSION_DIGITS]
         for day in entry.get("days") or []:
-            kind = str(day.get("name", "")).removesuffix(AGAIN)
+            kind = str(day.get("name", "")).removesuffix(SECOND_DAY_SUFFIX)
             if kind in KINDS and day.get("G") is not None:
-                seen = found.setdefault(name, ModuleVersion(name, texts, {}))
-                seen.days.setdefault(kind, []).append(float(day["G"]))
-    if not found:
+                module_version = results.setdefault(name, ModuleVersion(name, files_by_path, {}))
+                module_version.days.setdefault(kind, []).append(float(day["G"]))
+    if not results:
         raise LabError(f"{journal}: holds no days of the kinds {', '.join(KINDS)}")
-    return list(found.values())
+    return list(results.values())
 
 
-def write_package(seen: ModuleVersion, folder: Path) -> Path:
-    """The version's module as a folder that can be loaded."""
-    target = folder / seen.version / PACKAGE
+def write_package(module_version: ModuleVersion, folder: Path) -> Path:
+    """Write a version's module as an importable package; returns its parent folder."""
+    target = folder / module_version.version / PACKAGE
     target.mkdir(parents=True, exist_ok=True)
     (target / "__init__.py").write_text('"""A version of the module."""\n')
-    for name, path in seen.texts.items():
+    for name, path in module_version.files_by_path.items():
         (target / Path(name).name).write_bytes(path.read_bytes())
     return target.parent
 
@@ -112,11 +113,11 @@
     jobs: int,
     done: Callable[[RunResult], None],
 ) -> list[Cell]:
-    """Play every version on the scenarios of each kind that the bench has played with it."""
+    """Run each version on the scenarios of the kinds of days that the bench has run with it."""
     tasks = [
-        Task(scenario, seed, seen.version, str(write_package(seen, folder)), series=False)
-        for seen in versions
-        for kind in seen.days
+        Task(scenario, seed, module_version.version, str(write_package(module_version, folder)), series=False)
+        for module_version in versions
+        for kind in module_version.days
         for scenario in KINDS[kind]
         for seed in seeds
     ]
@@ -125,19 +126,21 @@
         if run["fault"]:
             raise LabError(f"{run['version']} on {run['scenario']}: {run['fault']}")
         scores[run["version"], run["scenario"]].append(run["score"]["value"])
-    found = []
-    for seen in versions:
-        for kind, plays in seen.days.items():
-            emulated = [v for scenario in KINDS[kind] for v in scores[seen.version, scenario]]
+    results = []
+    for module_version in versions:
+        for kind, plays in module_version.days.items():
+            emulated = [v for scenario in KINDS[kind] for v in scores[module_version.version, scenario]]
             bench = sum(plays) / len(plays)
-            found.append(Cell(kind, seen.version, len(plays), bench, sum(emulated) / len(emulated)))
-    return found
+            results.append(
+                Cell(kind, module_version.version, len(plays), bench, sum(emulated) / len(emulated))
+            )
+    return results
 
 
-def by_kind(found: list[Cell]) -> list[Cell]:
-    """The mean over versions of each kind."""
+def by_kind(results: list[Cell]) -> list[Cell]:
+    """Mean over versions, by kind of day."""
     kinds: dict[str, list[Cell]] = defaultdict(list)
-    for cell in found:
+    for cell in results:
         kinds[cell.kind].append(cell)
     return [
         Cell(
@@ -151,6 +154,6 @@
     ]
 
 
-def rank_correlation(found: list[Cell]) -> float:
-    """Spearman's, between the bench's scores and the emulator's."""
-    return spearman([c.bench for c in found], [c.emulated for c in found])
+def rank_correlation(results: list[Cell]) -> float:
+    """Spearman correlation between scores of the bench and of the emulator."""
+    return spearman([c.bench for c in results], [c.emulated for c in results])
--- a/mastturn/lab/versions.py
+++ b/mastturn/lab/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the decision module: the one of this checkout, one of git's, or a baseline by name."""
+"""Loads versions of the decision module: the working tree, a git commit, or a named baseline."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 INSTALLED = "module"
 
 
-def _git(root: Path, *words: str) -> bytes:
+def _git(root: Path, *arguments: str) -> bytes:
     try:
-        return subprocess.run(["git", "-C", str(root), *words], check=True, capture_output=True).stdout
+        return subprocess.run(["git", "-C", str(root), *arguments], check=True, capture_output=True).stdout
     except FileNotFoundError:
-        raise LabError("git: not installed; versions by commit can't be had") from None
+        raise LabError("git: not installed; versions by commit are unavailable") from None
     except subprocess.CalledProcessError as error:
         reason = error.stderr.decode(errors="replace").strip().splitlines()
         raise LabError(f"git: {reason[-1] if reason else 'failed'}") from None
 
 
 class Versions:
-    """Keeps the folders of versions from git for as long as they are needed; a context manager."""
+    """Context manager that holds temporary folders of versions extracted from git."""
 
     def __init__(self, root: Path | None = None) -> None:
         self._root = root or Path.cwd()
-        self._kept = ExitStack()
+        self._temporary_folders = ExitStack()
         self._folders: dict[str, Path] = {}
 
     def __enter__(self) -> Versions:
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._kept.close()
+        self._temporary_folders.close()
 
     def folder(self, rev: str) -> str:
-        """Where a version lies, for `open_version` in any process; raises LabError for a REV that is none."""
+        """Folder or name of a version for `open_version` in any process; raises LabError if unknown."""
         if rev in BASELINES or rev == INSTALLED:
             return rev
         if rev == WORKING_TREE:
@@ -54,16 +54,18 @@
                 raise LabError(
                     f"version {rev!r}: no such commit; or '.', or {', '.join(BASELINES)}"
                 ) from None
-            packed = _git(self._root, "archive", commit.decode().strip(), PACKAGE)
-            folder = Path(self._kept.enter_context(tempfile.TemporaryDirectory(prefix="mastturn-")))
-            with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
+            archive_bytes = _git(self._root, "archive", commit.decode().strip(), PACKAGE)
+            folder = Path(
+                self._temporary_folders.enter_context(tempfile.TemporaryDirectory(prefix="mastturn-"))
+            )
+            with tarfile.open(fileobj=io.BytesIO(archive_bytes)) as archive:
                 archive.extractall(folder, filter="data")
             self._folders[rev] = folder
         return str(self._folders[rev])
 
 
 def open_version(folder: str) -> Version:
-    """A version that `Versions.folder` has found."""
+    """Load a version by the result of `Versions.folder`."""
     if folder in BASELINES:
         return baseline(folder)
     if folder == INSTALLED:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -41,7 +41,7 @@
     return path
 
 
-def call(*words: str | Path) -> Result:
+def run_cli(*words: str | Path) -> Result:
     return CliRunner().invoke(main, [str(word) for word in words])
 
 
@@ -53,7 +53,7 @@
     inner = [len(machines) for machines in day.machines]
     assert 180 <= day.fleet.balancers_front + inner[0] + inner[1] <= 220
     assert day.fleet.length_ms == 60_000.0
-    listing = call("lab", "list")
+    listing = run_cli("lab", "list")
     assert listing.exit_code == 0 and "fleet-200" in listing.output
 
 
@@ -76,7 +76,7 @@
     own: Path, change: tuple[str, str], words: list[str]
 ) -> None:
     own.write_text(OWN.replace(*change))
-    result = call("lab", "run", own)
+    result = run_cli("lab", "run", own)
     assert result.exit_code == 2 and isinstance(result.exception, SystemExit)
     assert len(result.output.splitlines()) == 1
     for word in words:
@@ -98,7 +98,7 @@
     ],
 )
 def test_what_can_not_be_had_is_one_line_and_exit_status_2(words: tuple[str, ...]) -> None:
-    result = call(*words)
+    result = run_cli(*words)
     assert result.exit_code == 2
     assert len(result.output.splitlines()) == 1 and result.output.startswith("mastturn: ")
 
@@ -106,7 +106,7 @@
 def test_a_run_is_written_with_its_digest_and_units_and_is_the_same_again(own: Path, tmp_path: Path) -> None:
     files = [tmp_path / "one.json", tmp_path / "two.json", tmp_path / "other.json"]
     for file, seed in zip(files, ("3", "3", "4"), strict=True):
-        assert call("lab", "run", own, "--seed", seed, "--json", file).exit_code == 0
+        assert run_cli("lab", "run", own, "--seed", seed, "--json", file).exit_code == 0
     one, two, other = (json.loads(file.read_bytes()) for file in files)
     assert one == two and one["digest"] != other["digest"]
     assert one["score"]["unit"] and 0 < one["score"]["value"] <= 1
@@ -118,16 +118,16 @@
 
 def test_runs_side_by_side_are_those_one_after_another(own: Path) -> None:
     tasks = [Task(str(own), seed, "module", "module") for seed in (1, 2, 3)]
-    heard = list[Any]()
-    assert list(run_all(tasks, 2, heard.append)) == [run_one(task) for task in tasks]
-    assert len(heard) == 3
+    completed = list[Any]()
+    assert list(run_all(tasks, 2, completed.append)) == [run_one(task) for task in tasks]
+    assert len(completed) == 3
 
 
 def test_what_is_done_is_kept_though_a_later_run_fails(own: Path, tmp_path: Path) -> None:
     out = tmp_path / "out"
-    assert call("lab", "run", own, "--seeds", "1..2", "--jobs", "1", "--out", out).exit_code == 0
-    kept = sorted(path.name for path in out.rglob("*.json"))
-    assert kept == ["seed-1.json", "seed-2.json"]
+    assert run_cli("lab", "run", own, "--seeds", "1..2", "--jobs", "1", "--out", out).exit_code == 0
+    saved = sorted(path.name for path in out.rglob("*.json"))
+    assert saved == ["seed-1.json", "seed-2.json"]
     broken = run_one(Task(str(own), 1, "x", str(tmp_path)))  # a folder without a module
     assert "holds no umberworks" in broken["fault"] or "No module" in broken["fault"]
 
@@ -158,7 +158,7 @@
 
 def test_compare_says_so_when_no_difference_is_seen(own: Path, tmp_path: Path) -> None:
     file = tmp_path / "seen.json"
-    result = call(
+    result = run_cli(
         "lab", "compare", own, "--base", "random", "--new", "random", "--seeds", "1..3", "--json", file
     )
     assert result.exit_code == 0 and "no difference seen" in result.output
@@ -167,14 +167,14 @@
 
 
 def test_a_request_is_followed_from_its_first_byte_to_its_last(own: Path) -> None:
-    result = call("lab", "trace", own, "--seed", "3", "--request", "5")
+    result = run_cli("lab", "trace", own, "--seed", "3", "--request", "5")
     assert result.exit_code == 0
     for word in ("taken", "attempt 0 sent", "basket", "kitchen", "try 1"):
         assert word in result.output
-    box = call("lab", "trace", own, "--server", "kitchen-0")
+    box = run_cli("lab", "trace", own, "--server", "kitchen-0")
     assert "kitchen-0" in box.output and box.exit_code == 0
-    assert call("lab", "trace", own, "--server", "cellar-0").exit_code == 2
-    assert call("lab", "trace", own, "--request", "999999").exit_code == 2
+    assert run_cli("lab", "trace", own, "--server", "cellar-0").exit_code == 2
+    assert run_cli("lab", "trace", own, "--request", "999999").exit_code == 2
 
 
 def test_a_bootstrap_holds_the_mean_and_ranks_agree_with_themselves() -> None:
@@ -197,14 +197,14 @@
 
 def test_a_report_is_one_page_with_pictures_and_the_causes(own: Path, tmp_path: Path) -> None:
     out = tmp_path / "out"
-    assert call("lab", "run", own, "--seeds", "1..2", "--out", out).exit_code == 0
-    assert call("lab", "run", own, "--seed", "1", "--version", "random", "--out", out).exit_code == 0
-    assert call("lab", "report", out).exit_code == 0
+    assert run_cli("lab", "run", own, "--seeds", "1..2", "--out", out).exit_code == 0
+    assert run_cli("lab", "run", own, "--seed", "1", "--version", "random", "--out", out).exit_code == 0
+    assert run_cli("lab", "report", out).exit_code == 0
     text = (out / "report.html").read_text()
     assert text.count("data:image/png;base64,") == 4  # versions, course, boxes, latency
     assert "http" not in text.replace("http-equiv", "")  # nothing is fetched
     assert "Where the worth went" in text and "random" in text
-    assert call("lab", "report", tmp_path / "none").exit_code == 2
+    assert run_cli("lab", "report", tmp_path / "none").exit_code == 2
 
 
 def test_versions_in_a_journal_are_played_and_held_against_its_figures(tmp_path: Path) -> None:
@@ -224,7 +224,7 @@
     (journal / "1.json").write_text(json.dumps({"policy": files, "days": days}))
     (journal / "2.json").write_text(json.dumps({"policy": [], "days": days}))
     versions = read_journal(journal)
-    assert [(v.days, len(v.texts)) for v in versions] == [({"disco+vast": [0.9]}, len(files))]
+    assert [(v.days, len(v.files_by_path)) for v in versions] == [({"disco+vast": [0.9]}, len(files))]
     found = score_versions(versions, tmp_path, [1], 1, lambda _: None)
     assert found[0].kind == "disco+vast" and found[0].bench == 0.9 and 0.3 < found[0].emulated < 1
     assert rank_correlation(found) != rank_correlation(found)  # of one pair there is none
