--- a/mastturn/control_check/defects.py
+++ b/mastturn/control_check/defects.py
@@ -1,4 +1,4 @@
-"""Planted defects: the checks have to catch each of them; nothing else uses them."""
+"""Replicas with planted defects, used only to verify that the checks catch each of them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from consensus.views import ChangeStatus, DurableState, Member, View
 
 LEASE_MS = 400.0
-REMEMBERED_CHANGES = 1  # changes that a forgetful process remembers
+REMEMBERED_CHANGES = 1  # changes that the defective process remembers
 
 
 class _HastyAcceptor(Acceptor):
-    """Sends some answers before the sync that they rest on."""
+    """Sends replies of one type before the sync that they depend on."""
 
     hasty: type = Written
 
@@ -35,10 +35,10 @@
 
 
 class _OpenAcceptor(Acceptor):
-    """Votes with nothing in hand."""
+    """Votes without any durable state."""
 
     def can_vote(self) -> bool:
-        """Always."""
+        """Returns True unless the disk has failed."""
         return not self.is_disk_failed
 
     def _on_install(self, ip: str, message: Install, now: float) -> None:
@@ -46,7 +46,7 @@
 
 
 class _Replaced(Replica):
-    """A process with one part exchanged."""
+    """A replica with its acceptor or primary class replaced."""
 
     acceptor_kind: type[Acceptor] = Acceptor
     primary_kind: type[Primary] = Primary
@@ -70,7 +70,7 @@
 
 
 class AnswersBeforeSync(_Replaced):
-    """A backup says that it has kept a write before it is synced."""
+    """A backup acknowledges a write before it is synced."""
 
     acceptor_kind = _HastyAcceptor
 
@@ -82,7 +82,7 @@
 
 
 class WipedVotes(_Replaced):
-    """A process that lost its disk is still the one it was, and votes."""
+    """A process that lost its disk keeps its identity and votes."""
 
     acceptor_kind = _OpenAcceptor
 
@@ -100,7 +100,7 @@
 
 
 class _TrustingPrimary(Primary):
-    """Answers without proof that nobody has taken its place."""
+    """Answers without proof that it is still the leader."""
 
     def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
         self._emit(Reply(command.token, verdict, self.committed))
@@ -113,7 +113,7 @@
 
 
 class _LeasedPrimary(Primary):
-    """Answers without proof for a while after a majority was heard."""
+    """Answers without proof for `LEASE_MS` after contact with a majority."""
 
     def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
         if now - self.quorum_at() < LEASE_MS:
@@ -123,13 +123,13 @@
 
 
 class LeaseByJumpingClock(_Replaced):
-    """A lease that rests on the others' refusal, while clocks jump."""
+    """A lease that depends on the others refusing to elect, while clocks jump."""
 
     primary_kind = _LeasedPrimary
 
 
 class HoldersShrinkAlone(Replica):
-    """A primary leaves a silent holder out without asking anybody."""
+    """A primary drops a silent holder without the consent of a majority."""
 
     def _needs_view_change(self, primary: Primary, now: float) -> bool:
         silent = set(primary.silent_slots(now, self._spec.member_timeout_ms))
@@ -140,7 +140,7 @@
 
 
 class _NamedCampaign(Campaign):
-    """Rests on the name alone."""
+    """Wins by being the named successor, without a majority."""
 
     __slots__ = ()
 
@@ -152,7 +152,7 @@
 
 
 class SuccessorWithoutMajority(Replica):
-    """The successor that was named leads at once, whoever else is elected."""
+    """A named successor leads at once, whoever else is elected."""
 
     def _start_campaign(self, now: float, handover: bool = False) -> None:
         named = handover and self.primary is None
@@ -167,20 +167,20 @@
     """Acknowledges a write once it is on its own disk."""
 
     def on_written(self, message: Written, now: float) -> None:
-        """As if the other holders had kept it too."""
+        """Counts the other holders as synced too."""
         if message.ok and message.number == self.committed.number + 1:
             self._synced_slots |= set(self.view.holders) - {self.view.primary}
         super().on_written(message, now)
 
 
 class AnswersFromMinority(_Replaced):
-    """A leader that is cut off confirms changes."""
+    """A partitioned leader confirms changes."""
 
     primary_kind = _MinorityPrimary
 
 
 class _HastyRefusals(Primary):
-    """Refuses without proof that nobody has taken its place."""
+    """Refuses without proof that it is still the leader."""
 
     def _reply_when_proven(self, command: Command, verdict: Verdict, now: float) -> None:
         if verdict is Verdict.STALE:
@@ -196,10 +196,10 @@
 
 
 class _CarelessPrimary(Primary):
-    """Takes a change on top of an older version, as long as its number is higher."""
+    """Accepts a change based on an older version if its number is higher."""
 
     def submit(self, command: Command, now: float) -> None:
-        """As if every change built on the newest version."""
+        """Rebases every change on the newest version."""
         if isinstance(command, Put) and command.base < self.committed.ver < command.ver:
             command = replace(command, base=self.committed.ver)
         super().submit(command, now)
@@ -212,10 +212,10 @@
 
 
 class _ByNumberAlone(Primary):
-    """Takes a number for the change that it was given to."""
+    """Identifies a change by its number alone."""
 
     def submit(self, command: Command, now: float) -> None:
-        """As if whoever names a version that was taken had sent it."""
+        """Treats a change with an accepted version number as the accepted change."""
         if isinstance(command, Put):
             digest = next((t.digest for t in self.committed.taken if t.ver == command.ver), command.digest)
             command = replace(command, digest=digest)
@@ -229,10 +229,10 @@
 
 
 class _Forgetful(Primary):
-    """Knows the last few changes only, and takes all others for new."""
+    """Remembers only the last changes and treats all others as new."""
 
     def submit(self, command: Command, now: float) -> None:
-        """As if the history ended there."""
+        """Cuts the history after `REMEMBERED_CHANGES`."""
         known = self.committed
         if (
             isinstance(command, Put)
@@ -244,21 +244,21 @@
 
 
 class RefusesARepeat(_Replaced):
-    """An order that was taken is refused when it comes again after some other changes."""
+    """An accepted change is refused when it is resent after other changes."""
 
     primary_kind = _Forgetful
 
 
 class EndsAtOnce(Replica):
-    """A member that is told to stop ends, whatever rests on it."""
+    """A member that is asked to stop ends, whatever depends on it."""
 
     def may_end(self) -> bool:
-        """At any time."""
+        """Returns True at any time."""
         return True
 
 
 class _KeepsOldData(Acceptor):
-    """Accepts a view, and keeps the data that it had."""
+    """Accepts a view but keeps its old data."""
 
     def _on_install(self, ip: str, message: Install, now: float) -> None:
         if message.document is not None and message.view.leader().identity != self.durable_state.identity:
@@ -267,13 +267,13 @@
 
 
 class SkipsAChange(_Replaced):
-    """A holder does not take over the data that comes with a view."""
+    """A holder ignores the data that comes with a view."""
 
     acceptor_kind = _KeepsOldData
 
 
 class _BlindCampaign(Campaign):
-    """Counts whoever promises, whatever view it has accepted."""
+    """Counts every promise, whatever view its sender has accepted."""
 
     __slots__ = ()
 
@@ -282,7 +282,7 @@
 
 
 class LeadsWithAnOldDisk(Replica):
-    """A process that was away for long goes on from the view that it knows."""
+    """A process that was away for long continues from its outdated view."""
 
     def _start_campaign(self, now: float, handover: bool = False) -> None:
         super()._start_campaign(now, handover)
@@ -292,7 +292,7 @@
 
 
 class _EagerPrimary(Primary):
-    """Counts its own copy of a write before it is synced."""
+    """Counts its own copy of a write before its sync."""
 
     def _send_write(self, slots: set[int]) -> None:
         super()._send_write(slots)
@@ -300,6 +300,6 @@
 
 
 class AnswersBeforeOwnSync(_Replaced):
-    """A leader acknowledges what only the backup has synced."""
+    """A leader acknowledges a write that only the backup has synced."""
 
     primary_kind = _EagerPrimary
--- a/mastturn/control_check/local.py
+++ b/mastturn/control_check/local.py
@@ -1,4 +1,4 @@
-"""One process as a value: what an event makes of it is computed once and remembered."""
+"""Processes as numbered immutable values; the outcome of each (process, event) pair is memoized."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from consensus.replica import Replica
 from consensus.views import Document, DurableState, Member, View
 
-# Times and what rests on them alone: here nothing does, since every question is answered with a yes and every
-# campaign begins when the search says so. Two processes that differ in nothing else are one.
+# Attributes that hold times or depend only on them. They have no effect in a search, where every Ask is
+# granted and the search starts every campaign, so processes that differ in nothing else are equal.
 IGNORED_FIELDS = frozenset(
     "heard_at heard_from leading_at started_at stage_at sent_at now write_at refused behind next_try "
     "_heartbeat_at _heard_at _epoch _succession started _asked_at _ticked_at _last_asked_at "
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A message from an IP arrives."""
+    """The delivery of a message from an IP."""
 
     ip: str
     message: Message
@@ -39,36 +39,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Boot:
-    """The process starts on what the disk holds."""
+    """The start of a process from the durable state on its disk."""
 
     kept: WholeRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """The process takes the leader for lost, or as leader begins a new view; `change`: which of `changes`."""
+    """The process suspects the leader, or starts a new view as leader; `change`: index in `changes`."""
 
     change: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The process is told to stop."""
+    """A request to the process to stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """A little time goes by."""
+    """The lapse of `SETTLE_MS`, after which a campaign advances."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskIn:
-    """A process without a slot asks for one."""
+    """A process without a slot requests one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """An operator's command."""
+    """The submission of an operator's command."""
 
     command: Command
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The process after an event, and what it asks for; `told` in order."""
+    """The process after an event and its effects; `reported` holds its outputs in order."""
 
     process: int
     sends: tuple[Send, ...]
@@ -88,25 +88,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """What decides whether a message can still mean something to a process."""
+    """The facts that decide whether a message can still affect a process."""
 
     identity: str
     promised: int
-    view: View | None  # that it has accepted
+    view: View | None  # the accepted view
     has_slot: bool
-    campaign: int  # the epoch for which it campaigns, 0 if it doesn't
-    is_installing: bool  # that campaign has its promises
-    leads: int  # the epoch that it leads, 0 if it doesn't
-    committed: int  # the number of the last write that is done, as the leader knows
-    change: Document  # the last write that it has taken
-    counted: frozenset[str]  # whose answers its campaign, or its write, has counted already; identities
+    campaign: int  # the epoch for which it campaigns, 0 if none
+    is_installing: bool  # the campaign has a majority of promises
+    leads: int  # the epoch that it leads, 0 if none
+    committed: int  # the number of the last write committed by this leader
+    change: Document  # the last accepted write
+    counted: frozenset[str]  # identities whose answers the campaign or write has already counted
 
 
 class MidpointRandom:
-    """Chance without chance."""
+    """A deterministic stand-in for `random.Random`."""
 
     def uniform(self, least: float, most: float) -> float:
-        """The middle."""
+        """Returns the midpoint of the interval."""
         return (least + most) / 2
 
 
@@ -120,7 +120,7 @@
 
 
 class Processes:
-    """Gives each distinct process a number; steps are remembered by number and event."""
+    """Numbers each distinct process and memoizes steps by number and event."""
 
     def __init__(
         self,
@@ -131,9 +131,9 @@
         make: ReplicaFactory = Replica,
         reduced: bool = True,
     ) -> None:
-        """Without `reads` nobody asks for proofs, and without `joins` nobody for a slot.
+        """Configures which state is relevant: `reads` need leadership proofs, `joins` slot requests.
 
-        What serves only them is left out of a process's state then, and refusals are lost, if `reduced`.
+        If `reduced`, state that serves only unused features is dropped, and refusals are lost.
         """
         self.spec, self.ips, self._reads, self._joins, self._make = spec, ips, reads, joins, make
         self._reduced = reduced
@@ -149,31 +149,31 @@
         self._steps: dict[tuple[int, Event], Outcome] = {}
 
     def leads(self, process: int) -> bool:
-        """Whether it is primary."""
+        """Returns whether the process is primary."""
         return self._leads[process]
 
     def settles(self, process: int) -> bool:
-        """Whether it waits for a little time to go by."""
+        """Returns whether the process waits for a `Settle` event."""
         return self._settles[process]
 
     def facts(self, process: int) -> Facts:
-        """What decides which messages can still mean something to it."""
+        """Returns the facts that decide which messages can still affect the process."""
         return self._facts[process]
 
     def changes(self, process: int) -> tuple[Change, ...]:
-        """The changes of members that it might begin, `NoChange` first."""
+        """Returns the membership changes that the process may start, `NoChange` first."""
         return self._changes[process]
 
     def may_join(self, process: int) -> bool:
-        """Whether it has anything to ask of others: it has no slot, or is told to stop."""
+        """Returns whether the process has no slot or was asked to stop, so that it has requests to others."""
         return self._joining[process]
 
     def may_end(self, process: int) -> bool:
-        """Whether it was told to stop, and may."""
+        """Returns whether the process was asked to stop and may end now."""
         return self._ending[process]
 
     def boot(self, index: int, kept: WholeRecord) -> Outcome:
-        """A process starts."""
+        """Returns the outcome of starting a process."""
         ip = self.ips[index]
         key = (-1 - index, Boot(kept))
         found = self._steps.get(key)
@@ -189,7 +189,7 @@
         return found
 
     def step(self, process: int, event: Event) -> Outcome:
-        """What an event makes of a process."""
+        """Returns the outcome of an event for a process."""
         key = (process, event)
         found = self._steps.get(key)
         if found is None:
@@ -199,11 +199,11 @@
         return found
 
     def adopt(self, replica: Replica, index: int) -> Outcome:
-        """A process as the caller has changed it."""
+        """Numbers a process that the caller has modified."""
         return self._finish_step(_Process(replica, 0.0), self.ips[index])
 
     def replica(self, process: int) -> Replica:
-        """A copy, to look at."""
+        """Returns a copy of the replica for inspection."""
         one: _Process = pickle.loads(self._images[process])
         return one.replica
 
@@ -234,7 +234,7 @@
                 replica.submit(command, one.now)
 
     def _run(self, replica: Replica, change: Change, now: float) -> None:
-        """As the real one; a change of members comes when the search says so, not when it is due."""
+        """Starts a campaign like the replica, but with the membership change chosen by the search."""
         if change == NoChange():
             replica._start_campaign(now, handover=True)
             return
@@ -243,7 +243,7 @@
         replica.candidate.start_campaign(view, now, True, change, replica._leaving_members.identities())
 
     def _finish_step(self, one: _Process, ip: str) -> Outcome:
-        """Carry out what comes back to the process itself, and number what it has become."""
+        """Delivers messages of the process to itself, and numbers the resulting process."""
         sends: list[Send] = []
         persists: list[tuple[Record, tuple[Send, ...]]] = []
         reported: list[Reply | Committed | Lead] = []
@@ -281,7 +281,7 @@
         return Outcome(number, tuple(sends), tuple(persists), tuple(reported))
 
     def _relevant(self, sends: tuple[Send, ...]) -> tuple[Send, ...]:
-        """Without refusals, which bind nobody and may be lost, and without beats where nobody reads."""
+        """Drops refusals, which bind nobody and may be lost, and heartbeats if there are no reads."""
         return tuple(
             send
             for send in sends
@@ -290,7 +290,7 @@
         )
 
     def _drop_irrelevant(self, replica: Replica) -> None:
-        """Drop what only says that somebody refused, and hints that nobody asks for."""
+        """Clears state that only records refusals, and hints that no enabled feature uses."""
         campaign = replica.candidate.campaign
         if campaign is not None:
             campaign.rejecting_slots.clear()
@@ -327,7 +327,7 @@
 
 
 def _changes(replica: Replica) -> tuple[Change, ...]:
-    """All changes of members that a leader might begin, whoever is silent or leaves."""
+    """Returns all membership changes that a leader may start, whoever is silent or leaves."""
     primary = replica.primary
     if primary is None or replica.durable_state.slot() is None:
         return (NoChange(),)
@@ -344,7 +344,7 @@
 
 
 def _counted(replica: Replica) -> frozenset[str]:
-    """Whose answers have been counted at the stage that a process is in."""
+    """Returns the identities whose answers are counted in the current stage."""
     campaign, primary = replica.candidate.campaign, replica.primary
     if campaign is not None and campaign.view is not None:
         return frozenset(campaign.view.member_at(slot).identity for slot in campaign.installed_slots)
@@ -356,7 +356,7 @@
 
 
 def canonical(value: Any) -> str:
-    """The same words for the same value, whatever objects it is made of."""
+    """Returns a string that is equal for equal values, independent of object identity."""
     return repr(_plain(value))
 
 
--- a/mastturn/control_check/lockstep.py
+++ b/mastturn/control_check/lockstep.py
@@ -1,7 +1,7 @@
-"""A few control processes without delays, on disks that sync at once; every exchange is written down.
+"""Runs a few control processes without delays, on disks that sync at once, and logs every exchange.
 
-Time goes by in ticks; all that a tick leads to is carried out before the next. A caller may look on at each
-step, that is before and after each sync and before each message, and let machines be lost in it.
+Time advances in ticks; all consequences of a tick are handled before the next. A callback runs at each step,
+that is before and after each sync and before each message, and may remove machines.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 
 class Lockstep:
-    """`cuts`: pairs (from, to) that lose messages; `hangs`: whose disks sync nothing; `frozen`: who rests."""
+    """`cuts`: pairs (from, to) that lose messages; `hangs`: hanging disks; `frozen`: suspended processes."""
 
     def __init__(self, machines: int = 3, losses: int = 1, make: ReplicaFactory = Replica) -> None:
         self.spec, self._make = Spec(machines, losses + 1), make
         self.on_step: Callable[[], None] | None = None  # called at each step
-        self.on_output: Callable[[Reply | Committed | Lead], None] | None = None  # called with each
-        self.rng: random.Random | None = None  # of the messages under way, any may be next
+        self.on_output: Callable[[Reply | Committed | Lead], None] | None = None  # called with each output
+        self.rng: random.Random | None = None  # if set, any of the messages in flight may be next
         self.now = 0.0
         self.lines: list[str] = []
         self.cuts: set[tuple[int, int]] = set()
         self.hangs: set[int] = set()
         self.frozen: set[int] = set()
-        self.lost: set[str] = set()  # kinds of message that are lost
+        self.lost: set[str] = set()  # type names of messages that are lost
         self.replies: list[Reply] = []
-        self.continued: list[bool] = []  # of each `Lead`
+        self.continued: list[bool] = []  # `goes_on` of each `Lead`
         self._sent: deque[tuple[int, int, Message]] = deque()
         self._held: dict[int, list[Persist]] = {}
         self.disks = {i: DurableState(f"i{i}") for i in range(machines)}
@@ -47,7 +47,7 @@
         self.lines.clear()
 
     def boot(self, index: int, founder: bool = False) -> None:
-        """A process starts on what its disk holds."""
+        """Starts a process from the durable state on its disk."""
         disk = self.disks[index]
         durable_state = DurableState(disk.identity, disk.promised, disk.view, disk.document)
         me = Member(
@@ -58,36 +58,36 @@
         self.replicas[index].start(self.now)
 
     def wipe(self, index: int, identity: str) -> None:
-        """The process loses its disk and starts anew."""
+        """Wipes the disk of a process and restarts it with a new identity."""
         self.disks[index] = DurableState(identity)
         self.boot(index)
 
     def lose(self, index: int) -> None:
-        """A machine goes, with its disk."""
+        """Removes a machine with its disk."""
         self.replicas.pop(index, None)
         self._held.pop(index, None)
         self.disks.pop(index, None)
 
     def end(self, index: int) -> None:
-        """A process ends; its disk stays."""
+        """Ends a process; its disk stays."""
         self.replicas.pop(index, None)
         self._held.pop(index, None)
 
     def cut(self, index: int) -> None:
-        """One process is cut off from all others."""
+        """Partitions one process from all others."""
         self.cuts |= {p for i in self.replicas if i != index for p in ((i, index), (index, i))}
 
     def primary(self) -> int | None:
-        """Who leads the latest view."""
+        """Returns the index of the leader of the latest view."""
         found = [(r.primary.view.epoch, i) for i, r in self.replicas.items() if r.primary is not None]
         return max(found)[1] if found else None
 
     def epoch(self) -> int:
-        """The latest epoch that somebody leads."""
+        """Returns the latest epoch that a process leads."""
         return max((r.primary.view.epoch for r in self.replicas.values() if r.primary is not None), default=0)
 
     def run(self, length_ms: float) -> None:
-        """Let time go by."""
+        """Advances the time tick by tick."""
         until = self.now + length_ms
         while self.now < until:
             self.now += TICK_MS
@@ -97,12 +97,12 @@
                     self.settle()
 
     def deliver(self, sender: int, receiver: int, message: Message) -> None:
-        """A message comes by itself, as from the network."""
+        """Delivers a message as if from the network."""
         self._sent.append((sender, receiver, message))
         self.settle()
 
     def settle(self) -> None:
-        """Carry out all that follows."""
+        """Handles all pending effects and messages."""
         while True:
             for index, replica in list(self.replicas.items()):
                 if index not in self.frozen:
@@ -117,7 +117,7 @@
                 self.replicas[receiver].on_message(ip(sender), message, self.now)
 
     def _next(self) -> tuple[int, int, Message]:
-        """The message that arrives next; those from one process to another stay in order."""
+        """Returns the next message to deliver; messages between the same two processes stay in order."""
         if self.rng is not None:
             place = self.rng.randrange(len(self._sent))
             ends = self._sent[place][:2]
@@ -133,7 +133,7 @@
             self.on_step()
 
     def free(self, index: int) -> None:
-        """A disk that hung syncs what has waited."""
+        """Ends the hang of a disk and syncs the queued records."""
         self.hangs.discard(index)
         for persist in self._held.pop(index, []):
             self._apply_effect(index, persist)
@@ -184,17 +184,17 @@
             self._sent.append((sender, receiver, message))
 
     def synced(self, index: int) -> bool:
-        """Whether the disk holds all that the process knows."""
+        """Returns whether the disk holds the complete state of the process."""
         return snapshot_record(self.disks[index]) == snapshot_record(self.replicas[index].durable_state)
 
 
 def ip(index: int) -> str:
-    """The address of a process."""
+    """Returns the IP of a process."""
     return f"10.0.{index}.1"
 
 
 def brief(message: Message) -> str:
-    """A message in a few words."""
+    """Returns a short form of a message."""
     parts = [type(message).__name__]
     view = getattr(message, "view", None)
     epoch = getattr(message, "epoch", None)
--- a/mastturn/control_check/losses.py
+++ b/mastturn/control_check/losses.py
@@ -1,10 +1,10 @@
-"""Further losses at every step of a replacement: whatever goes when, those that are left go on with all data.
+"""Injects further losses at every step of a replacement; the remaining machines continue with all data.
 
-A member is replaced by a newcomer: planned (told to stop while the newcomer waits), lost for good, or wiped,
-so that the newcomer starts at its own address. A step is a sync, before and after it, or a message. At one
-step as many more machines as are still to be borne lose their disks for good, or all processes are killed and
-start again; another may be cut off all the while. An operator changes the configuration all the time, and
-`Rules` judges what it is told.
+A member is replaced by a newcomer: planned (asked to stop while the newcomer waits), lost for good, or wiped,
+so that the newcomer starts at the same address. A step is the time before or after a sync, or before a
+message. At one step as many more machines as are still tolerated lose their disks for good, or all processes
+are killed and restarted; another may be partitioned meanwhile. An operator changes the configuration
+continuously, and `Rules` checks the replies.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from mastturn.control_check.lockstep import TICK_MS, Lockstep, ReplicaFactory
 from mastturn.control_check.rules import BrokenRuleError, PendingCall, Rules
 
-STOP_TIMEOUT_MS = 5_600.0  # a process that is told to stop is killed after that, whatever rests on it
-WAITING_MS = 400.0  # the newcomer has asked for a slot by then
-UNPLANNED_MS = 1_000.0  # after an unplanned loss the newcomer starts so much later
-BACK_MS = 500.0  # killed processes start again after that
-SETTLED_MS = 2_000.0  # an undisturbed replacement is over by then
-GOES_ON_MS = 6_000.0  # after the last loss somebody leads, and answers with all data, within this
-CUT_MS = 2_500.0  # one that is cut off is back after that
+STOP_TIMEOUT_MS = 5_600.0  # a process that is asked to stop is killed after this, whatever depends on it
+WAITING_MS = 400.0  # the newcomer has requested a slot by then
+UNPLANNED_MS = 1_000.0  # delay of the newcomer's start after an unplanned loss
+BACK_MS = 500.0  # killed processes restart after this
+SETTLED_MS = 2_000.0  # an undisturbed replacement finishes within this
+GOES_ON_MS = 6_000.0  # after the last loss a leader answers with all data within this
+CUT_MS = 2_500.0  # a partition heals after this
 ROLES = ("leader", "backup", "witness")
 
 
 class How(enum.Enum):
-    """How a member goes."""
+    """How a member is removed."""
 
     PLANNED = "told to stop"
     LOST = "lost for good"
@@ -43,15 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One replacement and what is lost in it; `step` -1: nothing."""
+    """One replacement with the losses at one step; `step` -1: no losses."""
 
     machines: int
-    role: str  # of the member that is replaced
+    role: str  # role of the replaced member
     how: How
     step: int = -1
-    lost: tuple[int, ...] = ()  # machines that lose their disks; none: all processes are killed
-    cut: int = -1  # a machine that is cut off from all others meanwhile; -1: none
-    seed: int = 0  # of the order in which messages arrive; 0: as they were sent
+    lost: tuple[int, ...] = ()  # machines that lose their disks; empty: all processes are killed
+    cut: int = -1  # a machine partitioned from all others meanwhile; -1: none
+    seed: int = 0  # seed of the message order; 0: in order of sending
 
     def __str__(self) -> str:
         what = f"{', '.join(map(str, self.lost))} lost" if self.lost else "all killed"
@@ -61,29 +61,29 @@
 
     @property
     def leaver(self) -> int:
-        """The machine that goes."""
+        """Returns the index of the machine to be replaced."""
         return ROLES.index(self.role) if self.role != "witness" else self.machines - 1
 
     @property
     def newcomer(self) -> int:
-        """The machine that comes in its place."""
+        """Returns the index of the replacement."""
         return self.leaver if self.how is How.WIPED else self.machines
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What came of a case."""
+    """The result of a case."""
 
     case: Case
-    broken: str = ""  # "" where every rule has held
+    broken: str = ""  # the violated rule with details; "" if none was violated
     steps: int = 0
     acknowledged: int = 0
-    healed_ms: float = 0.0  # from the begin until a view of living members only was in force everywhere
+    healed_ms: float = 0.0  # time until all members accepted a view of running members only
     lines: tuple[str, ...] = ()
 
 
 class _Operator:
-    """Sends one change after the other to whoever leads, again until it has an answer."""
+    """Sends changes one by one to the leader, retrying each until it is answered."""
 
     def __init__(self, world: Lockstep, rules: Rules) -> None:
         self._world, self._rules = world, rules
@@ -95,7 +95,7 @@
         self.only_reads = False
 
     def send_next(self) -> None:
-        """Send the next call, or the one before once more."""
+        """Sends the next call, or retries the current one."""
         leader = self._world.primary()
         if leader is None:
             return
@@ -116,7 +116,7 @@
         self._world.settle()
 
     def on_reply(self, reply: Reply) -> None:
-        """An answer, perhaps to a call of before."""
+        """Handles a reply, which may belong to an earlier attempt."""
         asked = self._asked.pop(reply.token, None)
         if asked is None or reply.verdict is Verdict.MOVED:
             return
@@ -146,7 +146,7 @@
         self._told_to_stop_at: float | None = None
 
     def play(self) -> Outcome:
-        """The outcome; all of it is kept in `world.lines`."""
+        """Returns the outcome; the log is in `world.lines`."""
         try:
             healed_ms = self._play()
         except BrokenRuleError as error:
@@ -219,7 +219,7 @@
             self._tick()
 
     def _end_leaver(self) -> None:
-        """The process that is told to stop ends once it may, or has to; the machine goes with it."""
+        """Ends the stopping process once it may end or its time is up, and removes the machine."""
         world = self.world
         leaver = world.replicas.get(self.leaver)
         if leaver is None or self._told_to_stop_at is None or self._killed_at is not None:
@@ -232,7 +232,7 @@
             world.lines.append(f"{self.leaver} has ended{' late' if late else ''}")
 
     def _step(self) -> None:
-        """Something is about to be carried out."""
+        """Counts the steps, and injects the losses at the step of the case."""
         if self._killed_at is None and self.steps == self.case.step:
             self._strike()
         self.steps += 1
@@ -249,14 +249,14 @@
         for index in list(world.replicas):
             world.end(index)
         if self._told_to_stop_at is not None:
-            world.disks.pop(self.leaver, None)  # it has been told to stop, and is not started again
+            world.disks.pop(self.leaver, None)  # was asked to stop, so it is not restarted
 
     def _is_over(self) -> bool:
         is_gone = self.case.how is not How.PLANNED or self.leaver not in self.world.replicas
         return self._killed_at is None and is_gone
 
     def _is_healthy(self) -> bool:
-        """Whether somebody leads and has the data on as many disks as it is to."""
+        """Returns whether a leader exists that had contact with a quorum within 300 ms."""
         world = self.world
         leader = world.primary()
         if leader is None:
@@ -266,7 +266,7 @@
         return world.now - primary.quorum_at() < 300.0
 
     def _is_healed(self) -> bool:
-        """Whether a view of living processes only is in force, and each of its members has accepted it."""
+        """Returns whether all members of the current view are running and have accepted it."""
         world = self.world
         leader = world.primary()
         if leader is None or not self._is_over():
@@ -289,7 +289,7 @@
 
 
 def cases(machines: int, orders: int = 1) -> Iterator[Case]:
-    """All cases of a number of machines; `orders`: in so many orders of messages each."""
+    """Yields all cases for a number of machines; `orders`: message orders for each case."""
     for role, how, seed in itertools.product(ROLES, How, range(orders)):
         baseline = Case(machines, role, how, seed=seed)
         others = [i for i in range(machines) if i != baseline.leaver]
@@ -298,7 +298,7 @@
 
 
 def _cases(baseline: Case) -> Iterator[Case]:
-    """All steps of one replacement, and all that may be lost in them."""
+    """Yields all combinations of a step of a replacement and the losses in it."""
     steps = Replacement(baseline).play().steps
     others = [i for i in range(baseline.machines + 1) if i not in (baseline.leaver, baseline.cut)]
     tolerated = (baseline.machines - 1) // 2
@@ -310,7 +310,7 @@
 
 
 def play_case(case: Case) -> Outcome:
-    """The outcome of one case, without its lines where nothing was broken."""
+    """Returns the outcome of one case, with its log only if a rule was broken."""
     found = Replacement(case).play()
     if found.broken:
         return found
@@ -318,7 +318,7 @@
 
 
 def play_cases(wanted: Iterable[Case], workers: int = 1) -> Iterator[Outcome]:
-    """The outcomes of many, over so many processes."""
+    """Yields the outcomes of many cases, played by `workers` processes."""
     if workers <= 1:
         yield from map(play_case, wanted)
         return
@@ -327,7 +327,7 @@
 
 
 def losses_table(outcomes: Sequence[Outcome]) -> list[str]:
-    """How many cases of each kind were played, and how many were not borne."""
+    """Returns a table of the cases of each kind, and how many of them broke a rule."""
     lines = ["| member | goes | strike | one cut off | cases | not borne |", "|---|---|---|---|---|---|"]
     kinds: dict[tuple[str, str, str, str], list[Outcome]] = {}
     for outcome in outcomes:
--- a/mastturn/control_check/steps.py
+++ b/mastturn/control_check/steps.py
@@ -1,8 +1,8 @@
-"""Every order of messages, losses, repeats, syncs and crashes of a few processes, up to stated bounds.
+"""Enumerates all interleavings of deliveries, losses, duplicates, syncs and crashes within bounds.
 
-A message that was sent can be delivered at any time, any number of times, or never: the network is the set of
-all that was ever sent. What is asked without being bound by it (Ask and its Answer) is carried out at once
-and always with a yes, so that nothing rests on time.
+A sent message can be delivered at any time, any number of times, or never: the network is the set of all
+messages ever sent. Non-binding requests (Ask and its Answer) are handled at once and always granted, so that
+nothing depends on time.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class Steps:
-    """What may happen next within bounds, and what it leads to."""
+    """Computes the possible actions of a state within bounds, and their successor states."""
 
     def __init__(self, bounds: Bounds, make: ReplicaFactory = Replica) -> None:
         self.bounds = bounds
@@ -61,7 +61,7 @@
     # ---- the first state
 
     def begin(self) -> State:
-        """All have accepted the first view, and its primary leads."""
+        """Returns the initial state: all accepted the first view, its primary leads, `before` is applied."""
         size, members = self._size, self.bounds.machines
         kept = tuple(self._values.number(snapshot_record(DurableState(f"i{i}"))) for i in range(size))
         none: tuple[int, ...] = (0,) * size
@@ -102,7 +102,7 @@
     # ---- steps
 
     def actions(self, state: State) -> list[str]:
-        """All that may happen next."""
+        """Returns all actions that are possible in a state."""
         found = []
         for index in range(self._size):
             if index in state.gone:
@@ -110,12 +110,12 @@
             if state.queues[index]:
                 found.append(f"sync {index}")
                 if self._reduction.is_late(state, index):
-                    return [f"sync {index}"]  # as good as a message that comes late
+                    return [f"sync {index}"]  # equivalent to a delayed message
             found += self._own_actions(state, index)
         return found + [f"deliver {number}" for number in numbers_in(state.sent)]
 
     def _own_actions(self, state: State, index: int) -> list[str]:
-        """What a process may do, or may befall it, apart from syncs and messages."""
+        """Returns the possible actions of a process apart from syncs and deliveries."""
         process, remaining, processes = state.processes[index], state.remaining, self.processes
         found = []
         if processes.settles(process):
@@ -142,7 +142,7 @@
         return found
 
     def act(self, state: State, action: str) -> State:
-        """What an action leads to; raises BrokenRuleError."""
+        """Returns the state after an action; raises BrokenRuleError."""
         return self._reduction.without_inert(self._act(state, action))
 
     def _act(self, state: State, action: str) -> State:
@@ -188,7 +188,7 @@
         raise ValueError(action)
 
     def _ask_in(self, state: State, index: int) -> State:
-        """Ask for a slot, or to be released; a newcomer asks whoever leads at that moment."""
+        """Requests a slot or a release; a newcomer sends the request to the current leaders only."""
         outcome = self.processes.step(state.processes[index], AskIn())
         if index >= self.bounds.machines:
             leading = {ip for ip, p in zip(self.ips, state.processes, strict=True) if self.processes.leads(p)}
@@ -202,7 +202,7 @@
         processes = replace_at(state.processes, index, outcome.process)
         queues = state.queues
         if outcome.persists:
-            # A record that waits already is not queued a second time: its sync would change nothing.
+            # A record that is already queued is not queued again: its second sync would change nothing.
             fresh = [p for p in map(self._values.number, outcome.persists) if p not in queues[index]]
             queues = replace_at(queues, index, (*queues[index], *fresh))
         sent = state.sent
@@ -252,7 +252,7 @@
         return self._after(state, index, self.processes.boot(index, kept))
 
     def _go(self, state: State, index: int) -> State:
-        """A machine goes for good, with its disk."""
+        """Removes a machine for good, with its disk."""
         gone = tuple(sorted({*state.gone, index}))
         nothing = self._values.number(snapshot_record(DurableState(f"gone{index}")))
         outcome = self.processes.boot(index, self._values[nothing])
@@ -265,7 +265,7 @@
         )
 
     def _campaign(self, state: State, index: int, change: int) -> State:
-        """Ask and answer, carried out at once; who agrees is heard first."""
+        """Starts a campaign, handling Ask and Answer at once; positive answers are delivered first."""
         outcome = self.processes.step(state.processes[index], Run(change))
         asks = [s for s in outcome.sends if isinstance(s.message, Ask)]
         rest = tuple(s for s in outcome.sends if not isinstance(s.message, Ask))
@@ -293,15 +293,15 @@
         return self._step(state, index, Submit(replace(self.commands[command], token=token)))
 
     def reported(self, state: State) -> Hashable:
-        """All that processes and operators have said so far, as `Rules` keeps it."""
+        """Returns the snapshot of everything that the rules have recorded so far."""
         return self._values[state.rules_snapshot]  # type: ignore[no-any-return]
 
     def acknowledged(self, state: State) -> bool:
-        """Whether a write is acknowledged."""
+        """Returns whether any write was acknowledged."""
         return len(restore_rules(self._values[state.rules_snapshot]).winners) > 0
 
     def describe(self, action: str) -> str:
-        """An action in full."""
+        """Returns an action with the message that it delivers."""
         if not action.startswith("deliver"):
             return action
         index, delivery = self._messages[int(action.split()[1])]
@@ -309,7 +309,7 @@
 
 
 def _only_to(ips: set[str], outcome: Outcome) -> Outcome:
-    """The same, but for messages to others."""
+    """Returns the outcome with only the messages to these IPs."""
     sends = tuple(send for send in outcome.sends if send.ip in ips)
     persists = tuple(
         (record, tuple(send for send in then if send.ip in ips)) for record, then in outcome.persists
--- a/tests/test_control_check.py
+++ b/tests/test_control_check.py
@@ -1,4 +1,4 @@
-"""The command of the control state's checks: what it plays, keeps, draws and says."""
+"""The command line of the control state checks: searches, histories, stored series, tables and plots."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from mastturn.files import LabError
 
 
-def call(*words: str) -> tuple[int, str]:
-    done = CliRunner().invoke(main, list(words))
-    return done.exit_code, done.output
+def call(*arguments: str) -> tuple[int, str]:
+    result = CliRunner().invoke(main, list(arguments))
+    return result.exit_code, result.output
 
 
 def history(seed: int, *gaps: tuple[str, float], broken: str = "") -> History:
@@ -25,11 +25,11 @@
 
 
 def test_histories_are_played_kept_and_drawn(tmp_path: Path) -> None:
-    kept, picture = tmp_path / "new" / "three.json", tmp_path / "three.png"
-    status, said = call("play", "--count", "2", "--jobs", "1", "--out", str(kept))
-    assert status == 0 and "| 3 machines, 1 ms a sync | 0 to 1 | 0 |" in said
-    status, drawn = call("draw", str(kept), "--out", str(picture))
-    assert status == 0 and drawn == said and picture.read_bytes().startswith(b"\x89PNG")
+    series_file, picture = tmp_path / "new" / "three.json", tmp_path / "three.png"
+    status, output = call("play", "--count", "2", "--jobs", "1", "--out", str(series_file))
+    assert status == 0 and "| 3 machines, 1 ms a sync | 0 to 1 | 0 |" in output
+    status, redrawn = call("draw", str(series_file), "--out", str(picture))
+    assert status == 0 and redrawn == output and picture.read_bytes().startswith(b"\x89PNG")
 
 
 def test_a_table_says_what_took_longer_than_the_aim() -> None:
@@ -44,8 +44,8 @@
 def test_a_broken_rule_is_said_and_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     found = [history(7, broken="no loss: 3 after 4")]
     monkeypatch.setattr("mastturn.control_check.__main__.play_all", lambda *_: found)
-    status, said = call("play", "--count", "1")
-    assert status == 1 and "a rule is broken: 7: no loss: 3 after 4" in said
+    status, output = call("play", "--count", "1")
+    assert status == 1 and "a rule is broken: 7: no loss: 3 after 4" in output
 
 
 def test_what_is_no_series_is_refused(tmp_path: Path) -> None:
@@ -53,13 +53,13 @@
     bad.write_text('{"machines": 3}')
     with pytest.raises(LabError, match="make one with play --out"):
         read_series(bad)
-    status, said = call("draw", str(bad))
-    assert status == 1 and "is no series of histories" in said
+    status, output = call("draw", str(bad))
+    assert status == 1 and "is no series of histories" in output
 
 
 def test_a_search_says_how_far_it_went() -> None:
-    status, said = call("search", "three", "--states", "300", "--jobs", "1")
-    row = said.splitlines()[-1]
+    status, output = call("search", "three", "--states", "300", "--jobs", "1")
+    row = output.splitlines()[-1]
     assert status == 0 and row.startswith("| 3 | 2 | 1 | 1 | ") and "no: all of fewer than" in row
     assert {b.machines for b in SEARCHES.values()} == {3, 5}
 
