--- a/control/node.py
+++ b/control/node.py
@@ -16,10 +16,10 @@
 from consensus.awake_clock import AwakeClock
 from consensus.codec import decode_nested
 from consensus.effects import Committed, Effect, Lead, Persist, Reply, Send, Spec, Verdict
-from consensus.keeper import FOUNDER_PREFIX, StateStore
 from consensus.primary import Command, Get
 from consensus.replica import Replica
 from consensus.spread import Spread
+from consensus.state_store import FOUNDER_PREFIX, StateStore
 from consensus.views import Member
 from control.operators import OPERATOR_ROUTES
 from control.publisher import Publisher
--- a/mastturn/capacity/fleet.py
+++ b/mastturn/capacity/fleet.py
@@ -292,8 +292,8 @@
     logger.disable("mastturnd")
     logger.disable("dissemination")
     with (
-        mock.patch("consensus.keeper.DiskQueue", InlineQueue),
-        mock.patch("consensus.keeper.OsFiles", MemoryFiles),
+        mock.patch("consensus.state_store.DiskQueue", InlineQueue),
+        mock.patch("consensus.state_store.OsFiles", MemoryFiles),
         mock.patch("mastturnd.balancing.Balancer", HollowBalancer),
     ):
         try:
--- a/tests/fabric_world.py
+++ b/tests/fabric_world.py
@@ -395,11 +395,11 @@
     logger.remove()
     sink = logger.add(log, format="{level} {message}", level="DEBUG")
     with (
-        mock.patch("consensus.keeper.secrets", fixed_secrets),
+        mock.patch("consensus.state_store.secrets", fixed_secrets),
         mock.patch("control.node.secrets", fixed_secrets),
         mock.patch("mastturnd.balancing.secrets", fixed_secrets),
-        mock.patch("consensus.keeper.DiskQueue", InlineQueue),
-        mock.patch("consensus.keeper.OsFiles", own_disk),
+        mock.patch("consensus.state_store.DiskQueue", InlineQueue),
+        mock.patch("consensus.state_store.OsFiles", own_disk),
         mock.patch("tallies.journal.DiskQueue", InlineQueue),
         mock.patch("tallies.journal.OsFiles", own_disk),
         mock.patch("mastturnd.balancing.Balancer", DataPlane),
--- a/tests/test_control_host_disk.py
+++ b/tests/test_control_host_disk.py
@@ -13,7 +13,7 @@
 from consensus import messages as control
 from consensus.codec import PromiseRecord, WriteRecord, encode_record, snapshot_record
 from consensus.disk_store import Loaded, Store
-from consensus.keeper import MAX_LOG_BYTES, RETRY_S, SYNC_TIMEOUT_S, StateStore
+from consensus.state_store import MAX_LOG_BYTES, RETRY_S, SYNC_TIMEOUT_S, StateStore
 from consensus.views import Document, DurableState
 from control.node import TICK_S
 from tests.fabric import Process
@@ -236,8 +236,8 @@
     async def scene(world: World) -> None:
         queue, health_changes = ManualQueue(), list[bool]()
         with (
-            mock.patch("consensus.keeper.DiskQueue", lambda store: queue),
-            mock.patch("consensus.keeper.OsFiles", Disk),
+            mock.patch("consensus.state_store.DiskQueue", lambda store: queue),
+            mock.patch("consensus.state_store.OsFiles", Disk),
         ):
             state_store = StateStore("/disk", health_changes.append)
         loading = asyncio.create_task(state_store.load(False))
--- a/tests/test_memory_shortage.py
+++ b/tests/test_memory_shortage.py
@@ -17,7 +17,7 @@
 from consensus.disk_queue import DiskQueue
 from consensus.disk_store import Store
 from consensus.files import OsFiles
-from consensus.keeper import StateStore
+from consensus.state_store import StateStore
 from tests.loopback import run, until
 
 
@@ -35,8 +35,8 @@
 
 @pytest.fixture
 def short(monkeypatch: pytest.MonkeyPatch) -> type[ShortFiles]:
-    monkeypatch.setattr("consensus.keeper.OsFiles", ShortFiles)
-    monkeypatch.setattr("consensus.keeper.RETRY_S", 0.01)
+    monkeypatch.setattr("consensus.state_store.OsFiles", ShortFiles)
+    monkeypatch.setattr("consensus.state_store.RETRY_S", 0.01)
     ShortFiles.failing = 0
     return ShortFiles
 
@@ -107,7 +107,7 @@
         health_changes: list[bool] = []
         state_store = StateStore(str(tmp_path), health_changes.append)
         await state_store.load(True)
-        monkeypatch.setattr("consensus.keeper.encode_record", without_memory)
+        monkeypatch.setattr("consensus.state_store.encode_record", without_memory)
         done: list[int] = []
         state_store.append(PromiseRecord(4), lambda: done.append(4))
         assert health_changes == [False]
