--- a/consensus/candidate.py
+++ b/consensus/candidate.py
@@ -10,7 +10,7 @@
 from consensus.effects import Effect, Send, Spec
 from consensus.membership import Change
 from consensus.messages import InstallViewAck, Message, PreVoteResponse, Promise
-from consensus.patience import TimeoutBackoff
+from consensus.timeout_backoff import TimeoutBackoff
 from consensus.views import Member, View
 
 
--- a/tests/test_replica_exchanges.py
+++ b/tests/test_replica_exchanges.py
@@ -18,9 +18,9 @@
     TransferLeadership,
     WriteAck,
 )
-from consensus.patience import TimeoutBackoff
 from consensus.primary import Get, Put
 from consensus.spread import Spread
+from consensus.timeout_backoff import TimeoutBackoff
 from consensus.views import Member, View
 from mastturn.control_check.lockstep import Lockstep, ip
 
