--- a/consensus/replica.py
+++ b/consensus/replica.py
@@ -32,7 +32,7 @@
     WriteAck,
 )
 from consensus.primary import Command, Primary
-from consensus.terms import PreviousTerm, Succession
+from consensus.succession import PreviousTerm, Succession
 from consensus.views import DurableState, Member, View
 
 # Share of the leader timeout that is left to a silent primary when a process starts.
