--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -29,7 +29,7 @@
 from balancer.wire import free_handle_call
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
-from dissemination.doubts import FailureCounts
+from dissemination.failure_reports import FailureCounts
 from passpost.attempt import OutgoingRequest
 from passpost.client_options import ClientOptions
 from passpost.http1 import Headers
--- a/control/reports.py
+++ b/control/reports.py
@@ -7,7 +7,7 @@
 
 from control.news_relay import UpdateRelay
 from dissemination.cached_prefixes import Holdings
-from dissemination.doubts import FailureSum
+from dissemination.failure_reports import FailureSum
 from dissemination.feed import Feed
 from dissemination.latest_updates import LatestUpdates
 from dissemination.load_steps import Figures, Loads
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -18,7 +18,7 @@
 from dissemination import messages
 from dissemination.cached_prefixes import Holdings
 from dissemination.counting import BalancerCount
-from dissemination.doubts import FailureExchange
+from dissemination.failure_reports import FailureExchange
 from dissemination.feed import Feed
 from dissemination.follower import STALE_AFTER_S, Follower, Ports
 from dissemination.latest_updates import LatestUpdates
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -13,7 +13,7 @@
 from balancer.tiers import Tiers
 from balancer.trust import FAILURE_WEIGHT, MIN_IN_USE, PROBATION_S, SILENCE_WEIGHT, WINDOW_S, is_failure
 from config.configuration import Upstream
-from dissemination.doubts import FailureSum, pack, unpack
+from dissemination.failure_reports import FailureSum, pack, unpack
 from dissemination.messages import FailureReport, UpstreamFailures
 from passpost.http1 import Response
 from tests.balancer_stage import FakeUpstream, answer, configuration, route, running_balancer
