--- a/control/publisher.py
+++ b/control/publisher.py
@@ -14,8 +14,8 @@
 from control.phase_controller import CONTROL_INTERVAL_S, ConfirmEpoch, OnNewerEpoch, PhaseController
 from control.reports import Reports, Stamp
 from control.upstream_reader import UpstreamReader
+from dissemination.balancer_count import Presence
 from dissemination.cached_prefixes import Holdings
-from dissemination.counting import Presence
 from dissemination.feed import Feed
 from dissemination.follower import PULSE_INTERVAL_S
 from dissemination.latest_updates import LatestUpdates
--- a/mastturnd/balancing.py
+++ b/mastturnd/balancing.py
@@ -16,8 +16,8 @@
 from config.settings import Settings, parse_address
 from control.platform import PlatformList
 from dissemination import messages
+from dissemination.balancer_count import BalancerCount
 from dissemination.cached_prefixes import Holdings
-from dissemination.counting import BalancerCount
 from dissemination.failure_reports import FailureExchange
 from dissemination.feed import Feed
 from dissemination.follower import STALE_AFTER_S, Follower, Ports
--- a/tests/test_dissemination_tables.py
+++ b/tests/test_dissemination_tables.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dissemination.counting import COUNT_WINDOW_S, BalancerCount
+from dissemination.balancer_count import COUNT_WINDOW_S, BalancerCount
 from dissemination.latest_updates import LatestUpdates
 from dissemination.messages import (
     ConfigurationUpdate,
