--- a/control/platform.py
+++ b/control/platform.py
@@ -10,7 +10,7 @@
 
 from config.settings import Address
 from control import cold_times
-from dissemination.lists import encode_list
+from dissemination.list_changes import encode_list
 from passpost.discovery import DiscoveryConnection
 
 CALL_TIMEOUT_S = 1.0  # for one page
--- a/control/publisher.py
+++ b/control/publisher.py
@@ -19,7 +19,7 @@
 from dissemination.feed import Feed
 from dissemination.follower import PULSE_INTERVAL_S
 from dissemination.latest_updates import LatestUpdates
-from dissemination.lists import diff_lists
+from dissemination.list_changes import diff_lists
 from dissemination.messages import (
     Attach,
     CachedPrefixReport,
--- a/dissemination/feed.py
+++ b/dissemination/feed.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from dissemination.latest_updates import LatestUpdates
-from dissemination.lists import digest_of, unchanged_list
+from dissemination.list_changes import digest_of, unchanged_list
 from dissemination.messages import (
     Attach,
     ConfigurationUpdate,
--- a/dissemination/follower.py
+++ b/dissemination/follower.py
@@ -12,7 +12,7 @@
 
 from config.errors import GapError
 from dissemination.latest_updates import LatestUpdates
-from dissemination.lists import ListCopy, digest_of
+from dissemination.list_changes import ListCopy, digest_of
 from dissemination.messages import (
     Attach,
     CachedPrefixUpdate,
--- a/dissemination/list_reader.py
+++ b/dissemination/list_reader.py
@@ -6,7 +6,7 @@
 
 from config.checking import parse_upstreams
 from config.configuration import Upstream
-from dissemination.lists import digest_of
+from dissemination.list_changes import digest_of
 from dissemination.messages import UpstreamChange, UpstreamListUpdate
 
 
--- a/mastturn/capacity/parts.py
+++ b/mastturn/capacity/parts.py
@@ -16,7 +16,7 @@
 from config.checking import check, parse_configuration, parse_upstreams
 from control.platform import pack
 from dissemination.cached_prefixes import Holdings
-from dissemination.lists import apply_change, diff_lists
+from dissemination.list_changes import apply_change, diff_lists
 from dissemination.load_steps import Loads, LoadStepEncoder, LoadTable
 from dissemination.loads import PeerLoads, add, unpack
 from dissemination.loads import pack as pack_loads
--- a/mastturnd/alone.py
+++ b/mastturnd/alone.py
@@ -19,7 +19,7 @@
 from control.cold_times import ColdTimes
 from control.platform import PlatformError, PlatformList, pack
 from dissemination.latest_updates import LatestUpdates
-from dissemination.lists import apply_change, diff_lists, unchanged_list
+from dissemination.list_changes import apply_change, diff_lists, unchanged_list
 from dissemination.messages import PresentBalancer, UpstreamChange, UpstreamListUpdate
 from dissemination.relay_tree import heads_of
 from transport.endpoint import Endpoint
--- a/tests/test_dissemination_lists.py
+++ b/tests/test_dissemination_lists.py
@@ -14,8 +14,8 @@
 from config.errors import GapError, WireError
 from control.node import KINDS
 from control.platform import pack
+from dissemination.list_changes import ListCopy, apply_change, diff_lists, digest_of, unchanged_list
 from dissemination.list_reader import ListReader
-from dissemination.lists import ListCopy, apply_change, diff_lists, digest_of, unchanged_list
 from dissemination.messages import (
     Attach,
     ConfigurationUpdate,
