--- a/control/publisher.py
+++ b/control/publisher.py
@@ -10,9 +10,9 @@
 from config.settings import Settings
 from consensus.views import Document, Member, View
 from control.announcer import Announcer
-from control.news_relay import UpdateRelay
 from control.phase_controller import CONTROL_INTERVAL_S, ConfirmEpoch, OnNewerEpoch, PhaseController
 from control.reports import Reports, Stamp
+from control.update_relay import UpdateRelay
 from control.upstream_reader import UpstreamReader
 from dissemination.balancer_count import Presence
 from dissemination.cached_prefixes import Holdings
--- a/control/reports.py
+++ b/control/reports.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from control.news_relay import UpdateRelay
+from control.update_relay import UpdateRelay
 from dissemination.cached_prefixes import Holdings
 from dissemination.failure_reports import FailureSum
 from dissemination.feed import Feed
--- a/tests/test_leader_out_of_reach.py
+++ b/tests/test_leader_out_of_reach.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from control.news_relay import RETURN_WINDOW_S, Redirects
+from control.update_relay import RETURN_WINDOW_S, Redirects
 from dissemination.follower import STALE_AFTER_S
 from tests.fabric_callers import configuration
 from tests.fabric_scenes import start_fleet, wait_in_force
