--- a/control/node.py
+++ b/control/node.py
@@ -23,7 +23,7 @@
 from consensus.views import Member
 from control.operators import OPERATOR_ROUTES
 from control.publisher import Publisher
-from control.tally_calls import TALLY_ROUTES
+from control.tally_api import TALLY_ROUTES
 from control.tally_keeper import TallyKeeper
 from dissemination import messages as updates
 from tallies import messages as tallies
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -22,7 +22,7 @@
 from consensus.primary import Command
 from consensus.views import Member, View
 from control.operators import DECISION_TIMEOUT_S, OPERATOR_ROUTES, POLL_INTERVAL_S
-from control.tally_calls import TALLIES_PREFIX as TALLIES
+from control.tally_api import TALLIES_PREFIX as TALLIES
 from dissemination import messages as news
 from dissemination.messages import Attach, Redirect
 from tallies import messages as tallies
