--- a/control/node.py
+++ b/control/node.py
@@ -27,8 +27,8 @@
 from control.tally_keeper import TallyKeeper
 from dissemination import messages as updates
 from tallies import messages as tallies
-from transport.calls import HttpServer, Routes
 from transport.endpoint import Endpoint
+from transport.http_server import HttpServer, Routes
 from transport.links import Links
 from transport.wire import Link, MessageKinds
 
--- a/control/operators.py
+++ b/control/operators.py
@@ -13,7 +13,7 @@
 from consensus.effects import Verdict
 from consensus.primary import Command, Get, Put
 from consensus.views import ChangeStatus, Document, Member
-from transport.calls import Request, Response, Routes, json_response
+from transport.http_server import Request, Response, Routes, json_response
 
 OPERATOR_ROUTES = Routes()
 DECISION_TIMEOUT_S = 0.75  # callers try another process after one second without an answer
--- a/control/tally_api.py
+++ b/control/tally_api.py
@@ -11,7 +11,7 @@
 from config.errors import InvalidTallyError
 from control.operators import DECISION_TIMEOUT_S, RETRY_AFTER_S
 from control.tally_keeper import TallyKeeper
-from transport.calls import Request, Response, Routes, json_response
+from transport.http_server import Request, Response, Routes, json_response
 
 TALLY_ROUTES = Routes()
 TALLIES_PREFIX = "/api/tallies/"
--- a/mastturnd/balancer_calls.py
+++ b/mastturnd/balancer_calls.py
@@ -16,7 +16,7 @@
 from mastturnd import balancer_report, explaining, figures
 from mastturnd.pace import RateLimiter
 from mastturnd.reported import ReportedRole
-from transport.calls import REASONS
+from transport.http_server import REASONS
 
 _RATE_LIMITERS = {target: RateLimiter() for target in ("/api/status", "/api/explain", "/metrics")}
 _tasks: set[asyncio.Task[None]] = set()
--- a/mastturnd/control_calls.py
+++ b/mastturnd/control_calls.py
@@ -11,7 +11,7 @@
 
 from control.operators import OPERATOR_ROUTES
 from mastturnd.pace import RateLimiter
-from transport.calls import Request, Response, json_response
+from transport.http_server import Request, Response, json_response
 
 if TYPE_CHECKING:
     from control.node import ControlNode
--- a/mastturnd/dashboard.py
+++ b/mastturnd/dashboard.py
@@ -15,7 +15,7 @@
 from mastturnd import fleet_status
 from mastturnd.tables import format_cell, is_number
 from mastturnd.wrong import NoAnswerError
-from transport.calls import Response, json_response
+from transport.http_server import Response, json_response
 
 CACHE_S = 2.0  # a rendered page is served for this long
 REFRESH_INTERVAL_S = 5  # a browser reloads the page
--- a/mastturnd/referral.py
+++ b/mastturnd/referral.py
@@ -26,8 +26,8 @@
 from dissemination import messages as news
 from dissemination.messages import Attach, Redirect
 from tallies import messages as tallies
-from transport.calls import HttpServer, Request, Response, Routes, json_response
 from transport.endpoint import Endpoint
+from transport.http_server import HttpServer, Request, Response, Routes, json_response
 from transport.links import Links
 from transport.tasks import run_forever
 from transport.wire import Link, MessageKinds
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -49,7 +49,7 @@
 from tests.fuzz_inputs import LIMITS, as_text, changed, deep, json_of, of_schema, spoilt
 from tests.test_config_settings import WHOLE
 from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, _balancer, _control
-from transport.calls import _HttpConnection
+from transport.http_server import _HttpConnection
 from transport.wire import MAX_FRAME_BYTES, FrameReader, Link, MessageKinds, to_avro
 
 BETWEEN = MessageKinds().include(control.KINDS).include(news.KINDS)
--- a/tests/test_mastturnd_dashboard.py
+++ b/tests/test_mastturnd_dashboard.py
@@ -21,7 +21,7 @@
 from tests.fabric_world import assert_approved
 from tests.loopback import run
 from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, FakeControlServer, _balancer, _control
-from transport.calls import HttpServer, Response
+from transport.http_server import HttpServer, Response
 
 
 class Node:
--- a/tests/test_transport_strangers.py
+++ b/tests/test_transport_strangers.py
@@ -17,7 +17,7 @@
 from tests.fabric_callers import Answer, ask, call, configuration
 from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import BALANCER_PORT, CONTROL_PORT, CTL_PORT, World, play
-from transport.calls import MAX_BODY_BYTES
+from transport.http_server import MAX_BODY_BYTES
 from transport.wire import MAX_FRAME_BYTES, FrameReader
 
 
