--- a/balancer/tiers.py
+++ b/balancer/tiers.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 
 from balancer.cold_share import ColdShare
-from balancer.kept import PrefixIndex
 from balancer.peer import Peer
+from balancer.prefix_index import PrefixIndex
 from balancer.prompt import Prompt
 from balancer.trust import OutlierDetector
 from balancer.versions import WantedVersions, with_wanted_versions
--- a/mastturn/capacity/memory.py
+++ b/mastturn/capacity/memory.py
@@ -12,7 +12,7 @@
 import uvloop
 from loguru import logger
 
-from balancer.kept import MAX_PAIRS
+from balancer.prefix_index import MAX_PAIRS
 from config.settings import CloudApi, Limits, Settings
 from control.platform import pack
 from dissemination.cached_prefixes import MAX_HOLDERS, MAX_SUBJECTS
--- a/tests/test_balancer_draw.py
+++ b/tests/test_balancer_draw.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from balancer.kept import MAX_PAIRS, PrefixIndex
 from balancer.peer import FETCH_BLOCK_S, MAX_FAILED_FETCHES, Peer
+from balancer.prefix_index import MAX_PAIRS, PrefixIndex
 from balancer.prompt import Prompt
 from balancer.tiers import (
     CALL_TOLERANCE,
