--- a/balancer/active_request.py
+++ b/balancer/active_request.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from balancer import pair as steps
+from balancer import request_machine as steps
 from balancer.context import RequestContext
 from balancer.ingress import RoutedCall
 from balancer.peer import Peer
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -15,10 +15,10 @@
 from balancer.answer_log import AnswerLog
 from balancer.cold_share import ColdShare, Place
 from balancer.ingress import RoutedCall, read_head
-from balancer.pair import Handle
 from balancer.peer import Peer
 from balancer.prompt import Prompt
 from balancer.request_counters import Refusal, RequestCounters
+from balancer.request_machine import Handle
 from balancer.retry_budget import RetryBudget
 from balancer.routes import RouteTable, draw_service
 from balancer.standing import UpstreamHealth
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -4,10 +4,10 @@
 
 from typing import Protocol
 
-from balancer.pair import Budget, Handle
 from balancer.peer import Peer
 from balancer.prompt import Prompt
 from balancer.request_counters import RequestCounters
+from balancer.request_machine import Budget, Handle
 from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
 from balancer.urgency import PriorityEstimator
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -80,7 +80,7 @@
 
 
 def _repeated_after_reset() -> None:
-    from balancer.pair import Budget, RequestStateMachine
+    from balancer.request_machine import Budget, RequestStateMachine
 
     made = RequestStateMachine.__init__
 
--- a/tests/test_balancer_pair.py
+++ b/tests/test_balancer_pair.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from balancer.pair import (
+from balancer.request_machine import (
     MAX_UNSENT,
     Abort,
     CallEnd,
