--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from balancer.context import RequestContext
-from balancer.patience import SilenceTimer, silence_timeout_s
 from balancer.peer import Peer
+from balancer.silence_timeout import SilenceTimer, silence_timeout_s
 from balancer.wire import UpstreamRequest
 from passpost.attempt import Attempt, AttemptCallback, ResponseSink
 from passpost.http1 import Response
--- a/tests/test_balancer_balancer.py
+++ b/tests/test_balancer_balancer.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from balancer import options, patience
+from balancer import options, silence_timeout
 from config.configuration import ClientLimits
 from passpost import server
 from tests.balancer_stage import (
@@ -507,8 +507,8 @@
 
 def test_a_silent_prefill_call_is_left_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(patience, "PREFILL_TIMEOUT_S", 0.02)
-        monkeypatch.setattr(patience, "MAX_PREFILL_EXTRA_S", 0.02)
+        monkeypatch.setattr(silence_timeout, "PREFILL_TIMEOUT_S", 0.02)
+        monkeypatch.setattr(silence_timeout, "MAX_PREFILL_EXTRA_S", 0.02)
         gate = asyncio.Event()
         p, q = (
             FakeUpstream("p", "prefill", when_set(gate, prefill)),
