--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -21,9 +21,9 @@
 from balancer.request_machine import Handle
 from balancer.retry_budget import RetryBudget
 from balancer.routes import RouteTable, draw_service
-from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
 from balancer.upstream_call import ANSWER_GRACE_S
+from balancer.upstream_health import UpstreamHealth
 from balancer.urgency import PriorityEstimator
 from balancer.versions import wanted_versions
 from balancer.wire import free_handle_call
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -10,8 +10,8 @@
 from balancer.balancer import Balancer
 from balancer.ingress import RoutedCall
 from balancer.prompt import Prompt
-from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
+from balancer.upstream_health import UpstreamHealth
 from balancer.wire import UpstreamRequest
 from config.configuration import Configuration, Upstream
 from config.settings import Bounds, CloudApi, Limits, Settings
