--- a/balancer/trust.py
+++ b/balancer/outlier_detection.py
@@ -3,10 +3,10 @@
 Failures are an upstream's own errors, answers that broke off or were invalid, and calls in flight to a silent
 upstream (at half weight, as silence may be load). The failures of the last `WINDOW_S` are compared with the
 calls that an upstream usually gets in that time. With many balancers each sees too few calls, so failures are
-summed over the fleet (`dissemination.failure_reports`). An upstream is ejected on the evidence of this balancer's own
-calls, of two balancers of its zone, or of balancers of two zones: one balancer's bad link, or one zone's,
-ejects nothing elsewhere. Once most failures have expired, an upstream is on probation for `PROBATION_S`: it
-gets only repeatable requests, and a third of the evidence ejects it again.
+summed over the fleet (`dissemination.failure_reports`). An upstream is ejected on the evidence of this
+balancer's own calls, of two balancers of its zone, or of balancers of two zones: one balancer's bad link, or
+one zone's, ejects nothing elsewhere. Once most failures have expired, an upstream is on probation for
+`PROBATION_S`: it gets only repeatable requests, and a third of the evidence ejects it again.
 """
 
 from __future__ import annotations
--- a/balancer/tiers.py
+++ b/balancer/tiers.py
@@ -1,7 +1,7 @@
 """The upstreams by service and phase (tiers), and the selection of an upstream for a call.
 
 Upstreams are drawn by `umberworks.choice`. Before the draw the ready set is filtered here: by state, phase,
-silence, outlier ejection (`balancer.trust`), cached prefixes and zone.
+silence, outlier ejection (`balancer.outlier_detection`), cached prefixes and zone.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 
 from balancer.cold_share import ColdShare
+from balancer.outlier_detection import OutlierDetector
 from balancer.peer import Peer
 from balancer.prefix_index import PrefixIndex
 from balancer.prompt import Prompt
-from balancer.trust import OutlierDetector
 from balancer.versions import WantedVersions, with_wanted_versions
 from config.configuration import Upstream
 from umberworks import interface as face
--- a/balancer/upstream_health.py
+++ b/balancer/upstream_health.py
@@ -1,4 +1,4 @@
-"""Upstream health as seen by calls: probes silent upstreams, reports failures to `balancer.trust`."""
+"""Upstream health as seen by calls: probes silent upstreams, and reports failures to `OutlierDetector`."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from loguru import logger
 
+from balancer.outlier_detection import FAILURE_WEIGHT, SILENCE_WEIGHT, WINDOW_S, is_failure
 from balancer.peer import Peer
 from balancer.tiers import Tiers
-from balancer.trust import FAILURE_WEIGHT, SILENCE_WEIGHT, WINDOW_S, is_failure
 from passpost.http1 import Response
 from passpost.upstream import Upstreams
 from umberworks.interface import Outcome
--- a/tests/test_balancer_trust.py
+++ b/tests/test_balancer_trust.py
@@ -8,10 +8,17 @@
 
 import pytest
 
+from balancer.outlier_detection import (
+    FAILURE_WEIGHT,
+    MIN_IN_USE,
+    PROBATION_S,
+    SILENCE_WEIGHT,
+    WINDOW_S,
+    is_failure,
+)
 from balancer.peer import Peer
 from balancer.prompt import Prompt
 from balancer.tiers import Tiers
-from balancer.trust import FAILURE_WEIGHT, MIN_IN_USE, PROBATION_S, SILENCE_WEIGHT, WINDOW_S, is_failure
 from config.configuration import Upstream
 from dissemination.failure_reports import FailureSum, pack, unpack
 from dissemination.messages import FailureReport, UpstreamFailures
