--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -16,6 +16,7 @@
 from balancer.cold_share import ColdShare, Place
 from balancer.ingress import RoutedCall, read_head
 from balancer.peer import Peer
+from balancer.priority import PriorityEstimator
 from balancer.prompt import Prompt
 from balancer.request_counters import Refusal, RequestCounters
 from balancer.request_machine import Handle
@@ -24,7 +25,6 @@
 from balancer.tiers import Tiers
 from balancer.upstream_call import ANSWER_GRACE_S
 from balancer.upstream_health import UpstreamHealth
-from balancer.urgency import PriorityEstimator
 from balancer.versions import wanted_versions
 from balancer.wire import free_handle_call
 from config.configuration import Configuration, Upstream
--- a/balancer/context.py
+++ b/balancer/context.py
@@ -5,12 +5,12 @@
 from typing import Protocol
 
 from balancer.peer import Peer
+from balancer.priority import PriorityEstimator
 from balancer.prompt import Prompt
 from balancer.request_counters import RequestCounters
 from balancer.request_machine import Budget, Handle
 from balancer.tiers import Tiers
 from balancer.upstream_health import UpstreamHealth
-from balancer.urgency import PriorityEstimator
 from config.settings import Settings
 from passpost.upstream import Upstreams
 
--- a/tests/test_balancer_urgency.py
+++ b/tests/test_balancer_urgency.py
@@ -4,7 +4,7 @@
 
 import random
 
-from balancer.urgency import LAST, MIDDLE, PriorityEstimator
+from balancer.priority import LAST, MIDDLE, PriorityEstimator
 from config.configuration import Route
 
 
