--- a/balancer/active_request.py
+++ b/balancer/active_request.py
@@ -15,7 +15,7 @@
 from balancer.request_counters import Refusal
 from balancer.tiers import DECODE, DECODE_PREFILL_FACTOR, PREFILL
 from balancer.upstream_call import UpstreamCall
-from balancer.wire import UpstreamRequest, is_sound, read_handle
+from balancer.upstream_protocol import UpstreamRequest, is_sound, read_handle
 from config.configuration import Route
 from passpost.attempt import OutgoingRequest
 from passpost.http1 import Response
--- a/balancer/answer_log.py
+++ b/balancer/answer_log.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from balancer.wire import UpstreamRequest
+from balancer.upstream_protocol import UpstreamRequest
 from passpost.answer_end import Misuse, ResponseEnd
 from passpost.attempt import OutgoingRequest
 from passpost.http1 import EndKind, Framing
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -25,8 +25,8 @@
 from balancer.tiers import Tiers
 from balancer.upstream_call import ANSWER_GRACE_S
 from balancer.upstream_health import UpstreamHealth
+from balancer.upstream_protocol import free_handle_call
 from balancer.versions import wanted_versions
-from balancer.wire import free_handle_call
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
 from dissemination.failure_reports import FailureCounts
--- a/balancer/options.py
+++ b/balancer/options.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from balancer.wire import ask_for_report, is_event_stream, outcome
+from balancer.upstream_protocol import ask_for_report, is_event_stream, outcome
 from config.configuration import ClientLimits
 from passpost.client_options import ClientOptions
 from passpost.upstream_options import UpstreamOptions
--- a/balancer/relay.py
+++ b/balancer/relay.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from balancer.streams import BadStreamError, EventReader
-from balancer.wire import is_event_stream, is_sound
+from balancer.upstream_protocol import is_event_stream, is_sound
 from passpost.http1 import FlowControl, ResponseStart
 
 if TYPE_CHECKING:
--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -9,7 +9,7 @@
 from balancer.context import RequestContext
 from balancer.peer import Peer
 from balancer.silence_timeout import SilenceTimer, silence_timeout_s
-from balancer.wire import UpstreamRequest
+from balancer.upstream_protocol import UpstreamRequest
 from passpost.attempt import Attempt, AttemptCallback, ResponseSink
 from passpost.http1 import Response
 from umberworks.interface import Outcome
--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -12,7 +12,7 @@
 from balancer.prompt import Prompt
 from balancer.tiers import Tiers
 from balancer.upstream_health import UpstreamHealth
-from balancer.wire import UpstreamRequest
+from balancer.upstream_protocol import UpstreamRequest
 from config.configuration import Configuration, Upstream
 from config.settings import Bounds, CloudApi, Limits, Settings
 from dissemination.cached_prefixes import Holdings
--- a/mastturn/engines/upstreams.py
+++ b/mastturn/engines/upstreams.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from balancer import options
-from balancer.wire import UpstreamRequest
+from balancer.upstream_protocol import UpstreamRequest
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import MISPLACED, Figures, Job
 from passpost.attempt import AttemptCallback, OutgoingRequest, ResponseSink
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -20,19 +20,19 @@
 
 
 def _stale_error_taken() -> None:
-    from balancer import wire
+    from balancer import upstream_protocol
 
     def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
-        told = wire.header(headers, wire.REQUEST_ID)
+        told = upstream_protocol.header(headers, upstream_protocol.REQUEST_ID)
         return told == request_id if told is not None else status >= 300
 
-    wire.belongs_to_request = belongs_to_request
+    upstream_protocol.belongs_to_request = belongs_to_request
 
 
 def _id_not_looked_at() -> None:
-    from balancer import wire
+    from balancer import upstream_protocol
 
-    wire.belongs_to_request = lambda status, headers, request_id: True
+    upstream_protocol.belongs_to_request = lambda status, headers, request_id: True
 
 
 def _fin_taken_as_end() -> None:
@@ -144,7 +144,7 @@
 
 
 def _body_altered() -> None:
-    from balancer.wire import UpstreamRequest
+    from balancer.upstream_protocol import UpstreamRequest
 
     encode = UpstreamRequest.encode
 
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -5,7 +5,7 @@
 import pytest
 from loguru import logger
 
-from balancer.wire import belongs_to_request
+from balancer.upstream_protocol import belongs_to_request
 from passpost.answer_end import Misuse
 from passpost.http1 import EndKind, Framing, Headers, ResponseReader
 from tests.balancer_stage import (
--- a/tests/test_answer_log.py
+++ b/tests/test_answer_log.py
@@ -7,7 +7,7 @@
 
 from balancer import answer_log
 from balancer.answer_log import AnswerLog
-from balancer.wire import UpstreamRequest
+from balancer.upstream_protocol import UpstreamRequest
 from passpost.answer_end import ResponseEnd
 from passpost.http1 import EndKind, Framing
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -27,7 +27,7 @@
 from balancer.routes import RouteTable
 from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from balancer.tiers import Tiers
-from balancer.wire import free_handle_call, read_handle
+from balancer.upstream_protocol import free_handle_call, read_handle
 from config.checking import ConfigurationReader, check, digest, parse_configuration, parse_upstreams
 from config.configuration import ClientLimits
 from config.errors import DiskError, FleetError, InvalidConfigurationError, SettingsError, WireError
--- a/tests/test_fuzz_found.py
+++ b/tests/test_fuzz_found.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from balancer.wire import read_handle
+from balancer.upstream_protocol import read_handle
 from config.checking import parse_upstreams
 from consensus.codec import decode_nested
 from consensus.messages import KINDS, ViewUpdate
