--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -57,7 +57,7 @@
     """The source of the list; with one address the code for several is not imported."""
     if len(config.discovery) == 1:
         return Discovery(config.discovery[0], config.known)
-    from passpost.followed import ReplicatedDiscovery
+    from passpost.replicated_discovery import ReplicatedDiscovery
 
     return ReplicatedDiscovery(config.discovery, config.known, config.seed)
 
