--- a/balancer/answer_log.py
+++ b/balancer/answer_log.py
@@ -8,9 +8,9 @@
 from loguru import logger
 
 from balancer.upstream_protocol import UpstreamRequest
-from passpost.answer_end import Misuse, ResponseEnd
 from passpost.attempt import OutgoingRequest
 from passpost.http1 import EndKind, Framing
+from passpost.response_end import Misuse, ResponseEnd
 
 MAX_UNFRAMED = 4_096  # upstreams remembered as logged for answers without framing
 
--- a/mastturnd/balancer_figures.py
+++ b/mastturnd/balancer_figures.py
@@ -9,7 +9,7 @@
 from mastturnd.balancer_report import status
 from mastturnd.exposition import Metric, by, by_labels, counter, gauge, histogram
 from mastturnd.reported import ReportedRole
-from passpost.answer_end import Misuse
+from passpost.response_end import Misuse
 
 Status = dict[str, Any]  # as returned by `balancer_report.status`
 
--- a/passpost/upstream.py
+++ b/passpost/upstream.py
@@ -11,9 +11,9 @@
 import time
 from collections.abc import Callable
 
-from passpost.answer_end import Misuse, ResponseEnd
 from passpost.attempt import Attempt, AttemptCallback, OutgoingRequest, ResponseSink
 from passpost.http1 import Address
+from passpost.response_end import Misuse, ResponseEnd
 from passpost.upstream_connection import IDLE_SHARE, OnMisuse, OnResponseEnd, Upstream, UpstreamConnection
 from passpost.upstream_options import UpstreamOptions
 from umberworks.interface import Outcome
--- a/passpost/upstream_connection.py
+++ b/passpost/upstream_connection.py
@@ -12,7 +12,6 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from passpost.answer_end import Misuse, ResponseEnd, connection_end, response_end
 from passpost.attempt import Attempt, AttemptCallback, OutgoingRequest, Upload
 from passpost.http1 import (
     MAX_BUFFERED_BODY,
@@ -23,6 +22,7 @@
     Response,
     ResponseReader,
 )
+from passpost.response_end import Misuse, ResponseEnd, connection_end, response_end
 from passpost.upstream_options import UpstreamOptions
 from umberworks.interface import Outcome
 
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -6,8 +6,8 @@
 from loguru import logger
 
 from balancer.upstream_protocol import belongs_to_request
-from passpost.answer_end import Misuse
 from passpost.http1 import EndKind, Framing, Headers, ResponseReader
+from passpost.response_end import Misuse
 from tests.balancer_stage import (
     FakeUpstream,
     Handler,
--- a/tests/test_answer_log.py
+++ b/tests/test_answer_log.py
@@ -8,8 +8,8 @@
 from balancer import answer_log
 from balancer.answer_log import AnswerLog
 from balancer.upstream_protocol import UpstreamRequest
-from passpost.answer_end import ResponseEnd
 from passpost.http1 import EndKind, Framing
+from passpost.response_end import ResponseEnd
 
 REQUEST = UpstreamRequest(b"GET / HTTP/1.1\r\n", b"", request_id=b"r1")
 UNFRAMED = ResponseEnd(EndKind.FIN, Framing.CLOSE, 200, 10)
--- a/tests/test_upstream_closes.py
+++ b/tests/test_upstream_closes.py
@@ -12,10 +12,10 @@
 import pytest
 import uvloop
 
-from passpost.answer_end import connection_end
 from passpost.attempt import Attempt, OutgoingRequest
 from passpost.discovery import parse_address
 from passpost.http1 import Address, EndKind
+from passpost.response_end import connection_end
 from passpost.upstream import Upstreams
 from passpost.upstream_options import UpstreamOptions
 from tests.loopback import OK, FakeServer, ReceivedRequest, Writer, run, silent, until
