--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -15,21 +15,21 @@
 from balancer.answer_log import AnswerLog
 from balancer.cold_share import ColdShare, Place
 from balancer.ingress import RoutedCall, read_head
-from balancer.pair import Handle
 from balancer.peer import Peer
+from balancer.priority import PriorityEstimator
 from balancer.prompt import Prompt
 from balancer.request_counters import Refusal, RequestCounters
+from balancer.request_machine import Handle
 from balancer.retry_budget import RetryBudget
 from balancer.routes import RouteTable, draw_service
-from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
 from balancer.upstream_call import ANSWER_GRACE_S
-from balancer.urgency import PriorityEstimator
+from balancer.upstream_health import UpstreamHealth
+from balancer.upstream_protocol import free_handle_call
 from balancer.versions import wanted_versions
-from balancer.wire import free_handle_call
 from config.configuration import Configuration, Upstream
 from config.settings import Settings, parse_address
-from dissemination.doubts import FailureCounts
+from dissemination.failure_reports import FailureCounts
 from passpost.attempt import OutgoingRequest
 from passpost.client_options import ClientOptions
 from passpost.http1 import Headers
--- a/balancer/upstream_call.py
+++ b/balancer/upstream_call.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 
 from balancer.context import RequestContext
-from balancer.patience import SilenceTimer, silence_timeout_s
 from balancer.peer import Peer
-from balancer.wire import UpstreamRequest
+from balancer.silence_timeout import SilenceTimer, silence_timeout_s
+from balancer.upstream_protocol import UpstreamRequest
 from passpost.attempt import Attempt, AttemptCallback, ResponseSink
 from passpost.http1 import Response
 from umberworks.interface import Outcome
--- a/control/node.py
+++ b/control/node.py
@@ -16,19 +16,19 @@
 from consensus.awake_clock import AwakeClock
 from consensus.codec import decode_nested
 from consensus.effects import Committed, Effect, Lead, Persist, Reply, Send, Spec, Verdict
-from consensus.keeper import FOUNDER_PREFIX, StateStore
 from consensus.primary import Command, Get
 from consensus.replica import Replica
 from consensus.spread import Spread
+from consensus.state_store import FOUNDER_PREFIX, StateStore
 from consensus.views import Member
 from control.operators import OPERATOR_ROUTES
 from control.publisher import Publisher
-from control.tally_calls import TALLY_ROUTES
+from control.tally_api import TALLY_ROUTES
 from control.tally_keeper import TallyKeeper
 from dissemination import messages as updates
 from tallies import messages as tallies
-from transport.calls import HttpServer, Routes
 from transport.endpoint import Endpoint
+from transport.http_server import HttpServer, Routes
 from transport.links import Links
 from transport.wire import Link, MessageKinds
 
@@ -232,7 +232,7 @@
             return
         try:
             revived = decode_nested(message)
-            if isinstance(revived, messages.Install) and revived.view is None:
+            if isinstance(revived, messages.InstallView) and revived.view is None:
                 raise ValueError("an Install message without a view")
         except (ValueError, KeyError, TypeError) as error:
             logger.warning("event=bad_message peer={} error={!r}", link.peer, str(error))
--- a/mastturn/soak/planted.py
+++ b/mastturn/soak/planted.py
@@ -20,19 +20,19 @@
 
 
 def _accept_stale_error() -> None:
-    from balancer import wire
+    from balancer import upstream_protocol
 
     def belongs_to_request(status: int, headers: Headers, request_id: bytes) -> bool:
-        value = wire.header(headers, wire.REQUEST_ID)
+        value = upstream_protocol.header(headers, upstream_protocol.REQUEST_ID)
         return value == request_id if value is not None else status >= 300
 
-    wire.belongs_to_request = belongs_to_request
+    upstream_protocol.belongs_to_request = belongs_to_request
 
 
 def _ignore_request_id() -> None:
-    from balancer import wire
+    from balancer import upstream_protocol
 
-    wire.belongs_to_request = lambda status, headers, request_id: True
+    upstream_protocol.belongs_to_request = lambda status, headers, request_id: True
 
 
 def _accept_fin_as_end() -> None:
@@ -80,7 +80,7 @@
 
 
 def _repeat_after_reset() -> None:
-    from balancer.pair import Budget, RequestStateMachine
+    from balancer.request_machine import Budget, RequestStateMachine
 
     original = RequestStateMachine.__init__
 
@@ -146,7 +146,7 @@
 
 
 def _alter_long_body() -> None:
-    from balancer.wire import UpstreamRequest
+    from balancer.upstream_protocol import UpstreamRequest
 
     encode = UpstreamRequest.encode
 
--- a/tests/test_answer_ends.py
+++ b/tests/test_answer_ends.py
@@ -5,9 +5,9 @@
 import pytest
 from loguru import logger
 
-from balancer.wire import belongs_to_request
-from passpost.answer_end import Misuse
+from balancer.upstream_protocol import belongs_to_request
 from passpost.http1 import EndKind, Framing, Headers, ResponseReader
+from passpost.response_end import Misuse
 from tests.balancer_stage import (
     FakeUpstream,
     Handler,
