--- a/mastturn/engines/balancer.py
+++ b/mastturn/engines/balancer.py
@@ -10,15 +10,22 @@
 from balancer.balancer import Balancer
 from balancer.ingress import RoutedCall
 from balancer.prompt import Prompt
-from balancer.standing import UpstreamHealth
 from balancer.tiers import Tiers
-from balancer.wire import UpstreamRequest
+from balancer.upstream_health import UpstreamHealth
+from balancer.upstream_protocol import UpstreamRequest
 from config.configuration import Configuration, Upstream
 from config.settings import Bounds, CloudApi, Limits, Settings
 from dissemination.cached_prefixes import Holdings
 from dissemination.load_steps import Loads
 from dissemination.loads import ENTRY_BYTES, LoadSum, PeerLoads
-from dissemination.messages import Holding, HoldingNews, HoldingReport, LoadNews, LoadReport, UpstreamLoad
+from dissemination.messages import (
+    CachedPrefix,
+    CachedPrefixReport,
+    CachedPrefixUpdate,
+    LoadReport,
+    LoadUpdate,
+    UpstreamLoad,
+)
 from mastturn.engines.demand import ClientRequest
 from mastturn.engines.engine import Engine
 from mastturn.engines.jobs import Counters, Job
@@ -34,7 +41,7 @@
 
 def message_bytes(message: Any) -> int:
     """Approximate size of a dissemination message, in bytes."""
-    if isinstance(message, LoadNews | LoadReport):
+    if isinstance(message, LoadUpdate | LoadReport):
         return PACKET_BYTES + ENTRY_BYTES * len(message.loads)
     return PACKET_BYTES + HOLDING_BYTES * len(message.holdings)
 
@@ -99,7 +106,7 @@
         self.plane.watch_loads(self.loads.schedule)
         self.plane.watch_cached_prefixes(self._on_prefix_cached)
         self.holdings = Holdings()
-        self._unsent_holdings: list[Holding] = []
+        self._unsent_holdings: list[CachedPrefix] = []
 
     # ---- clients
 
@@ -265,39 +272,39 @@
             return
         if isinstance(message, LoadReport):
             self.loads.report(child, message)
-        elif isinstance(message, HoldingReport):
+        elif isinstance(message, CachedPrefixReport):
             self._queue_holdings(self._add_holdings(message.holdings))
 
     def on_parent_message(self, message: Any) -> None:
         """Handle a message from the parent in the relay tree."""
         if not self.up:
             return
-        if isinstance(message, LoadNews):
+        if isinstance(message, LoadUpdate):
             self._peer_loads.take(message, self._reported)
             self._send_to_children(message)
-        elif isinstance(message, HoldingNews):
+        elif isinstance(message, CachedPrefixUpdate):
             self._add_holdings(message.holdings)
 
-    def _add_holdings(self, holdings: tuple[Holding, ...]) -> tuple[Holding, ...]:
+    def _add_holdings(self, holdings: tuple[CachedPrefix, ...]) -> tuple[CachedPrefix, ...]:
         new = self.holdings.add(holdings)
         for holding in new:
             self.plane.add_cached_prefix(holding.subject, holding.upstream)
         if new:
-            self._send_to_children(HoldingNews(new))
+            self._send_to_children(CachedPrefixUpdate(new))
         return new
 
     def _on_prefix_cached(self, subject: bytes, upstream: str) -> None:
-        self._queue_holdings(self.holdings.add((Holding(subject, upstream),), first_hand=True))
+        self._queue_holdings(self.holdings.add((CachedPrefix(subject, upstream),), first_hand=True))
 
-    def _queue_holdings(self, new: tuple[Holding, ...]) -> None:
+    def _queue_holdings(self, new: tuple[CachedPrefix, ...]) -> None:
         if new and not self._unsent_holdings:
             asyncio.get_running_loop().call_later(HOLDINGS_REPORT_DELAY_S, self._send_holdings)
         self._unsent_holdings += new
 
     def _send_holdings(self) -> None:
         unsent, self._unsent_holdings = tuple(self._unsent_holdings), []
-        self._send_to_parent(HoldingReport(unsent))
-        self._send_to_children(HoldingNews(unsent))
+        self._send_to_parent(CachedPrefixReport(unsent))
+        self._send_to_children(CachedPrefixUpdate(unsent))
 
 
 class ControlPrimary:
@@ -320,13 +327,13 @@
         """Handle a message from a child in the relay tree."""
         if isinstance(message, LoadReport):
             self.loads.report(child, message)
-        elif isinstance(message, HoldingReport) and (new := self.holdings.add(message.holdings)):
-            self._send_to_children(HoldingNews(new))
+        elif isinstance(message, CachedPrefixReport) and (new := self.holdings.add(message.holdings)):
+            self._send_to_children(CachedPrefixUpdate(new))
 
     def _on_loads_summed(self, loads: tuple[UpstreamLoad, ...]) -> None:
         self.loaded_by = {e.upstream: (e.calls, e.tokens) for e in loads}
         self._number += 1
-        self._send_to_children(LoadNews(1, self._number, loads))
+        self._send_to_children(LoadUpdate(1, self._number, loads))
 
     def _send_to_children(self, message: Any) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_control_host_disk.py
+++ b/tests/test_control_host_disk.py
@@ -13,7 +13,7 @@
 from consensus import messages as control
 from consensus.codec import PromiseRecord, WriteRecord, encode_record, snapshot_record
 from consensus.disk_store import Loaded, Store
-from consensus.keeper import MAX_LOG_BYTES, RETRY_S, SYNC_TIMEOUT_S, StateStore
+from consensus.state_store import MAX_LOG_BYTES, RETRY_S, SYNC_TIMEOUT_S, StateStore
 from consensus.views import Document, DurableState
 from control.node import TICK_S
 from tests.fabric import Process
@@ -136,7 +136,7 @@
     play(scene, starts=False)
 
 
-@pytest.mark.parametrize("kind", [control.Promised, control.Installed, control.Written])
+@pytest.mark.parametrize("kind", [control.Promise, control.InstallViewAck, control.WriteAck])
 def test_a_process_says_nothing_that_it_has_not_synced(kind: Any) -> None:
     """An answer that others rely on is sent only after the sync that was started for it has returned."""
     sync_ms = 40
@@ -156,9 +156,9 @@
 
     heard = play(scene).transcript.received
     questions: dict[type, type] = {
-        control.Promised: control.Prepare,
-        control.Installed: control.Install,
-        control.Written: control.Write,
+        control.Promise: control.Prepare,
+        control.InstallViewAck: control.InstallView,
+        control.WriteAck: control.WriteRequest,
     }
     answers = [entry for entry in heard if isinstance(entry[3], kind) and entry[3].ok]
     assert answers
@@ -236,8 +236,8 @@
     async def scene(world: World) -> None:
         queue, health_changes = ManualQueue(), list[bool]()
         with (
-            mock.patch("consensus.keeper.DiskQueue", lambda store: queue),
-            mock.patch("consensus.keeper.OsFiles", Disk),
+            mock.patch("consensus.state_store.DiskQueue", lambda store: queue),
+            mock.patch("consensus.state_store.OsFiles", Disk),
         ):
             state_store = StateStore("/disk", health_changes.append)
         loading = asyncio.create_task(state_store.load(False))
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -27,7 +27,7 @@
 from balancer.routes import RouteTable
 from balancer.streams import MAX_EVENT_BYTES, BadStreamError, EventReader
 from balancer.tiers import Tiers
-from balancer.wire import free_handle_call, read_handle
+from balancer.upstream_protocol import free_handle_call, read_handle
 from config.checking import ConfigurationReader, check, digest, parse_configuration, parse_upstreams
 from config.configuration import ClientLimits
 from config.errors import DiskError, FleetError, InvalidConfigurationError, SettingsError, WireError
@@ -49,7 +49,7 @@
 from tests.fuzz_inputs import LIMITS, as_text, changed, deep, json_of, of_schema, spoilt
 from tests.test_config_settings import WHOLE
 from tests.test_mastturnd_cli_commands import PRESENT, UPSTREAMS, _balancer, _control
-from transport.calls import _HttpConnection
+from transport.http_server import _HttpConnection
 from transport.wire import MAX_FRAME_BYTES, FrameReader, Link, MessageKinds, to_avro
 
 BETWEEN = MessageKinds().include(control.KINDS).include(news.KINDS)
--- a/tests/test_transport_strangers.py
+++ b/tests/test_transport_strangers.py
@@ -17,7 +17,7 @@
 from tests.fabric_callers import Answer, ask, call, configuration
 from tests.fabric_scenes import start_fleet, wait_in_force
 from tests.fabric_world import BALANCER_PORT, CONTROL_PORT, CTL_PORT, World, play
-from transport.calls import MAX_BODY_BYTES
+from transport.http_server import MAX_BODY_BYTES
 from transport.wire import MAX_FRAME_BYTES, FrameReader
 
 
@@ -95,36 +95,38 @@
     document = {"number": -1, "ver": -5, "body": b"\0", "taken": []}
     big = 2**62
     return [
-        control.Install("x", "", nowhere, None, True),
-        control.Install("x", "", empty, None, True),
-        control.Install("x", "", None, None, True),
-        control.Known("x", "", nowhere, big),
-        control.Known("x", "", None, big),
-        control.Write("x", "", 1, document),
-        control.Join("x", "", member, 0),
-        control.Leaving("x", ""),
-        control.Written("x", "", 1, 2, True, 0),
-        control.Heard("x", "", 1, 10**9, True, 0, 0),
-        control.Installed("x", "", 1, True, 0, None),
-        control.Promised("x", "", 1, True, 0, None),
-        control.Answer("x", "", 1, True, 0, None),
-        dissemination.Pulse(big, big, 10**6),
-        dissemination.ConfigurationNews(big, b"no configuration"),
-        dissemination.UpstreamNews(big, big, b"no list"),
-        dissemination.MemberNews(big, big, (), ()),
-        dissemination.Moved(("10.9.9.9",)),
-        dissemination.Roll("x", (dissemination.Present("x", "10.9.9.9", "hall-a"),)),
+        control.InstallView("x", "", nowhere, None, True),
+        control.InstallView("x", "", empty, None, True),
+        control.InstallView("x", "", None, None, True),
+        control.ViewUpdate("x", "", nowhere, big),
+        control.ViewUpdate("x", "", None, big),
+        control.WriteRequest("x", "", 1, document),
+        control.JoinRequest("x", "", member, 0),
+        control.LeaveRequest("x", ""),
+        control.WriteAck("x", "", 1, 2, True, 0),
+        control.HeartbeatAck("x", "", 1, 10**9, True, 0, 0),
+        control.InstallViewAck("x", "", 1, True, 0, None),
+        control.Promise("x", "", 1, True, 0, None),
+        control.PreVoteResponse("x", "", 1, True, 0, None),
+        dissemination.LeaderHeartbeat(big, big, 10**6),
+        dissemination.ConfigurationUpdate(big, b"no configuration"),
+        dissemination.UpstreamListUpdate(big, big, b"no list"),
+        dissemination.MembershipUpdate(big, big, (), ()),
+        dissemination.Redirect(("10.9.9.9",)),
+        dissemination.PresenceReport("x", (dissemination.PresentBalancer("x", "10.9.9.9", "hall-a"),)),
         dissemination.LoadReport((dissemination.UpstreamLoad("i-1", 2**31 - 1, 2**31 - 1),)),
-        dissemination.LoadNews(big, big, (dissemination.UpstreamLoad("i-1", -5, -5),)),
-        dissemination.DoubtReport(
+        dissemination.LoadUpdate(big, big, (dissemination.UpstreamLoad("i-1", -5, -5),)),
+        dissemination.FailureReport(
             (
                 dissemination.UpstreamFailures("i-1", "", 2**31 - 1, 2**31 - 1),
                 dissemination.UpstreamFailures("", "hall-a", -5, -5),
             )
         ),
-        dissemination.DoubtNews(big, big, (dissemination.UpstreamFailures("i-1", "hall-z", 2**31 - 1, -5),)),
-        dissemination.Speaks(-1, b""),
-        dissemination.Speaks(2**31 - 1, b"x" * 1_000),
+        dissemination.FailureUpdate(
+            big, big, (dissemination.UpstreamFailures("i-1", "hall-z", 2**31 - 1, -5),)
+        ),
+        dissemination.Hello(-1, b""),
+        dissemination.Hello(2**31 - 1, b"x" * 1_000),
         dissemination.UpstreamChange(big, big, b"", b"", b"no list", ("i-1",)),
         dissemination.UpstreamChange(1, big, b"", b"x", b'[{"id": 5}, 7]', ()),
         dissemination.LoadStep(big, big, 0, ("i-1",), (0, -5, -5)),
