--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -117,8 +117,7 @@
 
     def _on_list(self, event: face.ListUpdate, now: float) -> None:
         if event.kind is ListKind.FAILED:
-            # Keep the old list, and request it again after a random pause so that balancers do not
-            # synchronize.
+            # Keep the old list; request it again after a random pause, so that balancers do not synchronize.
             pause = min(LIST_RETRY_MS * 2 ** min(self._list_failures, 9), self._settings.ask_within_ms / 3)
             self._list_failures += 1
             if self._list_failures == 1:
