--- a/mastturn/control_check/steps.py
+++ b/mastturn/control_check/steps.py
@@ -1,9 +1,8 @@
-"""Every order of messages, losses, repeats, syncs and crashes of a few processes, up to stated bounds.
+"""Explores every order of messages, losses, repeats, syncs and crashes of a few processes, within bounds.
 
 A message that was sent can be delivered at any time, any number of times, or never: the network is the set of
-all that was ever sent. What is asked without being bound by it (PreVoteRequest and its PreVoteResponse) is
-carried out at once
-and always with a yes, so that nothing rests on time.
+all messages ever sent. A `PreVoteRequest` binds nobody, so it is delivered at once and always granted;
+nothing depends on time.
 """
 
 from __future__ import annotations
