--- a/mastturn/days/__init__.py
+++ b/mastturn/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days that nobody chose: drawn from a site's troubles by number, and what came of playing them."""
+"""Draws randomized test days from a site's troubles by number, and tabulates the results of their runs."""
--- a/mastturn/days/__main__.py
+++ b/mastturn/days/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mastturn.days draw SITE` writes days as files, `... table` lists what came of playing them."""
+"""Command line: `python -m mastturn.days draw SITE` writes days as files, `... table` lists their results."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 @click.group()
 def main() -> None:
-    """Days of operation that nobody chose."""
+    """Draw randomized days and list their results."""
 
 
 @main.command()
 @click.argument("site", type=click.Path(path_type=Path))
 @click.option("--first", default=0, show_default=True, help="Number of the first day.")
 @click.option("--count", default=150, show_default=True, help="How many days.")
-@click.option("--crowd", default=0, show_default=True, help="So many troubles within a few seconds.")
-@click.option("--every", is_flag=True, help="All kinds, also those that the site doesn't name.")
+@click.option("--crowd", default=0, show_default=True, help="Number of troubles within a few seconds.")
+@click.option("--every", is_flag=True, help="All kinds, including those that the site doesn't name.")
 @click.option(
     "--profile",
     type=click.Choice(["site", *(p.name for p in PROFILES)]),
     default="site",
     show_default=True,
-    help="The site's own kinds; all that touch the control state; or all that the bench lists.",
+    help="The site's own kinds; all that affect the control state; or all that the bench lists.",
 )
 @click.option("--out", required=True, type=click.Path(path_type=Path), help="Folder for the files.")
 def draw(site: Path, first: int, count: int, crowd: int, every: bool, profile: str, out: Path) -> None:
-    """Write days of a site, one a file: NUMBER.toml."""
+    """Write days of a site, one per file: NUMBER.toml."""
     numbers = range(first, first + count)
     try:
         known = read_site(site, every)
@@ -53,7 +53,7 @@
 @main.command("table")
 @click.option("--journal", default="journal", show_default=True, type=click.Path(path_type=Path))
 def table_(journal: Path) -> None:
-    """List what came of the days that were played, as Markdown."""
+    """List the results of the days that were run, as Markdown."""
     click.echo("\n".join(table(read_outcomes(journal))))
 
 
--- a/mastturn/days/control.py
+++ b/mastturn/days/control.py
@@ -1,6 +1,6 @@
-"""Kinds of trouble that strike the control state: its processes, their disks and network, operators' changes.
+"""Kinds of trouble that affect the control state: its processes, their disks and network, operators' changes.
 
-They are those of the bench, with all of their variants. `overlap.py` draws days of them.
+These are the kinds of the bench with all of their variants. `overlap.py` draws days from them.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 SUFFIXES = ("", "meet", "meet drain", "race", "race drain", "race drain hard", "hard")
 TARGETS = ("", "leader", "turn", "reader", "giver", "seed")
 CUTS = ("", "one_way", "all", "near", "split", "oldest", "behind", "seeds", "both", "lure", "relieve")
-CUT_MANNERS = ("", "", "reset", "refuse")
+CUT_CONNECTION_ENDS = ("", "", "reset", "refuse")
 
 
 @dataclass(frozen=True, slots=True)
 class CoreKind(Kind):
-    """A kind that strikes one machine of the core, or a stated share of it."""
+    """A kind that affects one machine of the core, or a given share of them."""
 
-    def draw(self, at: float, chance: random.Random, services: list[str], classes: list[str]) -> Trouble:
-        """As the base, with `on`; and whom it strikes and what happens then, among the variants."""
-        trouble = Kind.draw(self, at, chance, services, classes)
-        words = [str(trouble.pop("how", "")), chance.choice(TARGETS), chance.choice(SUFFIXES)]
+    def draw(self, at: float, rng: random.Random, services: list[str], classes: list[str]) -> Trouble:
+        """Draw as the base class, with `on` set to the core and a variant of target and follow-up action."""
+        trouble = Kind.draw(self, at, rng, services, classes)
+        words = [str(trouble.pop("how", "")), rng.choice(TARGETS), rng.choice(SUFFIXES)]
         how = " ".join(word for word in words if word)
         trouble |= {"on": CORE}
         if "share" not in trouble:
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CutKind(Kind):
-    """A cut between the machines of the core, in one of its forms."""
+    """A network partition between machines of the core, in one of its forms."""
 
-    def draw(self, at: float, chance: random.Random, services: list[str], classes: list[str]) -> Trouble:
-        """As the base, with the form, whom it strikes, how connections end, and what operators do."""
-        trouble = Kind.draw(self, at, chance, services, classes)
-        form = chance.choice(CUTS)
-        target = chance.choice(("", "leader")) if form in ("", "one_way", "all", "near") else ""
-        words = [target, form, chance.choice(CUT_MANNERS), chance.choice(SUFFIXES)]
+    def draw(self, at: float, rng: random.Random, services: list[str], classes: list[str]) -> Trouble:
+        """Draw as the base class, with variants of form, target, connection end and operators' action."""
+        trouble = Kind.draw(self, at, rng, services, classes)
+        form = rng.choice(CUTS)
+        target = rng.choice(("", "leader")) if form in ("", "one_way", "all", "near") else ""
+        words = [target, form, rng.choice(CUT_CONNECTION_ENDS), rng.choice(SUFFIXES)]
         how = " ".join(word for word in words if word)
         if how:
             trouble["how"] = how
--- a/mastturn/days/written.py
+++ b/mastturn/days/written.py
@@ -1,4 +1,4 @@
-"""A day as a file: just as much TOML as days need."""
+"""Writes a day as a file, in the subset of TOML that days need."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def write_day(day: Mapping[str, Any]) -> str:
-    """The text of a file with this day; lists of tables stand one a line, as in the site files."""
+    """Return the file's text; each element of a list of tables is on its own line, as in site files."""
     lines = ["[[day]]"]
     for key, value in day.items():
         if isinstance(value, list) and value and isinstance(value[0], Mapping):
@@ -23,4 +23,4 @@
         return "{ " + ", ".join(f"{k} = {_value(v)}" for k, v in value.items()) + " }"
     if isinstance(value, list):
         return "[" + ", ".join(_value(v) for v in value) + "]"
-    return json.dumps(value)  # strings, numbers and truths are written alike in both
+    return json.dumps(value)  # strings, numbers and booleans have the same syntax in JSON and TOML
